--- a/src/group/departed.rs
+++ b/src/group/departed.rs
@@ -1,27 +1,30 @@
-//! Hosts that left the list of the group and may still serve callers.
+//! Hosts that left the member list and may still serve callers.
 //!
-//! Answers the pattern of hosts that are cut off from the store and from the others: the list drops them after two seconds,
-//! but their callers still reach them, and they go on to admit requests by their share of each rate limit. Were that
-//! share given to the others at once, both together would admit more than the limit.
+//! A host that loses contact with the store and with all other hosts is removed from the list after
+//! two seconds, but callers still reach it, and it continues to admit requests under its share of
+//! each rate limit. If the other hosts took over that share at once, all together would admit more
+//! than the limit.
 
 use crate::group::members::MembersChange;
 use crate::prelude::*;
 use std::net::SocketAddr;
 
-/// How long a host that left the list is counted, unless a process at its address is listed again: longer than one that
-/// reaches nobody goes on to admit by its share, and than the list takes to drop it.
+/// How long a host is counted as serving after it left the list, unless a process at its address is
+/// listed again. Longer than [`ALONE_MS`], during which an isolated host continues to admit
+/// requests, and longer than the list takes to drop a host.
 const MAY_SERVE_MS: Millis = Millis(28_000);
-/// How long a host that reaches neither the store nor another host admits requests by its share.
+/// How long a host admits requests under its share of a limit after its last contact with the store
+/// or, directly or through a relay, the orderer.
 pub const ALONE_MS: Millis = Millis(20_000);
 
-/// When hosts left the list, by their callers' address.
+/// The times at which hosts left the list, by caller address.
 #[derive(Clone, Debug, Default)]
 pub struct Departed {
     left_at: IndexMap<SocketAddr, Millis>,
 }
 
 impl Departed {
-    /// Takes how the list changed. A process that restarts is listed under the same address as before.
+    /// Records a change of the list. A restarted process is listed under its former address.
     pub fn note(&mut self, now: Millis, change: &MembersChange) {
         self.left_at
             .retain(|_, left_at| now.since(*left_at) < MAY_SERVE_MS);
@@ -33,7 +36,7 @@
         }
     }
 
-    /// Returns how many hosts that are not listed may still serve.
+    /// Returns the number of hosts that may still serve and are not in `listed`.
     pub fn count(&self, now: Millis, listed: &IndexSet<SocketAddr>) -> usize {
         let may_serve = |(address, left_at): &(&SocketAddr, &Millis)| {
             now.since(**left_at) < MAY_SERVE_MS && !listed.contains(*address)
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -1,28 +1,28 @@
-//! One host of the group.
+//! The entry of one host in the group, and its text form on the platform's store.
 
 use crate::prelude::*;
 use std::net::SocketAddr;
 
-/// One host as the group names it.
+/// One host process as the group lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Where callers connect.
+    /// The address where callers connect.
     pub caller_address: SocketAddr,
-    /// Where other hosts connect.
+    /// The address where other hosts connect.
     pub peer_address: SocketAddr,
-    /// Its data centre.
+    /// The name of the host's data centre.
     pub data_centre: Name,
-    /// The incarnation of its process.
+    /// A random number that the process draws at its start; it tells restarts of a host apart.
     pub incarnation: u64,
-    /// The SHA-256 of the certificate by which other hosts know it, as hex digits.
+    /// The SHA-256 of the certificate that the host shows to other hosts, as hex digits.
     pub fingerprint: Name,
-    /// How much processor it has, in thousandths of a core; zero where it does not say.
+    /// The host's CPU capacity in thousandths of a core; zero if it does not state it.
     #[serde(default)]
     pub cpu_millicores: u32,
 }
 
 impl Member {
-    /// Writes the member as the group's name for it.
+    /// Formats the member as the name under which it joins the group on the store.
     pub fn to_text(&self) -> String {
         let Self {
             caller_address,
@@ -37,8 +37,8 @@
         )
     }
 
-    /// Reads a member from the group's name for it; nothing when it is another release's. One that does not say how
-    /// much processor it has is read all the same: the release before wrote none.
+    /// Parses the name of a member on the store. Returns `None` for the format of an unknown
+    /// release. A name without the CPU capacity is accepted, since the previous release wrote none.
     pub fn from_text(text: &str) -> Option<Self> {
         let mut parts = text.split(';');
         Some(Self {
@@ -51,8 +51,9 @@
         })
     }
 
-    /// Orders hosts by how well they can do work for others: the most processor first, equal ones by incarnation,
-    /// which is random and the same at every host.
+    /// Returns the sort key of hosts for work on behalf of others: the highest CPU capacity first,
+    /// ties by incarnation. Incarnations are random and known to every host, so all hosts get the
+    /// same order.
     pub fn rank(&self) -> (std::cmp::Reverse<u32>, u64) {
         (std::cmp::Reverse(self.cpu_millicores), self.incarnation)
     }
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -1,9 +1,9 @@
-//! The list of hosts, and its changes for hosts that know an older one.
+//! The list of hosts in the group, and incremental updates for hosts with an older list.
 //!
-//! Answers the pattern of hundreds of hosts of which some restart every second. With reads of its own at each change
-//! every host costs the store a call a second and the whole list's bytes; instead one host reads it and the others
-//! get what changed with what they are told anyway. In a site of 195 hosts a restart costs two reads of the list
-//! instead of 195.
+//! With hundreds of hosts, some of which restart every second, reads by every host at each change
+//! would cost the store one call a second per host and the bytes of the whole list each time.
+//! Instead one host reads the list, and the others get the changes with the sync messages that they
+//! receive anyway. In a site of 195 hosts a restart costs two reads of the list instead of 195.
 
 use crate::group::Member;
 use crate::group::departed::{ALONE_MS, Departed};
@@ -11,96 +11,99 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Most changes that are kept for hosts that know an older list; a host that knows a still older one is told the whole
-/// list. A host hears of changes each half second at the latest, and the list is read once a second.
+/// Most changes kept for hosts with an older list; a host with a list older than these gets the
+/// full list. Hosts get updates at least every 0.5 s, and the list is read once a second.
 const MAX_CHANGES: usize = 32;
-/// The generation that a host names which wants the whole list.
+/// The generation that a host sends to request the full list.
 const WHOLE: u64 = 0;
 
-/// How the list changed between two reads.
+/// The difference between two successive reads of the list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembersChange {
-    /// The generation of the list before.
+    /// The generation of the earlier list.
     pub from: u64,
-    /// The generation of the list after.
+    /// The generation of the later list.
     pub to: u64,
-    /// Hosts that are new in it.
+    /// Hosts that only the later list has.
     pub joined: Vec<Member>,
-    /// Hosts that are no longer in it.
+    /// Hosts that only the earlier list has.
     pub left: Vec<Member>,
 }
 
 impl MembersChange {
-    /// Tells whether no host joined or left.
+    /// Returns whether no host joined or left.
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty() && self.left.is_empty()
     }
 }
 
-/// What a host that knows an older list is told.
+/// An update of the member list for a host whose list may be older.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembersNews {
-    /// The generation of the newest list.
+    /// The generation of the sender's list.
     pub generation: u64,
-    /// The digest of the newest list, by which the receiver sees whether the changes led it there.
+    /// The digest of the sender's list, with which the receiver verifies its list after the update.
     pub digest: u64,
-    /// The changes that lead there, oldest first.
+    /// The changes since the receiver's generation, oldest first; empty with a full list.
     pub changes: Vec<MembersChange>,
-    /// The whole list, where no changes lead there from the one that the receiver knows.
+    /// The full list, if the sender no longer keeps the changes since the receiver's generation, or
+    /// if the receiver requested it.
     pub whole: Option<Vec<Member>>,
 }
 
-/// The members of the group, as last read or told.
+/// The member list as last read from the store or received from another host.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     generation: u64,
     list: IndexSet<Member>,
     changes: VecDeque<MembersChange>,
     known_at: Option<Millis>,
-    /// Whether the last news did not lead to the newest list.
+    /// Whether the last update failed verification, so that the full list is needed.
     wants_whole: bool,
-    /// When the group on the store, or the orderer, was heard last.
+    /// When the store or the orderer last answered.
     heard_at: Option<Millis>,
-    /// Where the listed hosts take callers. Two processes of one host may be listed for a moment.
+    /// The caller addresses of the listed hosts, without duplicates: after a restart both processes
+    /// of a host may be listed for a moment.
     addresses: IndexSet<SocketAddr>,
     departed: Departed,
 }
 
 impl Members {
-    /// Returns how many hosts there are; this one counts before the group was read.
+    /// Returns the number of listed hosts; at least 1, also before the list is known.
     pub fn count(&self) -> usize {
         self.list.len().max(1)
     }
 
-    /// Returns the hosts.
+    /// Iterates over the listed hosts.
     pub fn iter(&self) -> impl Iterator<Item = &Member> + Clone {
         self.list.iter()
     }
 
-    /// Tells whether the list has a host.
+    /// Returns whether the list has a host.
     pub fn lists(&self, host: &Member) -> bool {
         self.list.contains(host)
     }
 
-    /// Returns how many hosts may admit requests by their share of a limit: those listed and those that left a while ago;
-    /// nothing when this host reached nobody for so long that the others no longer count it.
+    /// Returns the number of hosts that may admit requests under their share of a rate limit: the
+    /// listed ones and those that left recently. Returns `None` if the list is not known yet, or if
+    /// this host had no contact for so long that the others may no longer count it.
     pub fn count_serving(&self, now: Millis) -> Option<usize> {
         let heard_at = self.known_at.and(self.heard_at)?;
         let is_counted = now.since(heard_at) < ALONE_MS;
         is_counted.then(|| self.addresses.len() + self.departed.count(now, &self.addresses))
     }
 
-    /// Takes note that the group on the store, or the orderer, was heard: the others count this host.
+    /// Records that the store or the orderer answered, so that the others count this host.
     pub fn note_heard(&mut self, now: Millis) {
         self.heard_at = Some(now);
     }
 
-    /// Returns the group's generation when the list was read.
+    /// Returns the generation of the list; zero before it is known.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Returns from which generation on this host wants to be told of changes.
+    /// Returns the generation after which this host requests changes; zero requests the full list.
     pub fn wants_from(&self) -> u64 {
         match self.wants_whole || self.known_at.is_none() {
             true => WHOLE,
@@ -108,12 +111,12 @@
         }
     }
 
-    /// Returns when the list was read or confirmed.
+    /// Returns when the list was last read, updated or confirmed as current.
     pub fn known_at(&self) -> Option<Millis> {
         self.known_at
     }
 
-    /// Takes the whole list as the group has it. Returns how it differs from the one before.
+    /// Replaces the list by a full one. Returns the difference.
     pub fn replace(
         &mut self,
         now: Millis,
@@ -131,8 +134,8 @@
         change
     }
 
-    /// Returns what a host is told that knows the list of a generation, also that it is the newest; nothing when this host
-    /// knows an older one.
+    /// Returns the update for a host that has the list of `generation`, also if nothing changed
+    /// since. Returns `None` if this host's own list is unknown or older.
     pub fn news_since(&self, generation: u64) -> Option<MembersNews> {
         if self.known_at.is_none() || generation > self.generation {
             return None;
@@ -149,8 +152,10 @@
         })
     }
 
-    /// Takes another host's news. Returns what changed, or nothing when the news do not lead from this host's list to
-    /// the newest one: then it wants the whole list.
+    /// Applies an update from another host and returns the difference. Returns `None` and leaves the
+    /// list as it is if the update is older than the list, if it holds only changes while no list is
+    /// known yet, or if the result fails verification. This host requests the full list after changes
+    /// that failed verification and while it has no list.
     pub fn apply(&mut self, now: Millis, news: MembersNews) -> Option<MembersChange> {
         if news.generation < self.generation {
             return None;
@@ -162,7 +167,7 @@
         }
         self.known_at?;
         let own = self.generation;
-        // The usual case, some times a second: the list stands.
+        // The usual case, several times a second: the list has not changed.
         if news.generation == own && news.changes.is_empty() {
             return self.confirm(now, news.digest);
         }
@@ -174,7 +179,8 @@
             }
             list.extend(change.joined);
         }
-        // A list read between two of the teller's reads may hold hosts that came and went between them.
+        // If this host read its list between two reads of the sender, the list may contain hosts
+        // that joined and left between those reads; the sender's changes do not mention them.
         if digest(&list) != news.digest {
             self.wants_whole = true;
             return None;
@@ -211,7 +217,8 @@
     }
 }
 
-/// Returns a digest of a list that does not depend on its order: incarnations are random and differ.
+/// Returns a digest of a list that does not depend on its order. XOR suffices, since incarnations
+/// are random and differ.
 fn digest(list: &IndexSet<Member>) -> u64 {
     let incarnations = list.iter().map(|member| member.incarnation);
     incarnations.fold(list.len() as u64, |digest, incarnation| {
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -1,8 +1,17 @@
-//! The group of entry hosts: who is in it, and by which hosts the others speak with the orderer.
+//! Group membership of entry hosts, and the relay tree through which hosts reach the orderer.
 //!
-//! Everything here decides without network: [`member`] one host, [`members`] the list and how its changes are passed
-//! on, [`departed`] who may still serve without being listed, [`reading`] when a host reads it itself,
-//! [`tree`] which hosts relay for others, [`parents`] which of them a host asks.
+//! The group is the list of running hosts, kept on the platform's store under a generation number
+//! that grows with each change. The orderer is the one host that currently decides which engine
+//! loads which model; relays forward state between it and other hosts.
+//!
+//! This module holds decisions only and does no I/O:
+//!
+//! - [`member`]: the entry of one host.
+//! - [`members`]: the member list, and updates for hosts with an older list.
+//! - [`departed`]: hosts that left the list and may still serve callers.
+//! - [`reading`]: when a host reads the list from the store itself.
+//! - [`tree`]: which hosts relay for others.
+//! - [`parents`]: which relay, or the orderer, a host syncs with.
 
 pub mod departed;
 pub mod member;
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -1,38 +1,40 @@
-//! Which host a host asks: a relay, or the orderer itself.
+//! Choice of the parent of a host in the relay tree: a relay or the orderer itself.
 
 use crate::group::{Member, Tree};
 use crate::prelude::*;
 
-/// Most relays that a host tries before it asks the orderer itself.
+/// Most relays that a host tries before it syncs with the orderer itself.
 pub const MAX_RELAYS: usize = 2;
-/// How long a relay that did not answer is passed over: the group drops a host that is gone within that time.
+/// How long a relay is skipped after it did not answer, or another one preferred after its state
+/// was stale. The group removes a host that is down within that time.
 const FAILED_MS: Millis = Millis(3_000);
-/// How old the orderer's word may be at a relay before another one is asked: several of the intervals at which relays
-/// speak with the orderer.
+/// The age from which the orderer's state at a relay counts as stale, so that another relay is
+/// preferred: several intervals between syncs of a relay with the orderer.
 pub const STALE_MS: Millis = Millis(1_200);
 
-/// Which host is to be asked.
+/// The host to sync with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parent {
-    /// A relay.
+    /// A relay of this host's data centre.
     Relay(Member),
-    /// The orderer.
+    /// The orderer, without a relay.
     Orderer,
 }
 
-/// What this host knows of its relays.
+/// Recent results of this host's syncs with its relays.
 #[derive(Clone, Debug, Default)]
 pub struct Parents {
-    /// Until when relays are passed over that did not answer.
+    /// When relays that did not answer are tried again, by incarnation.
     failed_until: IndexMap<u64, Millis>,
-    /// Until when others are preferred to relays of which the word was old.
+    /// Until when relays whose state was stale come after others, by incarnation.
     stale_until: IndexMap<u64, Millis>,
     answered_at: Option<Millis>,
 }
 
 impl Parents {
-    /// Chooses the host to ask. A relay with an old word is still better than the orderer itself: while no host orders,
-    /// all relays' words are old, and hundreds of hosts would turn to one that is lost.
+    /// Chooses the host to sync with. A relay with stale state is preferred to the orderer: while no
+    /// host acts as orderer the state of all relays is stale, and hundreds of hosts would otherwise
+    /// connect to an orderer that is down.
     pub fn choose(&self, now: Millis, tree: &Tree, me: &Member) -> Parent {
         let relays = tree.relays_of(me).into_iter().take(MAX_RELAYS);
         let is_until = |times: &IndexMap<u64, Millis>, relay: &Member| {
@@ -52,19 +54,20 @@
         }
     }
 
-    /// Tells whether a relay did not answer a moment ago.
+    /// Returns whether a relay recently failed to answer and has not answered since.
     pub fn has_failed(&self, now: Millis, relay: &Member) -> bool {
         let until = self.failed_until.get(&relay.incarnation);
         until.is_some_and(|until| now < *until)
     }
 
-    /// Takes note that a relay did not answer, or said that it is none.
+    /// Records that a relay did not answer, or answered that it is not a relay.
     pub fn note_failed(&mut self, now: Millis, relay: &Member) {
         self.failed_until.retain(|_, until| now < *until);
         self.failed_until.insert(relay.incarnation, now + FAILED_MS);
     }
 
-    /// Takes note of a relay's answer with a word of the orderer of this age, or without any.
+    /// Records an answer of a relay. `age_ms` is the age of the orderer's state in it; `None` if the
+    /// relay has none.
     pub fn note_answered(&mut self, now: Millis, relay: &Member, age_ms: Option<Millis>) {
         self.answered_at = Some(now);
         self.failed_until.swap_remove(&relay.incarnation);
@@ -74,7 +77,8 @@
         }
     }
 
-    /// Tells whether a relay answered a moment ago: it looks for the orderer in this host's place.
+    /// Returns whether a relay answered within [`STALE_MS`]. If so, the relay looks for the orderer on
+    /// this host's behalf.
     pub fn has_answered(&self, now: Millis) -> bool {
         self.answered_at.is_some_and(|at| now.since(at) < STALE_MS)
     }
--- a/src/group/reading.rs
+++ b/src/group/reading.rs
@@ -1,62 +1,66 @@
-//! When a host reads the group itself.
+//! Decides when a host reads the member list from the store itself.
 //!
-//! Answers the pattern of hundreds of hosts that start at once: each of them changes the group, and each read returns the names of
-//! all. A host that the group does not list yet is accepted by none of the others, whatever it reads; and one that hears the
-//! orderer is told.
+//! When hundreds of hosts start at once, each of them changes the list, and each read returns the
+//! names of all hosts, so reads are kept rare. A host that is not listed yet gains little from a
+//! read, since no other host accepts its calls. A host in contact with the orderer gets the changes
+//! from it.
 
 use crate::prelude::*;
 
-/// How soon after its last read the orderer reads a group that has changed, since the others get the changes from it, and
-/// how soon hosts of a small group do that refused one which is not listed yet, or that start.
+/// Shortest time between two reads of a changed list. It applies to the orderer, from which the
+/// other hosts get the changes, and in a small group also to hosts that are starting, and to hosts
+/// that refused a host because it was not listed yet.
 pub const SOON_READ_MS: Millis = Millis(500);
-/// How often a host reads that hears of no orderer.
+/// Interval between reads of a host without contact with an orderer.
 const READ_MS: Millis = Millis(1_800);
-/// How often a host reads that hears of no orderer and is not listed.
+/// The same for a host that is not listed while hundreds of others may not be listed either.
 const UNLISTED_READ_MS: Millis = Millis(4_000);
-/// How long a host that hears the orderer waits for news of a change.
+/// How long a host in contact with the orderer waits to be sent a change before it reads the list.
 const TOLD_WITHIN_MS: Millis = Millis(4_000);
-/// The same for a relay, so that its hosts hear of it.
+/// The same for a relay; shorter, so that it can pass the change on to its hosts.
 const RELAY_TOLD_WITHIN_MS: Millis = Millis(2_500);
-/// For how many listed hosts a read may come after [`SOON_READ_MS`]; with more it waits longer in proportion, up to the time
-/// after which processes before the listed ones have lapsed.
+/// Number of listed hosts up to which reads may follow each other after [`SOON_READ_MS`]. With more
+/// hosts the interval grows in proportion, up to [`READ_MS`], by which time the entries of the
+/// processes that ran before a restart have lapsed.
 const SOON_READ_HOSTS: usize = 100;
-/// Up to so many listed hosts, those that are not listed do no harm when all of them ask others and read the group.
+/// Number of listed hosts up to which all hosts that are not listed yet may call other hosts and
+/// read the list without causing overload.
 const FEW_HOSTS: usize = 200;
 
-/// What decides about a read of a group that has changed.
+/// The conditions on which a read of a changed list depends.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadCase {
-    /// How long ago the list known here was read, told or confirmed.
+    /// Time since this host's list was read, updated or confirmed; `None` if it has none yet.
     pub known_ms: Option<Millis>,
-    /// For how long it has been older than the group.
+    /// For how long this host's list has been older than the one on the store.
     pub behind_ms: Millis,
-    /// How many hosts it has.
+    /// Number of hosts in this host's list.
     pub listed: usize,
-    /// Whether the group lists this host.
+    /// Whether the list on the store has this host.
     pub is_listed: bool,
-    /// Whether this host started a moment ago.
+    /// Whether this host started within the last few seconds.
     pub is_new: bool,
-    /// Whether this host refused one that it does not list.
+    /// Whether this host refused a call since the last check because its list lacks the caller.
     pub has_refused: bool,
-    /// What this host is to the others.
+    /// This host's role in the relay tree.
     pub role: Role,
 }
 
-/// What a host is to the others.
+/// The role of a host in the relay tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It orders.
+    /// It is the orderer.
     Orderer,
-    /// It hears the orderer and relays.
+    /// It is in contact with the orderer and relays for other hosts.
     Relay,
-    /// It hears the orderer.
+    /// It is in contact with the orderer, directly or through a relay, and relays for none.
     Follower,
-    /// It hears of no orderer.
+    /// It has no contact with an orderer.
     Alone,
 }
 
 impl ReadCase {
-    /// Tells whether to read now.
+    /// Returns whether the host reads the list now.
     pub fn is_due(&self) -> bool {
         let Some(known_ms) = self.known_ms else {
             return true;
@@ -82,12 +86,13 @@
     }
 }
 
-/// Tells whether hundreds of hosts may not be listed yet beside these: the group has just its first host, or is large.
+/// Returns whether hundreds of running hosts may not be listed yet: either the list has at most one
+/// host, so the group is just forming, or it is large.
 pub fn is_begun_or_large(listed: usize) -> bool {
     listed <= 1 || listed > FEW_HOSTS
 }
 
-/// Returns how soon after its last read a host reads a group of so many hosts that it wants soon.
+/// Returns the shortest time between two reads of a list with `listed` hosts.
 pub fn soon_read_ms(listed: usize) -> Millis {
     let hundreds = listed.div_ceil(SOON_READ_HOSTS).max(1) as u64;
     Millis(SOON_READ_MS.0 * hundreds).min(READ_MS)
--- a/src/group/tests.rs
+++ b/src/group/tests.rs
@@ -1,4 +1,4 @@
-//! The list of hosts and the tree of relays, without network.
+//! Tests of the member list and the relay tree; they do no I/O.
 
 mod members;
 mod parents;
--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -1,11 +1,12 @@
-//! Whatever is lost, late or read in between, a host that takes another one's news has the list that this one had.
+//! Updates of the member list: after an applied update the receiver has the sender's list, whatever
+//! updates are lost, late or overtaken by the receiver's own reads.
 
 use crate::group::members::MembersNews;
 use crate::group::{Member, Members};
 use crate::prelude::*;
 use crate::test_support::{member, seeded};
 
-/// The group on the platform's store.
+/// The member list on the platform's store.
 #[derive(Default)]
 struct Group {
     generation: u64,
@@ -16,7 +17,7 @@
 impl Group {
     fn join(&mut self) {
         self.next += 1;
-        // Incarnations are random; what matters is that no two are equal.
+        // Stands for a random incarnation; no two are equal.
         let incarnation = self.next.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         self.list.insert(member(incarnation, "here", 120));
         self.generation += 1;
@@ -32,113 +33,133 @@
     }
 }
 
-fn same(a: &Members, b: &IndexSet<Member>) -> bool {
-    a.iter().cloned().collect::<IndexSet<_>>() == *b
+fn has_list(members: &Members, list: &IndexSet<Member>) -> bool {
+    members.iter().cloned().collect::<IndexSet<_>>() == *list
 }
 
 #[test]
-fn a_host_that_takes_news_has_the_list_of_the_host_that_told_it() {
-    let taken = seeded(300, |u| {
+fn after_an_applied_update_the_receiver_has_the_senders_list() {
+    let applied = seeded(300, |u| {
         let mut group = Group::default();
         (0..5).for_each(|_| group.join());
-        let (mut teller, mut host) = (Members::default(), Members::default());
-        group.read(Millis(1), &mut teller);
+        let (mut sender, mut host) = (Members::default(), Members::default());
+        group.read(Millis(1), &mut sender);
         group.read(Millis(1), &mut host);
-        let mut told = group.list.clone();
-        let mut under_way = Vec::new();
-        let mut taken = 0;
+        let mut sender_list = group.list.clone();
+        let mut in_flight = Vec::new();
+        let mut applied = 0;
         for step in 0..200 {
             let now = Millis(10 + step);
             match u.int_in_range(0..=9u8)? {
                 0..=2 => group.join(),
                 3 | 4 if group.list.len() > 1 => group.leave(u.arbitrary()?),
                 5 | 6 => {
-                    group.read(now, &mut teller);
-                    told = group.list.clone();
+                    group.read(now, &mut sender);
+                    sender_list = group.list.clone();
                 }
-                7 => under_way.push((teller.news_since(host.generation()), told.clone())),
-                8 if !under_way.is_empty() => {
-                    let nth = u.choose_index(under_way.len())?;
-                    let (news, list) = under_way.swap_remove(nth);
-                    if let Some(news) = news
-                        && host.apply(now, news).is_some()
+                7 => in_flight.push((sender.news_since(host.generation()), sender_list.clone())),
+                8 if !in_flight.is_empty() => {
+                    let nth = u.choose_index(in_flight.len())?;
+                    let (update, list) = in_flight.swap_remove(nth);
+                    if let Some(update) = update
+                        && host.apply(now, update).is_some()
                     {
-                        assert!(same(&host, &list), "it took the news and has another list");
-                        taken += 1;
+                        assert!(
+                            has_list(&host, &list),
+                            "the applied update gave another list than the sender's"
+                        );
+                        applied += 1;
                     }
                 }
-                // It was refused, and read the group itself.
+                // The host reads the list from the store itself, as after a refused call.
                 9 if u.int_in_range(0..=3u8)? == 0 => group.read(now, &mut host),
                 _ => {}
             }
         }
-        Ok(taken)
+        Ok(applied)
     });
-    let sum: usize = taken.iter().sum();
-    assert!(sum > 300, "only {sum} news were taken");
+    let sum: usize = applied.iter().sum();
+    assert!(sum > 300, "only {sum} updates were applied");
 }
 
+/// Guards against changes applied to a list older than the one from which they start.
 #[test]
-fn a_host_that_was_away_for_long_is_not_led_on_by_changes_that_begin_later() {
+fn changes_that_start_after_the_receivers_list_are_rejected() {
     let mut group = Group::default();
     (0..3).for_each(|_| group.join());
-    let (mut teller, mut host) = (Members::default(), Members::default());
-    group.read(Millis(1), &mut teller);
+    let (mut sender, mut host) = (Members::default(), Members::default());
+    group.read(Millis(1), &mut sender);
     group.read(Millis(1), &mut host);
     for step in 0..100 {
         group.join();
-        group.read(Millis(2 + step), &mut teller);
+        group.read(Millis(2 + step), &mut sender);
     }
-    let news = teller.news_since(host.generation()).expect("it knows more");
+    let update = sender
+        .news_since(host.generation())
+        .expect("the sender's list is newer");
     let later = MembersNews {
-        changes: teller.news_since(90).expect("it knows more").changes,
+        changes: sender
+            .news_since(90)
+            .expect("the sender's list is newer")
+            .changes,
         whole: None,
-        ..news.clone()
+        ..update.clone()
     };
     assert!(host.apply(Millis(200), later).is_none());
-    assert_eq!(host.count(), 3, "its list stands until it knows the whole");
-    host.apply(Millis(200), news);
-    assert!(same(&host, &group.list));
+    assert_eq!(
+        host.count(),
+        3,
+        "the list stays as it is until the full list arrives"
+    );
+    host.apply(Millis(200), update);
+    assert!(has_list(&host, &group.list));
 }
 
-/// Guards against a host whose list differs from the one that changes are told of, and that no change leads on.
+/// Guards against a host that can apply no update any more: its list has a host that joined and left
+/// between two reads of the sender, so that no change removes it.
 #[test]
-fn a_host_that_news_do_not_lead_on_is_told_the_whole_list() {
+fn a_host_whose_update_fails_verification_gets_the_full_list() {
     let mut group = Group::default();
     (0..3).for_each(|_| group.join());
-    let (mut teller, mut host) = (Members::default(), Members::default());
-    group.read(Millis(1), &mut teller);
-    // It reads while a host is listed that the teller never sees.
+    let (mut sender, mut host) = (Members::default(), Members::default());
+    group.read(Millis(1), &mut sender);
+    // The host reads while a member is listed that the sender never sees.
     group.join();
     group.read(Millis(2), &mut host);
     group.leave(3);
     group.join();
-    group.read(Millis(3), &mut teller);
-    let news = teller.news_since(host.wants_from()).expect("it knows more");
-    assert!(host.apply(Millis(4), news).is_none());
-    let news = teller.news_since(host.wants_from()).expect("it knows more");
-    assert!(host.apply(Millis(5), news).is_some());
-    assert!(same(&host, &group.list));
-    let news = teller
+    group.read(Millis(3), &mut sender);
+    let update = sender
+        .news_since(host.wants_from())
+        .expect("the sender's list is newer");
+    assert!(host.apply(Millis(4), update).is_none());
+    let update = sender
         .news_since(host.wants_from())
-        .expect("it knows as much");
-    assert_eq!(news.whole, None, "it is told the whole once");
+        .expect("the sender's list is newer");
+    assert!(host.apply(Millis(5), update).is_some());
+    assert!(has_list(&host, &group.list));
+    let update = sender
+        .news_since(host.wants_from())
+        .expect("the sender's list is as new");
+    assert_eq!(update.whole, None, "the full list is sent only once");
 }
 
-/// Guards against a host that takes nothing from others before it has read the group itself.
+/// Guards against a host that cannot take the list from another host before it has read the store.
 #[test]
-fn a_host_that_knows_no_list_yet_takes_the_whole() {
+fn a_host_without_a_list_accepts_the_full_list() {
     let mut group = Group::default();
     (0..3).for_each(|_| group.join());
-    let (mut teller, mut host) = (Members::default(), Members::default());
-    group.read(Millis(1), &mut teller);
-    let news = teller.news_since(host.wants_from()).expect("it knows more");
-    assert!(host.apply(Millis(2), news).is_some());
-    assert!(same(&host, &group.list));
+    let (mut sender, mut host) = (Members::default(), Members::default());
+    group.read(Millis(1), &mut sender);
+    let update = sender
+        .news_since(host.wants_from())
+        .expect("the sender's list is newer");
+    assert!(host.apply(Millis(2), update).is_some());
+    assert!(has_list(&host, &group.list));
 }
 
 #[test]
-fn a_release_that_does_not_say_how_much_processor_it_has_is_read() {
+fn a_member_text_without_cpu_capacity_is_parsed() {
     let newer = member(7, "here", 500);
     let older = newer.to_text();
     let older = older.rsplit_once(';').expect("several parts").0;
@@ -159,7 +180,7 @@
 }
 
 #[test]
-fn a_host_that_left_the_list_counts_until_it_admits_nothing_any_more() {
+fn a_host_that_left_the_list_is_counted_while_it_may_still_admit_requests() {
     let mut members = Members::default();
     let start = Millis(1_000_000);
     members.note_heard(start);
@@ -174,11 +195,11 @@
 }
 
 #[test]
-fn a_host_that_restarts_counts_once() {
+fn a_restarted_host_is_counted_once() {
     let mut members = Members::default();
     let start = Millis(1_000_000);
     members.note_heard(start);
-    // The low sixteen bits of the incarnation are the test hosts' port.
+    // The port of a test host is the low 16 bits of its incarnation, so this one has host 1's address.
     let restarted = 1 + (1 << 16);
     members.replace(start, 1, listed(&[1, 2]));
     members.replace(start, 2, listed(&[1, 2, restarted]));
@@ -192,7 +213,7 @@
 }
 
 #[test]
-fn a_host_that_reaches_nobody_stops_before_the_others_forget_it() {
+fn an_isolated_host_stops_admitting_before_the_others_stop_counting_it() {
     let mut cut_off = Members::default();
     let mut other = Members::default();
     let start = Millis(1_000_000);
--- a/src/group/tests/parents.rs
+++ b/src/group/tests/parents.rs
@@ -1,4 +1,4 @@
-//! A host goes around relays that are gone, that are none, and that hear nothing of the orderer.
+//! Choice of the parent when relays are down or have no current state of the orderer.
 
 use crate::group::parents::{Parent, Parents};
 use crate::group::{Member, Tree};
@@ -15,7 +15,7 @@
 }
 
 impl Site {
-    /// Hosts of one data centre, of which several relay for the last one.
+    /// Makes 64 hosts of one data centre, of which at least three relay for the last one.
     fn new() -> Self {
         let hosts: Vec<Member> = (1..=64).map(|n| member(n, "here", 100)).collect();
         let tree = Tree::new(hosts.iter());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_host_asks_its_next_relay_when_one_is_gone_and_the_orderer_when_two_are() {
+fn a_host_syncs_with_its_next_relay_when_one_fails_and_with_the_orderer_when_two_fail() {
     let mut site = Site::new();
     let (first, second) = (site.relay(0), site.relay(1));
     assert_eq!(site.choose(NOW), Parent::Relay(first.clone()));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_host_prefers_a_relay_that_hears_the_orderer() {
+fn a_host_prefers_a_relay_with_current_state_of_the_orderer() {
     let mut site = Site::new();
     let (first, second) = (site.relay(0), site.relay(1));
     site.parents.note_answered(NOW, &first, Some(Millis(5_000)));
@@ -59,9 +59,9 @@
     assert_eq!(site.choose(NOW), Parent::Relay(second));
 }
 
-/// Hundreds of hosts that all turned to an orderer that is lost would each open a connection in vain.
+/// Guards against hundreds of hosts that all try to connect to an orderer that is down.
 #[test]
-fn while_no_host_orders_a_host_stays_with_its_relays() {
+fn without_an_orderer_a_host_stays_with_its_relays() {
     let mut site = Site::new();
     let (first, second) = (site.relay(0), site.relay(1));
     site.parents.note_answered(NOW, &first, None);
--- a/src/group/tests/reading.rs
+++ b/src/group/tests/reading.rs
@@ -1,9 +1,9 @@
-//! When a host reads the group itself.
+//! When a host reads the member list from the store itself.
 
 use crate::group::reading::{ReadCase, Role, soon_read_ms};
 use crate::prelude::*;
 
-/// A host that started a moment ago, in a group of the whole site.
+/// Returns the conditions of a host that started a moment ago, in a large site.
 fn starting() -> ReadCase {
     ReadCase {
         known_ms: Some(Millis(1_900)),
@@ -16,17 +16,17 @@
     }
 }
 
-/// Guards against a group that hundreds of hosts which start read each half second, each the names of all.
+/// Guards against hundreds of starting hosts that each read the names of all hosts every half second.
 #[test]
-fn a_large_group_is_read_less_often_by_hosts_that_start() {
+fn starting_hosts_read_a_large_group_less_often() {
     let paces = [1, 100, 101, 300, 985, 2_000].map(soon_read_ms);
     let expected = [500, 500, 1_000, 1_500, 1_800, 1_800].map(Millis);
     assert_eq!(paces, expected);
 }
 
-/// Guards against reads of the whole group by hundreds of hosts that start and that no host accepts yet.
+/// Guards against reads of the list by hundreds of starting hosts that no other host accepts yet.
 #[test]
-fn a_host_that_the_group_does_not_list_seldom_reads_it() {
+fn a_host_that_is_not_listed_rarely_reads_a_large_group() {
     let unlisted = ReadCase {
         is_listed: false,
         ..starting()
@@ -44,9 +44,10 @@
     assert!(first.is_due() && later.is_due());
 }
 
-/// Guards against a site of some dozen hosts that takes half a second longer to serve after all were killed.
+/// Guards against a site of a few dozen hosts that takes half a second longer to serve after all its
+/// hosts were killed.
 #[test]
-fn a_host_that_a_small_group_does_not_list_reads_it_as_soon_as_one_that_it_lists() {
+fn in_a_small_group_a_host_that_is_not_listed_reads_as_often_as_a_listed_one() {
     let restarted = |listed| ReadCase {
         known_ms: Some(Millis(1_000)),
         listed,
@@ -57,9 +58,9 @@
     assert_eq!(are_due, [false, true, true, true, false, false]);
 }
 
-/// Guards against reads of the whole group by relays that refuse hosts which the orderer will tell them of.
+/// Guards against reads of the list by relays that refused hosts of which the orderer will inform them.
 #[test]
-fn a_relay_that_is_told_of_changes_does_not_read_for_each_host_that_it_refused() {
+fn a_relay_in_contact_with_the_orderer_does_not_read_for_each_host_that_it_refused() {
     let relay = ReadCase {
         known_ms: Some(Millis(600)),
         behind_ms: Millis(600),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn an_orderer_reads_a_group_that_changed_twice_a_second() {
+fn the_orderer_reads_a_changed_list_twice_a_second() {
     let orderer = ReadCase {
         known_ms: Some(Millis(500)),
         role: Role::Orderer,
--- a/src/group/tests/tree.rs
+++ b/src/group/tests/tree.rs
@@ -1,11 +1,12 @@
-//! The tree keeps the busiest host's work small at every size, and every host works out the same one.
+//! The relay tree bounds the load of the busiest host at every site size, and every host derives the
+//! same tree.
 
 use crate::group::tree::DIRECT_HOSTS;
 use crate::group::{Member, Tree};
 use crate::prelude::*;
 use crate::test_support::{member, seeded};
 
-/// Hosts of six data centres, every tenth of each large.
+/// Makes hosts of six data centres; every tenth host of each has a high CPU capacity.
 fn site(hosts: u64) -> Vec<Member> {
     let host = |n: u64| {
         let incarnation = (n + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn in_a_small_site_every_host_speaks_with_the_orderer() {
+fn in_a_small_site_every_host_syncs_with_the_orderer() {
     let site = site(DIRECT_HOSTS as u64);
     let tree = Tree::new(site.iter());
     assert_eq!(tree.direct_hosts(), DIRECT_HOSTS);
@@ -35,10 +36,10 @@
     assert!(!site.iter().any(|host| tree.is_relay(host.incarnation)));
 }
 
-/// Answers the growth of the busiest host's connections with the number of hosts. The bound is that of the aim: at most
-/// 400 connections at 864 hosts, of which the two levels may take a quarter.
+/// Guards against connections of the busiest host that grow in proportion to the number of hosts. The
+/// required bound is 400 connections at 864 hosts, of which the two levels may use a quarter.
 #[test]
-fn the_busiest_host_speaks_with_few_others_at_any_size() {
+fn the_busiest_host_has_few_connections_at_any_site_size() {
     for hosts in [25, 86, 195, 300, 864, 1_000] {
         let site = site(hosts);
         let tree = Tree::new(site.iter());
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn large_hosts_relay_for_the_hosts_of_their_data_centre() {
+fn hosts_with_high_cpu_capacity_relay_for_their_data_centre() {
     let site = site(195);
     let tree = Tree::new(site.iter());
     for host in &site {
@@ -62,9 +63,10 @@
 }
 
 #[test]
-fn every_host_works_out_the_same_tree_and_a_lost_relay_moves_only_its_own_hosts() {
+fn every_host_derives_the_same_tree_and_a_lost_relay_moves_only_its_own_hosts() {
     seeded(50, |u| {
-        // Sizes at which one host less changes no data centre's number of relays by more than the host itself.
+        // At square sizes, the loss of one host changes the number of relays of a data centre by no
+        // more than that host.
         let mut site = site(u.int_in_range(6..=16u64)?.pow(2));
         let before = Tree::new(site.iter());
         let mut shuffled = site.clone();
@@ -84,7 +86,7 @@
         for host in site.iter().filter(|host| !after.is_relay(host.incarnation)) {
             let (was, is) = (before.relays_of(host), after.relays_of(host));
             let came = is.iter().filter(|relay| !was.contains(relay)).count();
-            assert!(came <= 1, "one relay comes for the one that is lost");
+            assert!(came <= 1, "at most one relay replaces the lost one");
             if was.first() != Some(&&lost) && came == 0 {
                 assert_eq!(was.first(), is.first());
             }
--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -1,39 +1,43 @@
-//! Which hosts speak with the orderer, and which speak with it through one of these.
+//! The relay tree: which hosts sync with the orderer directly, and which through a relay.
 //!
-//! Answers the pattern of hundreds of hosts that all tell one host what their callers ask and hear from it what
-//! engines hold. At 195 hosts the orderer heard each of them every 2.3 s only, forgot their work in between, and had
-//! a connection, its memory and its bytes for each. With relays it hears of every host each half second at the
-//! latest, from 18 of them.
+//! Every host reports its callers' demand to the orderer and gets from it what the engines hold.
+//! Without relays, at 195 hosts, the orderer could sync with each of them only every 2.3 s, its
+//! record of their work expired in between, and it needed a connection with its memory and traffic
+//! for each of them. With relays it gets reports on every host at least every 0.5 s from 18 relays.
 //!
-//! Every host works the tree out from the group's list alone, so there is no vote. Lists differ for a moment while
-//! hosts come and go: a host that is asked as a relay and is none by its own list says so, and the asker goes on to
-//! another one or to the orderer.
+//! Every host derives the tree from the member list alone, so no election is needed. Lists differ
+//! for a moment while hosts join and leave: a host that is called as a relay and is none by its own
+//! list answers so, and the caller tries another relay or the orderer.
 
 use crate::group::Member;
 use crate::prelude::*;
 use crate::rendezvous;
 use std::cmp::Reverse;
 
-/// Up to so many hosts each speaks with the orderer itself: the orderer's work for each of them is small.
+/// Number of hosts in a site up to which all of them sync with the orderer directly; its work for
+/// that many is small.
 pub const DIRECT_HOSTS: usize = 24;
-/// Up to so many hosts that speak with the same one its work for them is small; with more of them intervals grow.
+/// Number of hosts that may sync with the same host at the shortest interval; with more, the
+/// interval grows in proportion.
 const EXCHANGING_HOSTS: usize = 24;
-/// Most hosts that may add up in turn: two of them may be lost with the orderer.
+/// Number of collectors, of which one is active at a time: two may fail together with the orderer.
 const MAX_COLLECTORS: usize = 3;
 
 /// The relays of a site.
 #[derive(Clone, Debug, Default)]
 pub struct Tree {
-    /// By data centre, so that little goes between data centres.
+    /// The relays by data centre; a host uses relays of its own data centre, so that little traffic
+    /// crosses between data centres.
     relays: IndexMap<Name, Vec<Member>>,
-    /// Adds up what hosts count while nobody orders; the next ones in its place.
+    /// The hosts that may aggregate counts while there is no orderer: the first one that answers
+    /// does so, the others are its successors.
     collectors: Vec<Member>,
     hosts: usize,
 }
 
 impl Tree {
-    /// Works out the tree of a list of hosts. A relay has about as many hosts as the orderer has relays, which keeps the
-    /// busiest host's work as small as two levels allow.
+    /// Derives the tree from a list of hosts. A relay has about as many hosts as the orderer has
+    /// relays, which keeps the load of the busiest host as small as two levels allow.
     pub fn new<'a>(members: impl Iterator<Item = &'a Member>) -> Self {
         let mut by_data_centre: IndexMap<Name, Vec<Member>> = IndexMap::new();
         let mut hosts = 0;
@@ -61,13 +65,14 @@
         }
     }
 
-    /// Tells whether a host relays for others.
+    /// Returns whether the host with this incarnation is a relay.
     pub fn is_relay(&self, incarnation: u64) -> bool {
         let mut relays = self.relays.values().flatten();
         relays.any(|relay| relay.incarnation == incarnation)
     }
 
-    /// Returns the relays of a host, the one to ask first at the front; none when it speaks with the orderer itself.
+    /// Returns the relays of a host in the order in which it tries them; empty if it syncs with the
+    /// orderer directly.
     pub fn relays_of(&self, host: &Member) -> Vec<&Member> {
         if self.is_relay(host.incarnation) {
             return Vec::new();
@@ -79,13 +84,14 @@
         relays
     }
 
-    /// Returns the hosts that add up what others count while nobody orders, the first one that answers for all: relays,
-    /// where there are any, that can do most for others.
+    /// Returns the hosts that may aggregate the counts of all hosts while there is no orderer; the
+    /// first one that answers does. They are the relays, or without relays the hosts, with the most
+    /// CPU capacity.
     pub fn collectors(&self) -> &[Member] {
         &self.collectors
     }
 
-    /// Returns how many hosts speak with the orderer.
+    /// Returns the number of hosts that sync with the orderer directly.
     pub fn direct_hosts(&self) -> usize {
         match self.relays.values().map(Vec::len).sum() {
             0 => self.hosts,
@@ -93,8 +99,9 @@
         }
     }
 
-    /// Returns by which factor the intervals are longer at which a host speaks with its relay, or, where `is_direct`, with the
-    /// orderer: the work of the one that is asked stays the same.
+    /// Returns the factor, at least 1, by which a host lengthens the interval between its syncs with
+    /// its relay or, if `is_direct`, with the orderer, so that the load of the called host does not
+    /// grow with the number of hosts.
     pub fn interval_factor(&self, is_direct: bool) -> u64 {
         let beside = match is_direct {
             true => self.direct_hosts(),
@@ -103,7 +110,7 @@
         beside.div_ceil(EXCHANGING_HOSTS).max(1) as u64
     }
 
-    /// Returns how many hosts a relay has on average.
+    /// Returns the average number of hosts per relay, rounded up.
     pub fn hosts_a_relay(&self) -> usize {
         self.hosts.div_ceil(self.direct_hosts().max(1))
     }
