--- a/src/group/departed.rs
+++ b/src/group/departed.rs
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 
 /// How long a host is counted as serving after it left the list, unless a process at its address is
-/// listed again. Longer than [`ALONE_MS`], during which an isolated host continues to admit
+/// listed again. Longer than [`ISOLATED_ADMIT_MS`], during which an isolated host continues to admit
 /// requests, and longer than the list takes to drop a host.
-const MAY_SERVE_MS: Millis = Millis(28_000);
+const DEPARTED_SERVE_MS: Millis = Millis(28_000);
 /// How long a host admits requests under its share of a limit after its last contact with the store
 /// or, directly or through a relay, the orderer.
-pub const ALONE_MS: Millis = Millis(20_000);
+pub const ISOLATED_ADMIT_MS: Millis = Millis(20_000);
 
 /// The times at which hosts left the list, by caller address.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
     /// Records a change of the list. A restarted process is listed under its former address.
     pub fn note(&mut self, now: Millis, change: &MembersChange) {
         self.left_at
-            .retain(|_, left_at| now.since(*left_at) < MAY_SERVE_MS);
+            .retain(|_, left_at| now.since(*left_at) < DEPARTED_SERVE_MS);
         for member in &change.left {
             self.left_at.insert(member.caller_address, now);
         }
@@ -39,7 +39,7 @@
     /// Returns the number of hosts that may still serve and are not in `listed`.
     pub fn count(&self, now: Millis, listed: &IndexSet<SocketAddr>) -> usize {
         let may_serve = |(address, left_at): &(&SocketAddr, &Millis)| {
-            now.since(**left_at) < MAY_SERVE_MS && !listed.contains(*address)
+            now.since(**left_at) < DEPARTED_SERVE_MS && !listed.contains(*address)
         };
         self.left_at.iter().filter(may_serve).count()
     }
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -6,7 +6,7 @@
 //! receive anyway. In a site of 195 hosts a restart costs two reads of the list instead of 195.
 
 use crate::group::Member;
-use crate::group::departed::{ALONE_MS, Departed};
+use crate::group::departed::{Departed, ISOLATED_ADMIT_MS};
 use crate::prelude::*;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 /// full list. Hosts get updates at least every 0.5 s, and the list is read once a second.
 const MAX_CHANGES: usize = 32;
 /// The generation that a host sends to request the full list.
-const WHOLE: u64 = 0;
+const FULL_LIST_GENERATION: u64 = 0;
 
 /// The difference between two successive reads of the list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -57,11 +57,11 @@
     generation: u64,
     list: IndexSet<Member>,
     changes: VecDeque<MembersChange>,
-    known_at: Option<Millis>,
+    confirmed_at: Option<Millis>,
     /// Whether the last update failed verification, so that the full list is needed.
-    wants_whole: bool,
+    needs_full_list: bool,
     /// When the store or the orderer last answered.
-    heard_at: Option<Millis>,
+    contact_at: Option<Millis>,
     /// The caller addresses of the listed hosts, without duplicates: after a restart both processes
     /// of a host may be listed for a moment.
     addresses: IndexSet<SocketAddr>,
@@ -88,14 +88,14 @@
     /// listed ones and those that left recently. Returns `None` if the list is not known yet, or if
     /// this host had no contact for so long that the others may no longer count it.
     pub fn count_serving(&self, now: Millis) -> Option<usize> {
-        let heard_at = self.known_at.and(self.heard_at)?;
-        let is_counted = now.since(heard_at) < ALONE_MS;
+        let contact_at = self.confirmed_at.and(self.contact_at)?;
+        let is_counted = now.since(contact_at) < ISOLATED_ADMIT_MS;
         is_counted.then(|| self.addresses.len() + self.departed.count(now, &self.addresses))
     }
 
     /// Records that the store or the orderer answered, so that the others count this host.
     pub fn note_heard(&mut self, now: Millis) {
-        self.heard_at = Some(now);
+        self.contact_at = Some(now);
     }
 
     /// Returns the generation of the list; zero before it is known.
@@ -105,15 +105,15 @@
 
     /// Returns the generation after which this host requests changes; zero requests the full list.
     pub fn wants_from(&self) -> u64 {
-        match self.wants_whole || self.known_at.is_none() {
-            true => WHOLE,
+        match self.needs_full_list || self.confirmed_at.is_none() {
+            true => FULL_LIST_GENERATION,
             false => self.generation,
         }
     }
 
     /// Returns when the list was last read, updated or confirmed as current.
     pub fn known_at(&self) -> Option<Millis> {
-        self.known_at
+        self.confirmed_at
     }
 
     /// Replaces the list by a full one. Returns the difference.
@@ -130,25 +130,26 @@
             left: self.list.difference(&list).cloned().collect(),
         };
         self.list = list;
-        self.keep(now, change.clone());
+        self.record_change(now, change.clone());
         change
     }
 
     /// Returns the update for a host that has the list of `generation`, also if nothing changed
     /// since. Returns `None` if this host's own list is unknown or older.
     pub fn news_since(&self, generation: u64) -> Option<MembersNews> {
-        if self.known_at.is_none() || generation > self.generation {
+        if self.confirmed_at.is_none() || generation > self.generation {
             return None;
         }
         let newer = self.changes.iter().filter(|change| change.to > generation);
         let oldest = self.changes.front().map(|change| change.from);
-        let is_led = generation == self.generation || oldest.is_some_and(|from| from <= generation);
-        let is_whole = generation == WHOLE || !is_led;
+        let changes_suffice =
+            generation == self.generation || oldest.is_some_and(|from| from <= generation);
+        let is_full = generation == FULL_LIST_GENERATION || !changes_suffice;
         Some(MembersNews {
             generation: self.generation,
             digest: digest(&self.list),
-            changes: newer.filter(|_| !is_whole).cloned().collect(),
-            whole: is_whole.then(|| self.list.iter().cloned().collect()),
+            changes: newer.filter(|_| !is_full).cloned().collect(),
+            whole: is_full.then(|| self.list.iter().cloned().collect()),
         })
     }
 
@@ -160,18 +161,21 @@
         if news.generation < self.generation {
             return None;
         }
-        if let Some(whole) = news.whole {
-            let list: IndexSet<Member> = whole.into_iter().collect();
-            let is_sound = digest(&list) == news.digest;
-            return is_sound.then(|| self.replace(now, news.generation, list));
+        if let Some(members) = news.whole {
+            let list: IndexSet<Member> = members.into_iter().collect();
+            let is_verified = digest(&list) == news.digest;
+            return is_verified.then(|| self.replace(now, news.generation, list));
         }
-        self.known_at?;
-        let own = self.generation;
+        self.confirmed_at?;
+        let generation = self.generation;
         // The usual case, several times a second: the list has not changed.
-        if news.generation == own && news.changes.is_empty() {
+        if news.generation == generation && news.changes.is_empty() {
             return self.confirm(now, news.digest);
         }
-        let newer = news.changes.into_iter().filter(|change| change.to > own);
+        let newer = news
+            .changes
+            .into_iter()
+            .filter(|change| change.to > generation);
         let mut list = self.list.clone();
         for change in newer {
             for member in &change.left {
@@ -182,18 +186,18 @@
         // If this host read its list between two reads of the sender, the list may contain hosts
         // that joined and left between those reads; the sender's changes do not mention them.
         if digest(&list) != news.digest {
-            self.wants_whole = true;
+            self.needs_full_list = true;
             return None;
         }
         Some(self.replace(now, news.generation, list))
     }
 
-    fn confirm(&mut self, now: Millis, newest: u64) -> Option<MembersChange> {
-        if digest(&self.list) != newest {
-            self.wants_whole = true;
+    fn confirm(&mut self, now: Millis, expected: u64) -> Option<MembersChange> {
+        if digest(&self.list) != expected {
+            self.needs_full_list = true;
             return None;
         }
-        self.known_at = Some(now);
+        self.confirmed_at = Some(now);
         Some(MembersChange {
             from: self.generation,
             to: self.generation,
@@ -201,9 +205,9 @@
         })
     }
 
-    fn keep(&mut self, now: Millis, change: MembersChange) {
-        self.wants_whole = false;
-        self.known_at = Some(now);
+    fn record_change(&mut self, now: Millis, change: MembersChange) {
+        self.needs_full_list = false;
+        self.confirmed_at = Some(now);
         self.addresses = self.list.iter().map(|host| host.caller_address).collect();
         self.departed.note(now, &change);
         self.generation = change.to;
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -7,7 +7,7 @@
 pub const MAX_RELAYS: usize = 2;
 /// How long a relay is skipped after it did not answer, or another one preferred after its state
 /// was stale. The group removes a host that is down within that time.
-const FAILED_MS: Millis = Millis(3_000);
+const RELAY_RETRY_MS: Millis = Millis(3_000);
 /// The age from which the orderer's state at a relay counts as stale, so that another relay is
 /// preferred: several intervals between syncs of a relay with the orderer.
 pub const STALE_MS: Millis = Millis(1_200);
@@ -37,18 +37,18 @@
     /// connect to an orderer that is down.
     pub fn choose(&self, now: Millis, tree: &Tree, me: &Member) -> Parent {
         let relays = tree.relays_of(me).into_iter().take(MAX_RELAYS);
-        let is_until = |times: &IndexMap<u64, Millis>, relay: &Member| {
+        let is_pending = |times: &IndexMap<u64, Millis>, relay: &Member| {
             times
                 .get(&relay.incarnation)
                 .is_some_and(|until| now < *until)
         };
-        let alive: Vec<&Member> = relays
-            .filter(|relay| !is_until(&self.failed_until, relay))
+        let candidates: Vec<&Member> = relays
+            .filter(|relay| !is_pending(&self.failed_until, relay))
             .collect();
-        let fresh = alive
+        let current = candidates
             .iter()
-            .find(|relay| !is_until(&self.stale_until, relay));
-        match fresh.or(alive.first()) {
+            .find(|relay| !is_pending(&self.stale_until, relay));
+        match current.or(candidates.first()) {
             Some(relay) => Parent::Relay((*relay).clone()),
             None => Parent::Orderer,
         }
@@ -63,7 +63,8 @@
     /// Records that a relay did not answer, or answered that it is not a relay.
     pub fn note_failed(&mut self, now: Millis, relay: &Member) {
         self.failed_until.retain(|_, until| now < *until);
-        self.failed_until.insert(relay.incarnation, now + FAILED_MS);
+        self.failed_until
+            .insert(relay.incarnation, now + RELAY_RETRY_MS);
     }
 
     /// Records an answer of a relay. `age_ms` is the age of the orderer's state in it; `None` if the
@@ -73,7 +74,8 @@
         self.failed_until.swap_remove(&relay.incarnation);
         self.stale_until.retain(|_, until| now < *until);
         if age_ms.is_none_or(|age_ms| age_ms >= STALE_MS) {
-            self.stale_until.insert(relay.incarnation, now + FAILED_MS);
+            self.stale_until
+                .insert(relay.incarnation, now + RELAY_RETRY_MS);
         }
     }
 
--- a/src/group/reading.rs
+++ b/src/group/reading.rs
@@ -12,20 +12,20 @@
 /// that refused a host because it was not listed yet.
 pub const SOON_READ_MS: Millis = Millis(500);
 /// Interval between reads of a host without contact with an orderer.
-const READ_MS: Millis = Millis(1_800);
+const READ_INTERVAL_MS: Millis = Millis(1_800);
 /// The same for a host that is not listed while hundreds of others may not be listed either.
-const UNLISTED_READ_MS: Millis = Millis(4_000);
+const UNLISTED_READ_INTERVAL_MS: Millis = Millis(4_000);
 /// How long a host in contact with the orderer waits to be sent a change before it reads the list.
-const TOLD_WITHIN_MS: Millis = Millis(4_000);
+const MAX_UPDATE_WAIT_MS: Millis = Millis(4_000);
 /// The same for a relay; shorter, so that it can pass the change on to its hosts.
-const RELAY_TOLD_WITHIN_MS: Millis = Millis(2_500);
+const RELAY_MAX_UPDATE_WAIT_MS: Millis = Millis(2_500);
 /// Number of listed hosts up to which reads may follow each other after [`SOON_READ_MS`]. With more
-/// hosts the interval grows in proportion, up to [`READ_MS`], by which time the entries of the
-/// processes that ran before a restart have lapsed.
-const SOON_READ_HOSTS: usize = 100;
+/// hosts the interval grows in proportion, up to [`READ_INTERVAL_MS`], by which time the entries of
+/// the processes that ran before a restart have lapsed.
+const MIN_READ_INTERVAL_HOSTS: usize = 100;
 /// Number of listed hosts up to which all hosts that are not listed yet may call other hosts and
 /// read the list without causing overload.
-const FEW_HOSTS: usize = 200;
+const SMALL_GROUP_HOSTS: usize = 200;
 
 /// The conditions on which a read of a changed list depends.
 #[derive(Clone, Copy, Debug)]
@@ -65,23 +65,23 @@
         let Some(known_ms) = self.known_ms else {
             return true;
         };
-        if self.has_refused && known_ms >= soon_read_ms(self.listed) {
+        if self.has_refused && known_ms >= min_read_interval_ms(self.listed) {
             return true;
         }
         match self.role {
             Role::Orderer => known_ms >= SOON_READ_MS,
-            Role::Relay => self.behind_ms >= RELAY_TOLD_WITHIN_MS,
-            Role::Follower => self.behind_ms >= TOLD_WITHIN_MS,
-            Role::Alone => known_ms >= self.alone_read_ms(),
+            Role::Relay => self.behind_ms >= RELAY_MAX_UPDATE_WAIT_MS,
+            Role::Follower => self.behind_ms >= MAX_UPDATE_WAIT_MS,
+            Role::Alone => known_ms >= self.read_interval_without_orderer(),
         }
     }
 
-    fn alone_read_ms(&self) -> Millis {
-        let holds_back = !self.is_listed && is_begun_or_large(self.listed);
-        match (holds_back, self.is_new) {
-            (true, _) => UNLISTED_READ_MS,
-            (false, true) => soon_read_ms(self.listed),
-            (false, false) => READ_MS,
+    fn read_interval_without_orderer(&self) -> Millis {
+        let is_deferred = !self.is_listed && is_begun_or_large(self.listed);
+        match (is_deferred, self.is_new) {
+            (true, _) => UNLISTED_READ_INTERVAL_MS,
+            (false, true) => min_read_interval_ms(self.listed),
+            (false, false) => READ_INTERVAL_MS,
         }
     }
 }
@@ -89,11 +89,11 @@
 /// Returns whether hundreds of running hosts may not be listed yet: either the list has at most one
 /// host, so the group is just forming, or it is large.
 pub fn is_begun_or_large(listed: usize) -> bool {
-    listed <= 1 || listed > FEW_HOSTS
+    listed <= 1 || listed > SMALL_GROUP_HOSTS
 }
 
 /// Returns the shortest time between two reads of a list with `listed` hosts.
-pub fn soon_read_ms(listed: usize) -> Millis {
-    let hundreds = listed.div_ceil(SOON_READ_HOSTS).max(1) as u64;
-    Millis(SOON_READ_MS.0 * hundreds).min(READ_MS)
+pub fn min_read_interval_ms(listed: usize) -> Millis {
+    let hundreds = listed.div_ceil(MIN_READ_INTERVAL_HOSTS).max(1) as u64;
+    Millis(SOON_READ_MS.0 * hundreds).min(READ_INTERVAL_MS)
 }
--- a/src/group/tests/reading.rs
+++ b/src/group/tests/reading.rs
@@ -1,6 +1,6 @@
 //! When a host reads the member list from the store itself.
 
-use crate::group::reading::{ReadCase, Role, soon_read_ms};
+use crate::group::reading::{ReadCase, Role, min_read_interval_ms};
 use crate::prelude::*;
 
 /// Returns the conditions of a host that started a moment ago, in a large site.
@@ -19,9 +19,9 @@
 /// Guards against hundreds of starting hosts that each read the names of all hosts every half second.
 #[test]
 fn starting_hosts_read_a_large_group_less_often() {
-    let paces = [1, 100, 101, 300, 985, 2_000].map(soon_read_ms);
+    let intervals = [1, 100, 101, 300, 985, 2_000].map(min_read_interval_ms);
     let expected = [500, 500, 1_000, 1_500, 1_800, 1_800].map(Millis);
-    assert_eq!(paces, expected);
+    assert_eq!(intervals, expected);
 }
 
 /// Guards against reads of the list by hundreds of starting hosts that no other host accepts yet.
@@ -54,8 +54,8 @@
         is_listed: false,
         ..starting()
     };
-    let are_due = [1, 2, 73, 146, 201, 985].map(|listed| restarted(listed).is_due());
-    assert_eq!(are_due, [false, true, true, true, false, false]);
+    let due = [1, 2, 73, 146, 201, 985].map(|listed| restarted(listed).is_due());
+    assert_eq!(due, [false, true, true, true, false, false]);
 }
 
 /// Guards against reads of the list by relays that refused hosts of which the orderer will inform them.
@@ -74,12 +74,12 @@
         ..relay
     };
     assert!(small.is_due());
-    let untold = ReadCase {
+    let outdated = ReadCase {
         behind_ms: Millis(2_500),
         has_refused: false,
         ..relay
     };
-    assert!(untold.is_due());
+    assert!(outdated.is_due());
 }
 
 #[test]
--- a/src/group/tests/tree.rs
+++ b/src/group/tests/tree.rs
@@ -85,9 +85,9 @@
         let after = Tree::new(site.iter());
         for host in site.iter().filter(|host| !after.is_relay(host.incarnation)) {
             let (was, is) = (before.relays_of(host), after.relays_of(host));
-            let came = is.iter().filter(|relay| !was.contains(relay)).count();
-            assert!(came <= 1, "at most one relay replaces the lost one");
-            if was.first() != Some(&&lost) && came == 0 {
+            let added = is.iter().filter(|relay| !was.contains(relay)).count();
+            assert!(added <= 1, "at most one relay replaces the lost one");
+            if was.first() != Some(&&lost) && added == 0 {
                 assert_eq!(was.first(), is.first());
             }
         }
--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -19,7 +19,7 @@
 pub const DIRECT_HOSTS: usize = 24;
 /// Number of hosts that may sync with the same host at the shortest interval; with more, the
 /// interval grows in proportion.
-const EXCHANGING_HOSTS: usize = 24;
+const HOSTS_AT_SHORTEST_INTERVAL: usize = 24;
 /// Number of collectors, of which one is active at a time: two may fail together with the orderer.
 const MAX_COLLECTORS: usize = 3;
 
@@ -49,7 +49,7 @@
         if hosts <= DIRECT_HOSTS {
             return Self {
                 relays: IndexMap::new(),
-                collectors: first_by_rank(by_data_centre.into_values().flatten()),
+                collectors: choose_collectors(by_data_centre.into_values().flatten()),
                 hosts,
             };
         }
@@ -59,7 +59,7 @@
             own.truncate(own.len().div_ceil(hosts_a_relay));
         }
         Self {
-            collectors: first_by_rank(by_data_centre.values().flatten().cloned()),
+            collectors: choose_collectors(by_data_centre.values().flatten().cloned()),
             relays: by_data_centre,
             hosts,
         }
@@ -103,11 +103,11 @@
     /// its relay or, if `is_direct`, with the orderer, so that the load of the called host does not
     /// grow with the number of hosts.
     pub fn interval_factor(&self, is_direct: bool) -> u64 {
-        let beside = match is_direct {
+        let callers = match is_direct {
             true => self.direct_hosts(),
             false => self.hosts_a_relay().min(self.direct_hosts()),
         };
-        beside.div_ceil(EXCHANGING_HOSTS).max(1) as u64
+        callers.div_ceil(HOSTS_AT_SHORTEST_INTERVAL).max(1) as u64
     }
 
     /// Returns the average number of hosts per relay, rounded up.
@@ -116,7 +116,7 @@
     }
 }
 
-fn first_by_rank(members: impl Iterator<Item = Member>) -> Vec<Member> {
+fn choose_collectors(members: impl Iterator<Item = Member>) -> Vec<Member> {
     let mut members: Vec<Member> = members.collect();
     members.sort_by_key(Member::rank);
     members.truncate(MAX_COLLECTORS);
