--- a/src/desired/limit_table.rs
+++ b/src/desired/limit_table.rs
@@ -1,24 +1,24 @@
-//! The rate limits in force, by the name of who has one.
+//! The rate limits in force, by the name of the organisation or upstream that they apply to.
 
 use crate::desired::RateLimit;
 use crate::prelude::*;
 
-/// Rate limits by name.
+/// Rate limits by the name of an organisation or upstream.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable(IndexMap<Name, RateLimit>);
 
 impl LimitTable {
-    /// Returns the limit of a name.
+    /// Returns the limit for a name, if there is one.
     pub fn get(&self, name: &str) -> Option<RateLimit> {
         self.0.get(name).copied()
     }
 
-    /// Returns every limit.
+    /// Iterates over all limits with their names.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &RateLimit)> {
         self.0.iter()
     }
 
-    /// Sets the limit of a name, or takes it away.
+    /// Sets the limit for a name, or removes it.
     pub fn set(&mut self, name: &Name, limit: Option<RateLimit>) {
         match limit {
             Some(limit) => self.0.insert(name.clone(), limit),
--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -1,4 +1,5 @@
-//! The desired state that an operator orders from outside: routes, services and models under one version.
+//! The desired state that an operator submits to the platform: routes, services, models, caller
+//! limits and organisations, all under one version.
 
 pub mod limit_table;
 pub mod routes;
@@ -11,43 +12,43 @@
 pub use limit_table::LimitTable;
 pub use routes::RouteTable;
 
-/// A whole desired state.
+/// A complete desired state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DesiredState {
-    /// Its version; a higher one replaces a lower one.
+    /// The version; a state replaces any with a lower version.
     pub version: u64,
-    /// The routes.
+    /// The routes from callers' requests to services.
     pub routes: Vec<Route>,
     /// The services by name.
     pub services: IndexMap<Name, Service>,
-    /// Bounds on what callers send.
+    /// Bounds on callers' requests and connections.
     pub limits: CallerLimits,
-    /// The organisations whose callers are served; without it, callers need no key.
+    /// The organisations whose callers are served; if absent, callers need no API key.
     #[serde(default)]
     pub organisations: Option<Vec<Arc<Organisation>>>,
 }
 
-/// An organisation whose callers share keys and a rate limit.
+/// An organisation, whose callers share API keys and a rate limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name, which upstreams are told.
+    /// The organisation's name, which is passed on to upstreams.
     pub name: Name,
-    /// Digests of its API keys.
+    /// The digests of its API keys.
     pub keys: Vec<KeyDigest>,
-    /// Its rank, which goes before that of the route; 0 is the most urgent.
+    /// The priority of its requests, which overrides that of the route; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// How much it may ask, over all hosts together; without one, as much as it likes.
+    /// The rate limit of its requests over all hosts together; unlimited if absent.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// How much an organisation may ask: a bucket that refills steadily.
+/// A rate limit in the form of a token bucket that refills at a constant rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// What is counted.
+    /// What the limit counts.
     pub unit: LimitUnit,
-    /// What is allowed a second.
+    /// The units allowed per second, at which rate the bucket refills.
     pub per_s: f64,
-    /// What is allowed besides after a pause.
+    /// The size of the bucket: units allowed at once after a pause.
     pub burst: f64,
 }
 
@@ -55,17 +56,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitUnit {
-    /// Requests.
+    /// Requests, each as one unit.
     Requests,
-    /// Tokens of the prompt and the most that the answer may have.
+    /// Tokens: those of the prompt plus the most that the answer may have.
     Tokens {
-        /// What a request counts that does not say its tokens.
+        /// The number of tokens assumed for a request that does not state them.
         uncounted: u64,
     },
 }
 
 impl RateLimit {
-    /// Returns what a request counts that says these tokens.
+    /// Returns the units that a request consumes; `tokens` is the number that it states, if any.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             LimitUnit::Requests => 1,
@@ -74,119 +75,121 @@
     }
 }
 
-/// How often a request of a route may run.
+/// Whether a request of a route may be retried after an upstream may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// More than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Once at most.
+    /// The request may run at most once.
     Once,
-    /// Once at most, but a broken stream of events may go on after its last whole event.
+    /// The request may run at most once, but an event stream that broke off may be resumed after
+    /// its last complete event.
     Resumable,
 }
 
-/// From requests to a service.
+/// A rule that maps callers' requests to services, with the requirements for their answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: Name,
-    /// The host that callers ask, in lower case.
+    /// The host name in callers' requests, in lower case.
     pub host: Name,
-    /// The paths, by their beginning; it ends with a slash.
+    /// The prefix of the request paths; it ends with a slash.
     pub path_prefix: Name,
-    /// The services that serve it, with their shares; one at least.
+    /// The services that serve the route, with their shares; at least one.
     pub targets: Vec<Target>,
-    /// How often a request may run.
+    /// Whether a request may be retried.
     pub repeat: Repeat,
-    /// Whether answers are streams of events.
+    /// Whether answers are event streams.
     pub streams: bool,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time until the answer; later the request fails with a timeout.
     pub time_limit_ms: Millis,
-    /// The time within which an answer (of a stream, its first event) is worth most.
+    /// The latency objective for an answer or, for a stream, for its first event.
     pub goal_ms: Millis,
-    /// The longest gap between events of a stream that is still on time.
+    /// The latency objective for the gap between the events of a stream.
     pub event_gap_ms: Option<Millis>,
-    /// Most upstreams on which one request may run.
+    /// Most upstreams that one request may be sent to.
     pub attempts: u32,
-    /// The rank; 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub rank: u8,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     #[serde(default)]
     pub is_public: bool,
 }
 
-/// One service of a route.
+/// One of the services of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// The name of the service.
     pub service: Name,
-    /// Its share of the route's requests.
+    /// Its weight: the share of the route's requests, relative to the sum of the weights.
     pub weight: u32,
 }
 
-/// A set of like upstreams.
+/// A set of interchangeable upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Most connections that one upstream accepts from all callers together.
+    /// Most connections that one upstream accepts from all hosts together.
     pub max_connections: u32,
-    /// What its upstreams hold, where they are model engines.
+    /// The capacity and models of its upstreams, if they are engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What engines of a service can hold, and what they may be asked to.
+/// The capacity of the engines of a service, and the models that they can load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that one engine runs at once.
+    /// Most requests that one engine runs at once.
     pub slots: u32,
-    /// Memory of one engine for prompts and answers, in tokens.
+    /// The size of an engine's KV cache, for prompts and answers, in tokens.
     pub kv_tokens: u64,
-    /// The size of what an engine keeps of one token of a prompt, in bytes; zero where it is not stated.
+    /// The size of the KV cache entries of one prompt token, in bytes; zero if not stated.
     #[serde(default)]
     pub token_bytes: f64,
-    /// How fast an engine fetches that from another one, in megabits a second; zero where it cannot.
+    /// The rate at which an engine fetches KV cache entries from another engine, in megabits per
+    /// second; zero if it cannot.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Memory of one engine for weights and adapters, in megabytes.
+    /// The memory of one engine for weights and adapters, in megabytes.
     pub weights_mb: f64,
-    /// Adapters that one engine holds.
+    /// Most adapters that one engine holds.
     pub adapter_slots: u32,
-    /// Loads a second that the weight store allows all engines together.
+    /// Loads per second that the weight store allows for all engines together.
     pub loads_per_s: f64,
-    /// The models by name.
+    /// The models that the engines can load, by name.
     pub models: IndexMap<Name, ModelSpec>,
 }
 
-/// A model that engines can load.
+/// The sizes and load times of a model.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpec {
-    /// The size of its weights in megabytes.
+    /// The size of the model's weights in megabytes.
     pub weights_mb: f64,
-    /// The time of a load from the weight store.
+    /// How long a load from the weight store takes.
     pub load_ms: Millis,
-    /// The time of a load from the engine's own disk.
+    /// How long a load from the engine's local disk takes.
     pub from_disk_ms: Millis,
-    /// The size of one of its adapters in megabytes.
+    /// The size of one adapter of the model in megabytes.
     pub adapter_mb: f64,
-    /// Its adapters.
+    /// The names of its adapters.
     pub adapters: Vec<Name>,
 }
 
-/// Bounds on what callers send.
+/// Bounds on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The longest head of a request.
+    /// Most bytes in the head of a request: request line and header fields.
     pub head_bytes: usize,
-    /// The longest body of a request.
+    /// Most bytes in the body of a request.
     pub body_bytes: u64,
-    /// The longest time for a head to arrive.
+    /// The timeout for the arrival of a complete head.
     pub head_ms: Millis,
-    /// The longest time that a connection stays idle.
+    /// The timeout of an idle connection.
     pub idle_ms: Millis,
 }
 
 impl Default for CallerLimits {
-    /// Bounds for the time before the first desired state is known.
+    /// Returns the bounds that apply until the first desired state is known.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/src/desired/routes.rs
+++ b/src/desired/routes.rs
@@ -1,26 +1,26 @@
-//! Finding the route of a request.
+//! Lookup of the route of a request, and the choice of a service among its targets.
 
 use crate::desired::{CallerLimits, DesiredState, LimitTable, Route, Service};
 use crate::identity::{Credential, Identity, Keys};
 use crate::prelude::*;
 
-/// A desired state, indexed for look-ups.
+/// A desired state, indexed for lookups by the path of requests.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     /// The version of the desired state.
     pub version: u64,
     /// The services by name.
     pub services: IndexMap<Name, Service>,
-    /// Bounds on what callers send.
+    /// Bounds on callers' requests and connections.
     pub limits: CallerLimits,
-    /// The rate limits of organisations.
+    /// The rate limits by the name of the organisation.
     pub rate_limits: LimitTable,
     keys: Option<Keys>,
     by_host: IndexMap<Name, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Indexes a desired state.
+    /// Builds the indexes of a desired state.
     pub fn new(state: DesiredState) -> Self {
         let mut by_host: IndexMap<Name, Vec<Arc<Route>>> = IndexMap::new();
         for route in state.routes {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the route of a host with the longest prefix that begins the path.
+    /// Returns the route of a host with the longest path prefix that matches.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes
@@ -53,11 +53,11 @@
             .find(|route| path.starts_with(&*route.path_prefix))
     }
 
-    /// Returns who sent a request on a route.
+    /// Identifies the sender of a request on a route by its API key.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a request without a valid key on a route that needs one.
+    /// Refuses a request without a valid API key on a route that needs one.
     pub fn identify(&self, route: &Route, credential: Credential) -> Result<Identity, Refusal> {
         match &self.keys {
             None => Ok(Identity::Unchecked),
@@ -65,14 +65,15 @@
         }
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes of all hosts.
     pub fn route_count(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 }
 
 impl Route {
-    /// Chooses the service of one request by the targets' weights; `point` is even between 0 and 1.
+    /// Chooses the service of a request by the weights of the targets. `point` is drawn uniformly
+    /// from 0 to 1. Returns `None` only if there are no targets.
     pub fn service(&self, point: f64) -> Option<&Name> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = point * f64::from(total);
--- a/src/desired/tests.rs
+++ b/src/desired/tests.rs
@@ -1,4 +1,4 @@
-//! Longest prefix, and shares of a split route.
+//! Tests of the choice of a route by the longest prefix, and of a service by the targets' weights.
 
 use super::*;
 use crate::test_support;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_split_route_gives_each_service_its_share() {
+fn a_route_with_several_targets_splits_requests_by_weight() {
     let split = route("r", "h", "/", &[("big", 90), ("none", 0), ("small", 10)]);
     let counts = (0..1_000).fold([0; 3], |mut counts, n| {
         match split.service(f64::from(n) / 1_000.0).map(|name| &**name) {
--- a/src/group/departed.rs
+++ b/src/group/departed.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 /// How long a host is counted as serving after it left the list, unless a process at its address is
-/// listed again. Longer than [`ISOLATED_ADMIT_MS`], during which an isolated host continues to admit
-/// requests, and longer than the list takes to drop a host.
+/// listed again. Longer than [`ISOLATED_ADMIT_MS`], during which an isolated host continues to
+/// admit requests, and longer than the list takes to drop a host.
 const DEPARTED_SERVE_MS: Millis = Millis(28_000);
 /// How long a host admits requests under its share of a limit after its last contact with the store
 /// or, directly or through a relay, the orderer.
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -153,10 +153,10 @@
         })
     }
 
-    /// Applies an update from another host and returns the difference. Returns `None` and leaves the
-    /// list as it is if the update is older than the list, if it holds only changes while no list is
-    /// known yet, or if the result fails verification. This host requests the full list after changes
-    /// that failed verification and while it has no list.
+    /// Applies an update from another host and returns the difference. Returns `None` and leaves
+    /// the list as it is if the update is older than the list, if it holds only changes while no
+    /// list is known yet, or if the result fails verification. This host requests the full list
+    /// after changes that failed verification and while it has no list.
     pub fn apply(&mut self, now: Millis, news: MembersNews) -> Option<MembersChange> {
         if news.generation < self.generation {
             return None;
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -32,9 +32,9 @@
 }
 
 impl Parents {
-    /// Chooses the host to sync with. A relay with stale state is preferred to the orderer: while no
-    /// host acts as orderer the state of all relays is stale, and hundreds of hosts would otherwise
-    /// connect to an orderer that is down.
+    /// Chooses the host to sync with. A relay with stale state is preferred to the orderer: while
+    /// no host acts as orderer the state of all relays is stale, and hundreds of hosts would
+    /// otherwise connect to an orderer that is down.
     pub fn choose(&self, now: Millis, tree: &Tree, me: &Member) -> Parent {
         let relays = tree.relays_of(me).into_iter().take(MAX_RELAYS);
         let is_pending = |times: &IndexMap<u64, Millis>, relay: &Member| {
@@ -67,8 +67,8 @@
             .insert(relay.incarnation, now + RELAY_RETRY_MS);
     }
 
-    /// Records an answer of a relay. `age_ms` is the age of the orderer's state in it; `None` if the
-    /// relay has none.
+    /// Records an answer of a relay. `age_ms` is the age of the orderer's state in it; `None` if
+    /// the relay has none.
     pub fn note_answered(&mut self, now: Millis, relay: &Member, age_ms: Option<Millis>) {
         self.answered_at = Some(now);
         self.failed_until.swap_remove(&relay.incarnation);
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns whether a relay answered within [`STALE_MS`]. If so, the relay looks for the orderer on
-    /// this host's behalf.
+    /// Returns whether a relay answered within [`STALE_MS`]. If so, the relay looks for the orderer
+    /// on this host's behalf.
     pub fn has_answered(&self, now: Millis) -> bool {
         self.answered_at.is_some_and(|at| now.since(at) < STALE_MS)
     }
--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -115,8 +115,8 @@
     assert!(has_list(&host, &group.list));
 }
 
-/// Guards against a host that can apply no update any more: its list has a host that joined and left
-/// between two reads of the sender, so that no change removes it.
+/// Guards against a host that can apply no update any more: its list has a host that joined and
+/// left between two reads of the sender, so that no change removes it.
 #[test]
 fn a_host_whose_update_fails_verification_gets_the_full_list() {
     let mut group = Group::default();
@@ -199,7 +199,8 @@
     let mut members = Members::default();
     let start = Millis(1_000_000);
     members.note_heard(start);
-    // The port of a test host is the low 16 bits of its incarnation, so this one has host 1's address.
+    // The port of a test host is the low 16 bits of its incarnation, so this one has host 1's
+    // address.
     let restarted = 1 + (1 << 16);
     members.replace(start, 1, listed(&[1, 2]));
     members.replace(start, 2, listed(&[1, 2, restarted]));
--- a/src/group/tests/reading.rs
+++ b/src/group/tests/reading.rs
@@ -16,7 +16,8 @@
     }
 }
 
-/// Guards against hundreds of starting hosts that each read the names of all hosts every half second.
+/// Guards against hundreds of starting hosts that each read the names of all hosts every half
+/// second.
 #[test]
 fn starting_hosts_read_a_large_group_less_often() {
     let intervals = [1, 100, 101, 300, 985, 2_000].map(min_read_interval_ms);
@@ -44,8 +45,8 @@
     assert!(first.is_due() && later.is_due());
 }
 
-/// Guards against a site of a few dozen hosts that takes half a second longer to serve after all its
-/// hosts were killed.
+/// Guards against a site of a few dozen hosts that takes half a second longer to serve after all
+/// its hosts were killed.
 #[test]
 fn in_a_small_group_a_host_that_is_not_listed_reads_as_often_as_a_listed_one() {
     let restarted = |listed| ReadCase {
@@ -58,7 +59,8 @@
     assert_eq!(due, [false, true, true, true, false, false]);
 }
 
-/// Guards against reads of the list by relays that refused hosts of which the orderer will inform them.
+/// Guards against reads of the list by relays that refused hosts of which the orderer will inform
+/// them.
 #[test]
 fn a_relay_in_contact_with_the_orderer_does_not_read_for_each_host_that_it_refused() {
     let relay = ReadCase {
--- a/src/group/tests/tree.rs
+++ b/src/group/tests/tree.rs
@@ -1,5 +1,5 @@
-//! The relay tree bounds the load of the busiest host at every site size, and every host derives the
-//! same tree.
+//! The relay tree bounds the load of the busiest host at every site size, and every host derives
+//! the same tree.
 
 use crate::group::tree::DIRECT_HOSTS;
 use crate::group::{Member, Tree};
@@ -36,8 +36,8 @@
     assert!(!site.iter().any(|host| tree.is_relay(host.incarnation)));
 }
 
-/// Guards against connections of the busiest host that grow in proportion to the number of hosts. The
-/// required bound is 400 connections at 864 hosts, of which the two levels may use a quarter.
+/// Guards against connections of the busiest host that grow in proportion to the number of hosts.
+/// The required bound is 400 connections at 864 hosts, of which the two levels may use a quarter.
 #[test]
 fn the_busiest_host_has_few_connections_at_any_site_size() {
     for hosts in [25, 86, 195, 300, 864, 1_000] {
--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Returns the factor, at least 1, by which a host lengthens the interval between its syncs with
-    /// its relay or, if `is_direct`, with the orderer, so that the load of the called host does not
-    /// grow with the number of hosts.
+    /// Returns the factor, at least 1, by which a host lengthens the interval between its syncs
+    /// with its relay or, if `is_direct`, with the orderer, so that the load of the called host
+    /// does not grow with the number of hosts.
     pub fn interval_factor(&self, is_direct: bool) -> u64 {
         let callers = match is_direct {
             true => self.direct_hosts(),
--- a/src/identity/mod.rs
+++ b/src/identity/mod.rs
@@ -1,7 +1,7 @@
-//! Who a caller is: the organisation that holds the API key of a request.
+//! Authentication of callers: the organisation that owns the API key of a request.
 //!
-//! Keys are kept, compared and passed between modules as digests only, so that none shows in a log, a dump or a
-//! message, and the time of a look-up says nothing about the key.
+//! Keys are stored, compared and passed between modules as digests only, so that no key appears in
+//! a log, a dump or a message, and the duration of a lookup reveals nothing about a key.
 
 #[cfg(test)]
 mod tests;
@@ -12,12 +12,12 @@
 use snafu::Snafu;
 use std::fmt;
 
-/// The SHA-256 of an API key.
+/// The SHA-256 digest of an API key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digests a key.
+    /// Computes the digest of a key as callers send it.
     pub fn of(key: &[u8]) -> Self {
         let mut bytes = [0; 32];
         bytes.copy_from_slice(digest(&SHA256, key).as_ref());
@@ -26,38 +26,38 @@
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Shows the first bytes, enough to tell keys apart.
+    /// Shows only the first three bytes, which suffice to tell keys apart.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [first, second, third, ..] = self.0;
         write!(f, "KeyDigest({first:02x}{second:02x}{third:02x}..)")
     }
 }
 
-/// The key that came with a request.
+/// The API key of a request, as far as it could be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// None came.
+    /// The request has no key.
     #[default]
     Missing,
-    /// Something came that is no key, or more than one.
+    /// The request has something that is not a key, or more than one key.
     Malformed,
-    /// A key.
+    /// The digest of the request's key.
     Key(KeyDigest),
 }
 
-/// Who sent a request.
+/// The authenticated sender of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Identity {
-    /// Not checked: the site has no organisations.
+    /// Not checked, since the desired state defines no organisations.
     Unchecked,
-    /// Nobody in particular, on a public route.
+    /// A caller without a valid key, on a public route.
     Public,
-    /// An organisation.
+    /// The organisation that owns the request's key.
     Organisation(Arc<Organisation>),
 }
 
 impl Identity {
-    /// Returns the organisation.
+    /// Returns the organisation, if the sender was identified as one.
     pub fn organisation(&self) -> Option<&Arc<Organisation>> {
         match self {
             Self::Organisation(organisation) => Some(organisation),
@@ -66,33 +66,34 @@
     }
 }
 
-/// Why the keys of a desired state cannot be used.
+/// The reasons for which the organisations of a desired state are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum KeysError {
-    /// Two organisations have the same key.
+    /// Two organisations have an API key in common.
     #[snafu(display("{first} and {second} have the same key"))]
     SharedKey {
-        /// One of them.
+        /// The name of the organisation that comes first in the desired state.
         first: Name,
-        /// The other one.
+        /// The name of the other organisation.
         second: Name,
     },
     /// Two organisations have the same name.
     #[snafu(display("two organisations are named {name}"))]
     SharedName {
-        /// The name.
+        /// The name that they share.
         name: Name,
     },
 }
 
-/// The organisations of a site by their keys.
+/// The organisations of a desired state by the digests of their keys.
 #[derive(Clone, Debug, Default)]
 pub struct Keys {
     by_digest: IndexMap<KeyDigest, Arc<Organisation>>,
 }
 
 impl Keys {
-    /// Indexes organisations by their keys. Of two that have the same key the first one counts; [`check`] finds those.
+    /// Indexes organisations by their keys. If two have the same key, it identifies the first one;
+    /// [`check`] finds such duplicates.
     pub fn new(organisations: &[Arc<Organisation>]) -> Self {
         let mut by_digest = IndexMap::new();
         for organisation in organisations {
@@ -105,11 +106,11 @@
         Self { by_digest }
     }
 
-    /// Returns who sent a request on a route.
+    /// Identifies the sender of a request on a route.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a request without a valid key, unless the route is public.
+    /// Refuses a request without a valid key, unless the route is public.
     pub fn identify(&self, route: &Route, credential: Credential) -> Result<Identity, Refusal> {
         let holder = match credential {
             Credential::Key(digest) => self.by_digest.get(&digest),
@@ -130,11 +131,11 @@
     }
 }
 
-/// Checks that names and keys belong to one organisation each.
+/// Checks that no two organisations have the same name or a key in common.
 ///
 /// # Errors
 ///
-/// Returns the first name or key that does not.
+/// Returns the first shared name or key.
 pub fn check(organisations: &[Arc<Organisation>]) -> Result<(), KeysError> {
     let mut names: IndexSet<&Name> = IndexSet::new();
     let mut holders: IndexMap<KeyDigest, &Name> = IndexMap::new();
--- a/src/identity/tests.rs
+++ b/src/identity/tests.rs
@@ -1,4 +1,5 @@
-//! Who a request's key belongs to, on public and on other routes, and what a desired state may say of keys.
+//! Tests of the identification of callers by key, on public and other routes, and of the check of
+//! organisations for shared names and keys.
 
 use super::*;
 use crate::desired::{DesiredState, RouteTable};
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_key_names_its_organisation_and_nothing_else_does() {
+fn only_a_valid_key_identifies_an_organisation() {
     let keys = Keys::new(&[organisation("a", &["k1", "k2"]), organisation("b", &["k3"])]);
     assert_eq!(holder(&keys, key("k1")).as_deref(), Some("a"));
     assert_eq!(holder(&keys, key("k2")).as_deref(), Some("a"));
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_public_route_needs_no_key_but_knows_a_valid_one() {
+fn a_public_route_needs_no_key_but_identifies_a_valid_one() {
     let keys = Keys::new(&[organisation("a", &["k1"])]);
     let public = route(true);
     assert_eq!(keys.identify(&public, key("k9")), Ok(Identity::Public));
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_site_without_organisations_asks_for_no_key_and_one_with_none_lets_nobody_in() {
+fn without_a_list_of_organisations_no_key_is_needed_and_with_an_empty_list_none_is_valid() {
     let open = RouteTable::new(DesiredState::default());
     let closed = RouteTable::new(DesiredState {
         organisations: Some(Vec::new()),
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_unknown_until_a_later_version_has_it_again() {
+fn a_removed_key_is_invalid_until_a_later_version_has_it_again() {
     let with = [organisation("a", &["k1", "k2"])];
     let without = [organisation("a", &["k2"])];
     assert_eq!(holder(&Keys::new(&with), key("k1")).as_deref(), Some("a"));
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn two_organisations_share_neither_a_name_nor_a_key() {
+fn organisations_that_share_a_name_or_a_key_are_rejected() {
     let a = organisation("a", &["k1", "k1"]);
     assert_eq!(check(&[a.clone(), organisation("b", &["k2"])]), Ok(()));
     let same_name = check(&[a.clone(), organisation("a", &["k2"])]);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_key_shows_in_no_debug_output() {
+fn debug_output_never_contains_a_key() {
     let credential = key("very-secret-key");
     let shown = format!(
         "{credential:?} {:?}",
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn any_set_of_keys_finds_each_holder() {
+fn each_of_any_set_of_keys_identifies_its_organisation() {
     arbtest(|u| {
         let count = u.int_in_range(1..=40)?;
         let mut organisations = Vec::new();
--- a/src/membership/entry.rs
+++ b/src/membership/entry.rs
@@ -26,8 +26,9 @@
     scored.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Returns the home of a key among the present hosts that answered their last probe. A host that joined and has answered
-/// none yet may be one that no other host reaches; two hosts that both take themselves for the home do no harm.
+/// Returns the home of a key among the present hosts that answered their last probe. A host that
+/// joined and has answered none yet may be one that no other host reaches; two hosts that both take
+/// themselves for the home do no harm.
 pub fn home(key: &str, me: Incarnation, members: &Members, probes: &Probes) -> Option<Incarnation> {
     members
         .iter()
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -1,8 +1,8 @@
 //! Whether this host's state is current enough to serve.
 //!
-//! A host is fresh while, within the bound, it applied everything up to the end of the log as read by
-//! itself or by a peer, or, with the log out of reach, everything that a majority of the counted hosts
-//! has applied. A gap in its own clock makes it stale until it learns the newest offset anew.
+//! A host is fresh while, within the bound, it applied everything up to the end of the log as read
+//! by itself or by a peer, or, with the log out of reach, everything that a majority of the counted
+//! hosts has applied. A gap in its own clock makes it stale until it learns the newest offset anew.
 
 use crate::membership::members::Members;
 use crate::prelude::*;
@@ -105,7 +105,8 @@
         });
     }
 
-    /// Takes note of the own next offset: peers' answers up to there show nothing that is missing here.
+    /// Takes note of the own next offset: peers' answers up to there show nothing that is missing
+    /// here.
     pub fn on_applied(&mut self, own: Offset) {
         let mut known = Vec::new();
         for (peer, ahead) in &mut self.peers_ahead {
--- a/src/membership/leaving.rs
+++ b/src/membership/leaving.rs
@@ -1,8 +1,8 @@
 //! Which upstreams are leaving: by their own word, by the platform's list, or by a peer's hint.
 //!
-//! A mark lasts for some time after the last first-hand word, which the list and the upstream repeat
-//! many times over. Hints carry the age of that word, so a mark does not outlive it by being passed
-//! around.
+//! A mark lasts for some time after the last first-hand word, which the list and the upstream
+//! repeat many times over. Hints carry the age of that word, so a mark does not outlive it by being
+//! passed around.
 
 use crate::prelude::*;
 
--- a/src/membership/members.rs
+++ b/src/membership/members.rs
@@ -190,8 +190,8 @@
         Ok(())
     }
 
-    /// Forgets a departed host whose process no longer exists. It counts no more, since nobody can learn
-    /// anything from it; later changes wait for a majority that knows this.
+    /// Forgets a departed host whose process no longer exists. It counts no more, since nobody can
+    /// learn anything from it; later changes wait for a majority that knows this.
     ///
     /// # Errors
     ///
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -1,9 +1,9 @@
 //! Probes between hosts: who is alive, and which offsets they have applied.
 //!
-//! A round costs the same however many hosts there are: a few partners, those that fail first, the rest
-//! picked by a hash of the round. Silence counts from a host's first unanswered probe, so a host that
-//! was merely not asked is not suspected. Each probe names the sender's suspects; a host is evicted on
-//! the agreement of several.
+//! A round costs the same however many hosts there are: a few partners, those that fail first, the
+//! rest picked by a hash of the round. Silence counts from a host's first unanswered probe, so a
+//! host that was merely not asked is not suspected. Each probe names the sender's suspects; a host
+//! is evicted on the agreement of several.
 
 use crate::membership::members::Members;
 use crate::membership::message::{PeerRequest, Probe};
@@ -16,7 +16,8 @@
 pub const MAX_DIRECT_ASKS: usize = 16;
 /// How long a host's offset is not asked for again beside the round.
 pub const DIRECT_ASK_REST_MS: Millis = Millis(100);
-/// How many hosts beside the proposer must suspect a host that is to be evicted, where there are as many.
+/// How many hosts beside the proposer must suspect a host that is to be evicted, where there are as
+/// many.
 pub const MIN_ACCUSERS: usize = 2;
 
 /// What is known of one peer.
--- a/src/membership/tests/evictions.rs
+++ b/src/membership/tests/evictions.rs
@@ -130,8 +130,9 @@
     assert_eq!(cluster.in_force.len(), 1);
 }
 
-/// A host whose peers cannot reach it, but which reaches the log, joins again as often as it is evicted. It may be the
-/// preferred proposer of a change of membership that it can never confirm; the others then propose it.
+/// A host whose peers cannot reach it, but which reaches the log, joins again as often as it is
+/// evicted. It may be the preferred proposer of a change of membership that it can never confirm;
+/// the others then propose it.
 #[test]
 fn edits_are_in_force_soon_while_a_host_cut_from_its_peers_joins_again_and_again() {
     let mut cluster = Cluster::new(3);
--- a/src/upstreams/index.rs
+++ b/src/upstreams/index.rs
@@ -1,12 +1,12 @@
-//! Which upstreams serve a service, and which list a model.
+//! Indexes of the upstreams by service and by model.
 //!
-//! Answers the pattern of thousands of upstreams of which a few dozen hold the model of a request: a choice looks at
-//! those, not at the list.
+//! Of thousands of upstreams a few dozen may hold the model of a request; with the index the choice
+//! of an upstream looks only at those.
 
 use crate::prelude::*;
 use crate::upstreams::UpstreamEntry;
 
-/// The names of upstreams by what their entries say.
+/// The names of upstreams by the services and models in their entries.
 #[derive(Clone, Debug, Default)]
 pub struct ListIndex {
     services: IndexMap<Name, IndexSet<Name>>,
@@ -14,7 +14,7 @@
 }
 
 impl ListIndex {
-    /// Takes what an entry says.
+    /// Adds an entry.
     pub fn add(&mut self, entry: &UpstreamEntry) {
         let serving = self.services.entry(entry.service.clone()).or_default();
         serving.insert(entry.id.clone());
@@ -24,26 +24,26 @@
         }
     }
 
-    /// Takes out what an entry said.
+    /// Removes an entry, which must be equal to the one that was added.
     pub fn remove(&mut self, entry: &UpstreamEntry) {
-        take_out(&mut self.services, &entry.service, &entry.id);
+        remove_name(&mut self.services, &entry.service, &entry.id);
         for held in &entry.models {
-            take_out(&mut self.models, &held.name, &entry.id);
+            remove_name(&mut self.models, &held.name, &entry.id);
         }
     }
 
-    /// Returns the upstreams of a service.
+    /// Returns the names of the upstreams of a service, leaving ones included.
     pub fn serving(&self, service: &str) -> impl Iterator<Item = &Name> {
         self.services.get(service).into_iter().flatten()
     }
 
-    /// Returns the upstreams that list a model.
+    /// Returns the names of the upstreams whose entries list a model.
     pub fn listing(&self, model: &str) -> impl Iterator<Item = &Name> {
         self.models.get(model).into_iter().flatten()
     }
 }
 
-fn take_out(names: &mut IndexMap<Name, IndexSet<Name>>, key: &Name, id: &Name) {
+fn remove_name(names: &mut IndexMap<Name, IndexSet<Name>>, key: &Name, id: &Name) {
     let Some(ids) = names.get_mut(key) else {
         return;
     };
--- a/src/upstreams/mod.rs
+++ b/src/upstreams/mod.rs
@@ -1,4 +1,5 @@
-//! The upstreams of a site as one host knows them: the platform's list, corrected by its own sends.
+//! The upstreams of a site as one host knows them: the entries of the platform's list, and health
+//! derived from the results of this host's own requests.
 
 pub mod health;
 pub mod index;
@@ -12,43 +13,45 @@
 pub use registry::{Registry, Upstream};
 use std::net::SocketAddr;
 
-/// What the platform's list says of one start of an upstream.
+/// The entry in the platform's list for one lifetime of an upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its name; a later start may have it again.
+    /// The upstream's name. It keeps the name when it restarts.
     pub id: Name,
-    /// The Unix time of its start, which tells the starts under one name apart; zero where it does not say.
+    /// The Unix time at which the upstream started, which tells lifetimes under one name apart;
+    /// zero if the entry does not state it.
     pub born_at: Millis,
-    /// The service that it serves.
+    /// The name of the service that it belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// The address at which it takes requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The name of its data centre.
     pub data_centre: Name,
-    /// Requests that it runs at once.
+    /// Most requests that it runs at once.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down and takes no new requests.
     pub leaving: bool,
-    /// Orders that it had accepted when it wrote the entry.
+    /// Number of load and unload orders that it had accepted when it wrote the entry.
     pub order_count: u64,
-    /// The models that it held then.
+    /// The models that it held when it wrote the entry; empty for plain services.
     pub models: Vec<HeldModel>,
 }
 
-/// One start of an upstream. News of an earlier start under the same name changes nothing of a later one.
+/// One lifetime of an upstream: the run of its process from one start to the next. Information
+/// about an earlier lifetime under the same name never changes the state of a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lifetime {
-    /// The upstream's name.
+    /// The name of the upstream.
     pub id: Name,
-    /// The Unix time of its start; zero where it does not say.
+    /// The Unix time at which it started; zero if its entry does not state it.
     pub born_at: Millis,
 }
 
-/// A model that an engine holds.
+/// A model in the memory of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldModel {
-    /// The model.
+    /// The name of the model.
     pub name: Name,
-    /// Its adapters that the engine holds too.
+    /// The names of the model's adapters that the engine holds as well.
     pub adapters: Vec<Name>,
 }
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams with its changes, outages and lifetimes.
+//! The list of upstreams: changes of its entries, outages of the list, and the lifetimes of
+//! upstreams.
 
 use crate::entry::platform::ModelAsk;
 use crate::prelude::*;
@@ -8,30 +9,33 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// How long entries that vanished in an outage of the list are still used after it: upstreams that live
-/// write theirs again within about two seconds.
+/// How long after an outage of the list an upstream whose entry is missing is still used. Running
+/// upstreams write their entries again within about two seconds.
 pub const OUTAGE_GRACE_MS: Millis = Millis(2_000);
-/// How long the list must have been out of reach to count as an outage; shorter gaps are single lost polls.
+/// How long the list must have been unreachable to count as an outage; shorter gaps are single
+/// polls that failed.
 const OUTAGE_MS: Millis = Millis(2_500);
-/// Most names of which the last start is remembered after its entry is gone, so that a late copy of that entry does not
-/// bring it back; as many as there are upstreams where these are more.
-const LEAST_PAST: usize = 1_024;
+/// Number of removed upstreams whose last lifetime is remembered, so that a late copy of an entry
+/// does not add it again. If there are more upstreams than this, as many are remembered as there
+/// are upstreams.
+const MIN_REMEMBERED_PAST: usize = 1_024;
 
-/// One upstream.
+/// One upstream in its current lifetime.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What the list says.
+    /// The upstream's entry in the list.
     pub entry: UpstreamEntry,
-    /// The results of this host's sends.
+    /// The results of this host's requests to it.
     pub health: Health,
-    /// Requests of this host under way there.
+    /// Number of this host's requests in progress there.
     pub in_flight: u32,
-    /// Prompt tokens of this host's requests there that have no first event yet.
+    /// Prompt tokens of this host's requests there that are waiting for their first event.
     pub prompt_tokens: u64,
-    /// How many of these requests have long prompts.
+    /// Number of these waiting requests that have long prompts.
     pub long_prompts: u32,
-    /// Until when the upstream counts as full, since it said so.
+    /// Until when the upstream counts as full after it answered that it is.
     pub full_until: Millis,
+    /// When the entry vanished in an outage, if the upstream is kept during the grace period.
     vanished_at: Option<Millis>,
 }
 
@@ -48,7 +52,7 @@
         }
     }
 
-    /// Returns which start of the upstream this is.
+    /// Returns the lifetime of the upstream.
     pub fn lifetime(&self) -> Lifetime {
         Lifetime {
             id: self.entry.id.clone(),
@@ -56,17 +60,18 @@
         }
     }
 
-    /// Returns where the upstream listens.
+    /// Returns the address at which the upstream takes requests.
     pub fn address(&self) -> SocketAddr {
         self.entry.address
     }
 
-    /// Tells whether the list has it; else it vanished in an outage and is kept for a while.
+    /// Returns whether the list has the upstream; otherwise its entry vanished in an outage and it
+    /// is kept for [`OUTAGE_GRACE_MS`].
     pub fn is_listed(&self) -> bool {
         self.vanished_at.is_none()
     }
 
-    /// Tells whether the engine holds a model and, where one is named, its adapter.
+    /// Returns whether the engine holds a model and, if one is given, the model's adapter.
     pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
         let held = self.entry.models.iter().find(|held| &*held.name == model);
         held.is_some_and(|held| match adapter {
@@ -75,7 +80,7 @@
         })
     }
 
-    /// Tells whether its entry says that the engine holds these models and adapters, and no others.
+    /// Returns whether the entry lists exactly the given models and adapters.
     pub fn holds_just(&self, asks: &[ModelAsk]) -> bool {
         let models = self.entry.models.iter();
         let listed: usize = models.map(|held| 1 + held.adapters.len()).sum();
@@ -84,70 +89,76 @@
     }
 }
 
-/// What a change of the list did.
+/// The effect of a change of the list on an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A lifetime is new.
+    /// An upstream was added.
     Added,
-    /// A known upstream started again under its name: nothing that was known of it holds any more.
+    /// A known upstream restarted under its name; its former state was discarded.
     Restarted,
-    /// A lifetime began to leave.
+    /// An upstream started to leave.
     Leaving,
-    /// A lifetime is gone.
+    /// An upstream was removed.
     Gone,
-    /// An entry vanished in an outage and is kept for a while.
+    /// An entry vanished in an outage; the upstream is kept for the rest of the grace period.
     Held,
-    /// Something else of an entry changed.
+    /// Other fields of an entry changed.
     Updated,
-    /// Nothing that matters changed.
+    /// Nothing relevant changed.
     None,
 }
 
-/// The last start of an upstream that is no longer listed.
+/// The last lifetime of an upstream that was removed.
 #[derive(Clone, Copy, Debug)]
-struct Past {
+struct PastLifetime {
     born_at: Millis,
-    /// Whether it began to leave or its address said that it is over; else its entry may have lapsed only.
+    /// Whether it left, or a process at its address answered that this lifetime ended. Otherwise
+    /// its entry may merely have lapsed.
     is_over: bool,
-    /// How many starts were remembered before it.
-    nth: u64,
+    /// Its sequence number among all remembered lifetimes.
+    sequence: u64,
 }
 
-/// The upstreams by name, each with its newest start.
+/// The upstreams by name, each in its newest lifetime.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     upstreams: IndexMap<Name, Upstream>,
     index: ListIndex,
-    /// The upstreams with requests of this host under way.
+    /// The names of the upstreams with requests of this host in progress.
     busy: IndexSet<Name>,
-    past: IndexMap<Name, Past>,
-    /// What was put into `past`, the oldest first, with how many were before it; some names were taken out since.
+    past: IndexMap<Name, PastLifetime>,
+    /// The sequence numbers and names put into `past`, oldest first. Some may have been removed
+    /// from `past` or replaced there since.
     past_order: VecDeque<(u64, Name)>,
-    past_count: u64,
+    next_sequence: u64,
     version: u64,
-    last_heard_at: Option<Millis>,
-    was_unheard: bool,
+    last_reached_at: Option<Millis>,
+    poll_failed: bool,
     outage_ended_at: Option<Millis>,
 }
 
 impl Registry {
-    /// Takes note that the list answered, or was said to be as known, at a moment; one before the last changes nothing.
-    /// A long time without either is an outage only when the list was asked in vain: a host that relies on another one's
-    /// word may hear it late.
+    /// Records that the list was read, or confirmed as unchanged by another host, as of `now`. A
+    /// time before the last recorded one changes nothing. A long gap counts as an outage only if a
+    /// poll of the list failed in it, since a host that relies on another host's copy may get it
+    /// late.
     pub fn note_heard(&mut self, now: Millis) {
-        let gap = self.last_heard_at.map_or(Millis::ZERO, |at| now.since(at));
-        if std::mem::take(&mut self.was_unheard) && gap >= OUTAGE_MS {
+        let gap = self
+            .last_reached_at
+            .map_or(Millis::ZERO, |at| now.since(at));
+        if std::mem::take(&mut self.poll_failed) && gap >= OUTAGE_MS {
             self.outage_ended_at = Some(now);
         }
-        self.last_heard_at = self.last_heard_at.max(Some(now));
+        self.last_reached_at = self.last_reached_at.max(Some(now));
     }
 
-    /// Takes note that the list was asked in vain.
+    /// Records that a poll of the list failed.
     pub fn note_unheard(&mut self) {
-        self.was_unheard = true;
+        self.poll_failed = true;
     }
 
-    /// Takes a new or changed entry. One of an earlier start than the one known is late and changes nothing.
+    /// Adds or updates an entry. An entry of an earlier lifetime than the known one arrived late
+    /// and changes nothing.
     pub fn put(&mut self, entry: UpstreamEntry) -> Change {
         if self.is_past(&entry) {
             return Change::None;
@@ -164,18 +175,18 @@
             }
             Some(upstream) => {
                 upstream.vanished_at = None;
-                let leaves_now = entry.leaving && !upstream.entry.leaving;
-                let is_same = upstream.entry == entry;
-                // A lifetime that began to leave never comes back.
+                let starts_leaving = entry.leaving && !upstream.entry.leaving;
+                let is_unchanged = upstream.entry == entry;
+                // A lifetime that started to leave never becomes available again.
                 let leaving = entry.leaving || upstream.entry.leaving;
-                let is_indexed_same = upstream.entry.service == entry.service
+                let index_unchanged = upstream.entry.service == entry.service
                     && upstream.entry.models == entry.models;
-                if !is_indexed_same {
+                if !index_unchanged {
                     self.index.remove(&upstream.entry);
                     self.index.add(&entry);
                 }
                 upstream.entry = UpstreamEntry { leaving, ..entry };
-                match (leaves_now, is_same) {
+                match (starts_leaving, is_unchanged) {
                     (true, _) => Change::Leaving,
                     (false, true) => Change::None,
                     (false, false) => Change::Updated,
@@ -192,8 +203,8 @@
         }
     }
 
-    /// Takes note that an upstream said itself that it started again; the list tells the rest later. Models of the
-    /// former start are gone.
+    /// Records a restart that the upstream itself reported before the list did. The models of the
+    /// former lifetime are dropped; the list gives the rest of the entry later.
     pub fn note_restarted(&mut self, lifetime: &Lifetime) -> Change {
         let Some(upstream) = self.upstreams.get(&lifetime.id) else {
             return Change::None;
@@ -211,7 +222,7 @@
         self.put(entry)
     }
 
-    /// Takes note that an upstream's entry was replaced by one that names no upstream.
+    /// Removes an upstream whose entry was replaced by one that cannot be parsed.
     pub fn drop_unreadable(&mut self, id: &str) -> Change {
         match self.drop_upstream(id, false) {
             true => Change::Gone,
@@ -219,16 +230,16 @@
         }
     }
 
-    /// Tells whether an entry is a late copy: of a start before the last one that was known, or of that one when it is
-    /// over.
+    /// Returns whether an entry of a removed upstream is a late copy: of a lifetime before the last
+    /// known one, or of the last known one if that is over.
     fn is_past(&self, entry: &UpstreamEntry) -> bool {
         self.past.get(&entry.id).is_some_and(|past| {
             entry.born_at < past.born_at || (entry.born_at == past.born_at && past.is_over)
         })
     }
 
-    /// Takes the removal of an entry. Within [`OUTAGE_GRACE_MS`] after an outage the upstream is kept for the
-    /// rest of that time: it may only have been unable to renew its entry.
+    /// Removes an entry. Within [`OUTAGE_GRACE_MS`] after an outage the upstream is kept for the
+    /// rest of that time, since it may only have been unable to renew its entry.
     pub fn remove(&mut self, now: Millis, id: &str) -> Change {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return Change::None;
@@ -244,17 +255,18 @@
         Change::Gone
     }
 
-    /// Takes the whole list; entries that it lacks are removed.
+    /// Replaces the list by a full one; entries that it lacks are removed. Returns the changes by
+    /// name.
     pub fn replace(&mut self, now: Millis, entries: Vec<UpstreamEntry>) -> Vec<(Name, Change)> {
         let listed: IndexSet<Name> = entries.iter().map(|entry| entry.id.clone()).collect();
-        let lacking: Vec<Name> = self
+        let missing: Vec<Name> = self
             .upstreams
             .keys()
             .filter(|id| !listed.contains(*id))
             .cloned()
             .collect();
         let mut changes = Vec::new();
-        for id in lacking {
+        for id in missing {
             let change = self.remove(now, &id);
             changes.push((id, change));
         }
@@ -266,13 +278,15 @@
         changes
     }
 
-    /// Ends a lifetime of which the upstream's own address said that it is over.
+    /// Ends a lifetime after the process at the upstream's address answered that it is over.
+    /// Returns whether it was the known one.
     pub fn end_lifetime(&mut self, lifetime: &Lifetime) -> bool {
         let known = self.get_lifetime(lifetime).is_some();
         known && self.drop_upstream(&lifetime.id, true)
     }
 
-    /// Removes what was kept for a while only. Returns the lifetimes that ended.
+    /// Removes the upstreams that were kept for the grace period, once that is over. Returns their
+    /// names.
     pub fn expire(&mut self, now: Millis) -> Vec<Name> {
         let Some(outage_ended_at) = self.outage_ended_at else {
             return Vec::new();
@@ -292,25 +306,25 @@
         vanished
     }
 
-    /// Returns an upstream.
+    /// Returns an upstream by name.
     pub fn get(&self, id: &str) -> Option<&Upstream> {
         self.upstreams.get(id)
     }
 
-    /// Returns an upstream if this start of it is the one known.
+    /// Returns an upstream if the given lifetime is the known one.
     pub fn get_lifetime(&self, lifetime: &Lifetime) -> Option<&Upstream> {
         let upstream = self.upstreams.get(&lifetime.id)?;
         (upstream.entry.born_at == lifetime.born_at).then_some(upstream)
     }
 
-    /// Returns an upstream, for change, if this start of it is the one known: what a request learned of an earlier start
-    /// says nothing of a later one.
+    /// Returns an upstream mutably if the given lifetime is the known one; the result of a request
+    /// to an earlier lifetime must not change a later one.
     pub fn get_lifetime_mut(&mut self, lifetime: &Lifetime) -> Option<&mut Upstream> {
         let upstream = self.upstreams.get_mut(&lifetime.id)?;
         (upstream.entry.born_at == lifetime.born_at).then_some(upstream)
     }
 
-    /// Counts a request of this host at a start of an upstream, if that start is the one known.
+    /// Counts a request of this host at an upstream, if the given lifetime is the known one.
     pub fn begin_request(&mut self, lifetime: &Lifetime, prompt_tokens: u64) {
         let Some(upstream) = self.get_lifetime_mut(lifetime) else {
             return;
@@ -321,7 +335,7 @@
         self.busy.insert(lifetime.id.clone());
     }
 
-    /// Takes note that the prompt of a request was read.
+    /// Records that the engine has processed the prompt of a request.
     pub fn note_prompt_read(&mut self, lifetime: &Lifetime, prompt_tokens: u64) {
         if let Some(upstream) = self.get_lifetime_mut(lifetime) {
             upstream.prompt_tokens = upstream.prompt_tokens.saturating_sub(prompt_tokens);
@@ -330,7 +344,7 @@
         }
     }
 
-    /// Takes note that a request of this host is over.
+    /// Records that a request of this host ended.
     pub fn end_request(&mut self, lifetime: &Lifetime) {
         let Some(upstream) = self.get_lifetime_mut(lifetime) else {
             return;
@@ -341,27 +355,27 @@
         }
     }
 
-    /// Returns the upstreams with requests of this host under way.
+    /// Returns the upstreams with requests of this host in progress.
     pub fn busy(&self) -> impl Iterator<Item = &Upstream> {
         self.busy.iter().filter_map(|id| self.upstreams.get(id))
     }
 
-    /// Returns the version of which starts are listed.
+    /// Returns a number that changes whenever an upstream is added, restarted or removed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns how many upstreams there are.
+    /// Returns the number of upstreams, leaving ones included.
     pub fn count(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Returns every upstream.
+    /// Iterates over all upstreams, leaving ones included.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// Returns the upstreams of a service that may get new work.
+    /// Returns the upstreams of a service that may get new requests: all that are not leaving.
     pub fn usable<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
         let serving = self.index.serving(service);
         serving
@@ -369,7 +383,7 @@
             .filter(|upstream| !upstream.entry.leaving)
     }
 
-    /// Returns the upstreams that list a model.
+    /// Returns the upstreams whose entries list a model, leaving ones included.
     pub fn listing<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Upstream> {
         let listing = self.index.listing(model);
         listing.filter_map(|id| self.upstreams.get(id))
@@ -382,25 +396,30 @@
         self.version += 1;
         self.busy.swap_remove(id);
         self.index.remove(&upstream.entry);
-        let past = Past {
+        let past = PastLifetime {
             born_at: upstream.entry.born_at,
             is_over: is_over || upstream.entry.leaving,
-            nth: self.past_count,
+            sequence: self.next_sequence,
         };
         let name = upstream.entry.id;
-        self.past_order.push_back((self.past_count, name.clone()));
-        self.past_count += 1;
+        self.past_order
+            .push_back((self.next_sequence, name.clone()));
+        self.next_sequence += 1;
         self.past.insert(name, past);
-        self.forget_oldest();
+        self.trim_past();
         true
     }
 
-    fn forget_oldest(&mut self) {
-        let most = self.upstreams.len().max(LEAST_PAST);
+    fn trim_past(&mut self) {
+        let most = self.upstreams.len().max(MIN_REMEMBERED_PAST);
         while self.past_order.len() > most
-            && let Some((nth, name)) = self.past_order.pop_front()
+            && let Some((sequence, name)) = self.past_order.pop_front()
         {
-            if self.past.get(&name).is_some_and(|past| past.nth == nth) {
+            if self
+                .past
+                .get(&name)
+                .is_some_and(|past| past.sequence == sequence)
+            {
                 self.past.swap_remove(&name);
             }
         }
--- a/src/upstreams/tests.rs
+++ b/src/upstreams/tests.rs
@@ -1,4 +1,5 @@
-//! Leaving, outages of the list, and lifetimes that ended.
+//! Tests of the registry of upstreams: leaving, outages of the list, lifetimes that ended, and
+//! health.
 
 use super::registry::Change;
 use super::*;
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn an_upstream_that_leaves_gets_nothing_and_does_not_come_back() {
+fn a_leaving_upstream_gets_no_requests_and_stays_leaving() {
     let mut registry = Registry::default();
     registry.note_heard(Millis(0));
     assert_eq!(registry.put(entry("a")), Change::Added);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_removal_in_quiet_times_takes_effect_at_once() {
+fn a_removal_without_an_outage_takes_effect_at_once() {
     let mut registry = Registry::default();
     registry.note_heard(Millis(0));
     registry.put(entry("a"));
@@ -59,8 +60,10 @@
     assert_eq!(usable(&registry), [""; 0]);
 }
 
+/// Guards against an outage that is inferred only because a busy orderer sent its copy of the list
+/// late.
 #[test]
-fn a_removal_after_late_words_of_a_busy_orderer_takes_effect_at_once() {
+fn a_removal_after_a_late_copy_of_the_list_takes_effect_at_once() {
     let mut registry = Registry::default();
     registry.note_heard(Millis(0));
     registry.put(entry("a"));
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_in_an_outage_are_used_until_they_had_time_to_come_back() {
+fn upstreams_whose_entries_lapsed_in_an_outage_are_used_for_the_grace_period() {
     let mut registry = Registry::default();
     registry.note_heard(Millis(0));
     for id in ["back", "gone", "left"] {
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_late_copy_of_an_entry_does_not_revive_a_lifetime_that_ended() {
+fn a_late_copy_of_an_entry_does_not_restore_a_lifetime_that_ended() {
     let mut registry = Registry::default();
     registry.put(entry("a"));
     assert!(registry.end_lifetime(&lifetime("a", 0)));
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn a_silent_upstream_rests_longer_each_time_and_an_answer_ends_it() {
+fn an_unreachable_upstream_backs_off_longer_each_time_and_an_answer_ends_the_backoff() {
     let mut health = Health::default();
     let first = health.note_unreachable(Millis(0));
     let second = health.note_unreachable(first);
@@ -109,7 +112,7 @@
 }
 
 #[test]
-fn a_failing_upstream_is_known_after_a_few_results_and_forgiven_in_time() {
+fn the_failure_share_rises_after_a_few_failures_and_decays_with_time() {
     let mut health = Health::default();
     for _ in 0..6 {
         health.note_failure(Millis(1_000));
@@ -119,34 +122,34 @@
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_name_is_used_again() {
+fn an_upstream_that_restarts_under_its_name_is_used_again() {
     let mut registry = Registry::default();
-    let born = |born_at: u64, leaving: bool| UpstreamEntry {
+    let entry_born_at = |born_at: u64, leaving: bool| UpstreamEntry {
         born_at: Millis(born_at),
         leaving,
         ..entry("a")
     };
-    registry.put(born(5, false));
+    registry.put(entry_born_at(5, false));
     let former = lifetime("a", 5);
     if let Some(upstream) = registry.get_lifetime_mut(&former) {
         upstream.health.note_unreachable(Millis(0));
         upstream.in_flight = 3;
     }
-    assert_eq!(registry.put(born(5, true)), Change::Leaving);
-    assert_eq!(registry.put(born(6, false)), Change::Restarted);
+    assert_eq!(registry.put(entry_born_at(5, true)), Change::Leaving);
+    assert_eq!(registry.put(entry_born_at(6, false)), Change::Restarted);
     assert_eq!(usable(&registry), ["a"]);
     assert!(registry.get_lifetime_mut(&former).is_none());
-    let upstream = registry.get("a").expect("it is listed");
+    let upstream = registry.get("a").expect("the upstream is listed");
     assert!(!upstream.health.is_resting(Millis(1)));
     assert_eq!(upstream.in_flight, 0);
     assert!(!registry.end_lifetime(&former));
-    // Its former start's farewell comes late.
-    assert_eq!(registry.put(born(5, true)), Change::None);
+    // The leaving entry of the former lifetime arrives late.
+    assert_eq!(registry.put(entry_born_at(5, true)), Change::None);
     assert_eq!(usable(&registry), ["a"]);
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_upstream_until_a_good_one_is_written() {
+fn an_upstream_with_an_unreadable_entry_is_removed_until_a_valid_one_is_written() {
     let mut registry = Registry::default();
     registry.put(entry("a"));
     registry.put(entry("b"));
@@ -156,12 +159,13 @@
     assert_eq!(usable(&registry), ["b", "a"]);
 }
 
-/// News of one upstream's starts in any order: whatever comes, what is known is of the newest start that was told of.
+/// Guards against late information about an earlier lifetime that changes a later one: entries,
+/// restarts and removals of one upstream arrive in any order, and the newest lifetime stays known.
 #[test]
-fn news_of_an_earlier_start_never_undoes_that_of_a_later_one() {
+fn information_about_an_earlier_lifetime_never_changes_a_later_one() {
     arbtest::arbtest(|u| {
         let mut registry = Registry::default();
-        let (mut newest, mut left) = (0, IndexSet::new());
+        let (mut newest, mut ended) = (0, IndexSet::new());
         for _ in 0..u.int_in_range(1..=60u8)? {
             let born_at = u.int_in_range(1..=6u64)?;
             let listed = registry.get("a").is_some();
@@ -176,7 +180,7 @@
                     registry.put(put);
                     newest = newest.max(born_at);
                     if leaving && born_at == newest {
-                        left.insert(born_at);
+                        ended.insert(born_at);
                     }
                 }
                 3 if listed => {
@@ -185,7 +189,7 @@
                 }
                 4 => drop(registry.remove(Millis(0), "a")),
                 5 if registry.end_lifetime(&lifetime("a", born_at)) => {
-                    left.insert(born_at);
+                    ended.insert(born_at);
                 }
                 6 => drop(registry.drop_unreadable("a")),
                 _ => {
@@ -197,7 +201,7 @@
             if let Some(known) = registry.get("a") {
                 assert_eq!(known.entry.born_at, Millis(newest));
             }
-            if left.contains(&newest) {
+            if ended.contains(&newest) {
                 assert_eq!(usable(&registry), [""; 0]);
             }
         }
@@ -206,9 +210,10 @@
     .size_max(4_096);
 }
 
-/// Guards against an outage that is inferred from a relay's copy which is older than what was heard last.
+/// Guards against an outage that is inferred from a relay's copy of the list which is older than
+/// the last known one.
 #[test]
-fn an_older_copy_of_the_list_makes_no_outage() {
+fn an_older_copy_of_the_list_does_not_count_as_an_outage() {
     let mut registry = Registry::default();
     registry.put(entry("a"));
     registry.note_heard(Millis(10_000));
@@ -218,9 +223,10 @@
     assert_eq!(registry.remove(Millis(10_100), "a"), Change::Gone);
 }
 
-/// Guards against late copies of entries where more upstreams are replaced than names are remembered.
+/// Guards against late copies of entries that add removed upstreams again when a release replaces
+/// more upstreams than the least number of remembered names.
 #[test]
-fn late_copies_after_a_release_of_ten_thousand_upstreams_bring_none_back() {
+fn late_copies_after_a_release_of_ten_thousand_upstreams_restore_none() {
     let mut registry = Registry::default();
     let old: Vec<UpstreamEntry> = (0..10_000).map(|n| entry(&format!("old{n}"))).collect();
     for entry in &old {
@@ -237,9 +243,10 @@
     assert_eq!(registry.iter().count(), 10_000);
 }
 
-/// Holds over random histories of the list and of this host's requests.
+/// Compares the indexes with a scan over all upstreams, after random changes of the list and random
+/// requests of this host.
 #[test]
-fn what_is_looked_up_is_what_a_walk_over_all_upstreams_finds() {
+fn index_lookups_match_a_scan_of_all_upstreams() {
     arbtest::arbtest(|u| {
         let mut registry = Registry::default();
         for _ in 0..u.int_in_range(1..=80u8)? {
@@ -268,19 +275,19 @@
             let names = |found: &mut dyn Iterator<Item = &Upstream>| -> IndexSet<Name> {
                 found.map(|upstream| upstream.entry.id.clone()).collect()
             };
-            let walk = |with: &dyn Fn(&Upstream) -> bool| {
+            let scan = |with: &dyn Fn(&Upstream) -> bool| {
                 names(&mut registry.iter().filter(|upstream| with(upstream)))
             };
-            let in_use = walk(&|upstream| upstream.in_flight > 0);
+            let in_use = scan(&|upstream| upstream.in_flight > 0);
             assert_eq!(names(&mut registry.busy()), in_use);
             for service in ["service", "other"] {
-                let serving = walk(&|upstream| {
+                let serving = scan(&|upstream| {
                     &*upstream.entry.service == service && !upstream.entry.leaving
                 });
                 assert_eq!(names(&mut registry.usable(service)), serving);
             }
             for model in ["m0", "m1", "m2"] {
-                let holding = walk(&|upstream| upstream.holds(model, None));
+                let holding = scan(&|upstream| upstream.holds(model, None));
                 assert_eq!(names(&mut registry.listing(model)), holding);
             }
         }
