--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -103,7 +103,8 @@
     pub repeat: Repeat,
     /// Whether answers are event streams.
     pub streams: bool,
-    /// The longest time until the answer; later the request fails with a timeout.
+    /// The longest time from the arrival of a request to the end of its answer. A caller may set a
+    /// shorter one.
     pub time_limit_ms: Millis,
     /// The latency objective for an answer or, for a stream, for its first event.
     pub goal_ms: Millis,
@@ -130,7 +131,7 @@
 /// A set of interchangeable upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Most connections that one upstream accepts from all hosts together.
+    /// Most connections that one upstream accepts from all hosts together; zero for no bound.
     pub max_connections: u32,
     /// The capacity and models of its upstreams, if they are engines.
     pub engine: Option<EngineSpec>,
--- a/src/membership/entry.rs
+++ b/src/membership/entry.rs
@@ -1,34 +1,36 @@
-//! The entry answer: which hosts a caller does well to connect to, and for how long.
+//! The entry answer, which tells a caller which hosts to connect to and how long the answer is
+//! valid.
 
 use crate::membership::members::Members;
 use crate::membership::probes::Probes;
 use crate::prelude::*;
 use crate::rendezvous;
 
-/// How long a caller may keep an entry answer.
+/// How long a caller may use an entry answer.
 pub const ENTRY_TTL_MS: Millis = Millis(5_000);
-/// Most hosts in one answer.
+/// Most hosts in one entry answer.
 pub const MAX_ENTRY_HOSTS: usize = 8;
 
-/// An entry answer.
+/// The hosts to which a caller may connect for a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryAnswer {
-    /// Addresses, the best first.
+    /// The caller addresses of the hosts, the preferred one first.
     pub hosts: Vec<Name>,
-    /// How long the answer may be kept.
+    /// How long the answer may be used.
     pub ttl_ms: Millis,
 }
 
-/// Orders hosts for a key by rendezvous hashing: the first one is the key's home.
+/// Ranks hosts for a key by rendezvous hashing. The first one is the key's home, the host that is
+/// responsible for it.
 pub fn rank(key: &str, hosts: impl Iterator<Item = Incarnation>) -> Vec<Incarnation> {
     let mut scored: Vec<(u64, Incarnation)> = hosts.map(|host| (score(key, host), host)).collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Returns the home of a key among the present hosts that answered their last probe. A host that
-/// joined and has answered none yet may be one that no other host reaches; two hosts that both take
-/// themselves for the home do no harm.
+/// Returns the home of a key among this host and the present hosts that answered their last probe.
+/// A host that joined and has not answered a probe yet is left out, since it may be unreachable for
+/// all others. It does no harm if two hosts both consider themselves the home.
 pub fn home(key: &str, me: Incarnation, members: &Members, probes: &Probes) -> Option<Incarnation> {
     members
         .iter()
@@ -37,7 +39,9 @@
         .max_by_key(|host| (score(key, *host), *host))
 }
 
-/// Makes the entry answer for a brand and a model.
+/// Returns the entry answer for a key. Suspected and stopping hosts are left out, and hosts that
+/// missed their last probe are named only if there is no other. `serving` tells whether this host,
+/// `me`, may be named.
 pub fn entry_answer(
     key: &str,
     me: Incarnation,
@@ -61,7 +65,7 @@
         usable.push(me);
     }
     if usable.is_empty() {
-        // Likely this host is the one that is cut off.
+        // Probably this host is the one that is isolated.
         usable = silent;
     }
     let hosts = rank(key, usable.into_iter())
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -1,53 +1,66 @@
-//! Whether this host's state is current enough to serve.
+//! Decides whether this host's state is current enough to serve.
 //!
-//! A host is fresh while, within the bound, it applied everything up to the end of the log as read
-//! by itself or by a peer, or, with the log out of reach, everything that a majority of the counted
-//! hosts has applied. A gap in its own clock makes it stale until it learns the newest offset anew.
+//! A host is fresh if, within the freshness bound, it applied everything up to the end of the log
+//! as read by itself or by a peer. While the log is unreachable it is fresh if it applied
+//! everything that a majority of the voters had applied. After a gap in its own clock, which shows
+//! that the process was paused, a host is stale until it learns the newest offset again.
 
 use crate::membership::members::Members;
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// How long a reachable log gets to show what a peer has applied, before the peer is asked for it.
+/// While the log is reachable: how long this host waits to read records that a peer has applied
+/// from the log, before it requests them from the peer.
 pub const RELAY_AFTER_MS: Millis = Millis(300);
-/// How long a peer's records are waited for before they are asked for again.
+/// The timeout of a request to a peer for records, after which they are requested again.
 pub const RELAY_TIMEOUT_MS: Millis = Millis(1_000);
 
-/// Most answers of one peer that are kept until what they show is applied here.
+/// Most probe answers kept per peer until this host has applied what the peer had applied.
 pub const MAX_AHEAD: usize = 16;
 
-/// What this host knows of its own freshness.
+/// The evidence for the freshness of this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Freshness {
     bound_ms: Millis,
     pause_ms: Millis,
     last_event_at: Option<Millis>,
+    /// The end of the last pause; older evidence does not count.
     not_before: Millis,
+    /// The latest time as of which this host has applied the whole log.
     log_known_at: Option<Millis>,
+    /// The latest time as of which this host has applied everything that a peer had applied.
     peers_known_at: IndexMap<Incarnation, Millis>,
-    peers_ahead: IndexMap<Incarnation, VecDeque<Ahead>>,
+    /// Answers of peers that had applied more than this host, oldest first.
+    peers_ahead: IndexMap<Incarnation, VecDeque<PeerAnswer>>,
+    /// Whether the host was fresh at the last call of [`Freshness::note_change`].
     was_fresh: bool,
-    behind: Option<Behind>,
+    /// The first offset that this host was found to lack since it last caught up.
+    behind: Option<Lag>,
+    /// When records were requested from a peer, if the request is outstanding.
     relay_asked_at: Option<Millis>,
 }
 
-/// What a peer had applied when it answered, beyond what is applied here.
+/// A peer's answer to a probe, kept until this host has applied as much as the peer had.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Ahead {
+struct PeerAnswer {
+    /// The peer's next offset.
     offset: Offset,
+    /// When the probe was sent.
     asked_at: Millis,
+    /// The time as of which the peer had applied the whole log.
     log_known_at: Option<Millis>,
 }
 
-/// Since when an offset is known of that is not applied here.
+/// An offset that this host has not reached yet, and since when it knows of it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Behind {
+struct Lag {
     offset: Offset,
     since: Millis,
 }
 
 impl Freshness {
-    /// Makes the state with the freshness bound and the longest gap that is not a pause.
+    /// Creates the state. `bound_ms` is the freshness bound; a longer gap between two events than
+    /// `pause_ms` counts as a pause of the process.
     pub fn new(bound_ms: Millis, pause_ms: Millis) -> Self {
         Self {
             bound_ms,
@@ -56,12 +69,13 @@
         }
     }
 
-    /// Returns the freshness bound.
+    /// Returns the freshness bound: the greatest age of evidence that counts.
     pub fn bound_ms(&self) -> Millis {
         self.bound_ms
     }
 
-    /// Takes note of the time before each event, and tells whether the process was paused.
+    /// Records the time of an event, before it is handled. Returns whether the process was paused
+    /// before it.
     pub fn note_time(&mut self, now: Millis) -> bool {
         let gap = self
             .last_event_at
@@ -75,18 +89,19 @@
         paused
     }
 
-    /// Takes note that everything in the log as of `at` is applied.
+    /// Records that this host has applied everything that was in the log at the time `at`.
     pub fn log_known(&mut self, at: Millis) {
         self.log_known_at = self.log_known_at.max(Some(at));
     }
 
-    /// Takes note that everything a peer had applied as of `at` is applied here.
-    pub fn peer_known(&mut self, peer: Incarnation, at: Millis) {
+    /// Records that this host has applied everything that a peer had applied at the time `at`.
+    pub fn note_peer_applied(&mut self, peer: Incarnation, at: Millis) {
         let known_at = self.peers_known_at.entry(peer).or_default();
         *known_at = (*known_at).max(at);
     }
 
-    /// Takes a peer's answer: its next offset, and since when it knew of all that is in the log.
+    /// Handles a peer's answer to a probe that was sent at `asked_at`: the peer's next offset, and
+    /// the time as of which the peer had applied the whole log.
     pub fn on_peer_offset(
         &mut self,
         peer: Incarnation,
@@ -98,31 +113,33 @@
         if ahead.len() >= MAX_AHEAD {
             ahead.pop_front();
         }
-        ahead.push_back(Ahead {
+        ahead.push_back(PeerAnswer {
             offset,
             asked_at,
             log_known_at,
         });
     }
 
-    /// Takes note of the own next offset: peers' answers up to there show nothing that is missing
-    /// here.
+    /// Records this host's own next offset. Answers of peers that had applied no more than that
+    /// become evidence of freshness.
     pub fn on_applied(&mut self, own: Offset) {
-        let mut known = Vec::new();
+        let mut reached = Vec::new();
         for (peer, ahead) in &mut self.peers_ahead {
             while let Some(entry) = ahead.pop_front_if(|entry| entry.offset <= own) {
-                known.push((*peer, entry));
+                reached.push((*peer, entry));
             }
         }
-        for (peer, entry) in known {
-            self.peer_known(peer, entry.asked_at);
+        for (peer, entry) in reached {
+            self.note_peer_applied(peer, entry.asked_at);
             if let Some(at) = entry.log_known_at {
                 self.log_known(at);
             }
         }
     }
 
-    /// Takes note that a peer has applied more; tells whether it is to be asked for its records.
+    /// Records that a peer has applied more than this host: its next offset is `peer`, this host's
+    /// is `own`. Returns whether to request the records from the peer now; the request is then
+    /// assumed to be sent.
     pub fn is_relay_due(
         &mut self,
         now: Millis,
@@ -132,46 +149,46 @@
     ) -> bool {
         let caught_up = self.behind.is_none_or(|behind| own >= behind.offset);
         if caught_up {
-            self.behind = Some(Behind {
+            self.behind = Some(Lag {
                 offset: peer,
                 since: now,
             });
         }
-        let waited = self
+        let overdue = self
             .behind
             .is_some_and(|behind| now.since(behind.since) >= RELAY_AFTER_MS);
-        let asked = self
+        let outstanding = self
             .relay_asked_at
             .is_some_and(|at| now.since(at) < RELAY_TIMEOUT_MS);
-        if asked || (log_reachable && !waited) {
+        if outstanding || (log_reachable && !overdue) {
             return false;
         }
         self.relay_asked_at = Some(now);
         true
     }
 
-    /// Takes note that a peer passed records on.
+    /// Records that a peer answered a request for records.
     pub fn relay_answered(&mut self) {
         self.relay_asked_at = None;
     }
 
-    /// Returns the time of the newest event.
+    /// Returns the time of the latest event.
     pub fn now(&self) -> Millis {
         self.last_event_at.unwrap_or_default()
     }
 
-    /// Forgets peers that are no longer members.
+    /// Removes the evidence from peers that are no longer known members.
     pub fn retain_members(&mut self, members: &Members) {
         self.peers_known_at.retain(|peer, _| members.knows(*peer));
         self.peers_ahead.retain(|peer, _| members.knows(*peer));
     }
 
-    /// Returns how long ago the end of the log was known.
+    /// Returns the age of the latest time as of which this host had applied the whole log.
     pub fn log_age(&self, now: Millis) -> Option<Millis> {
         self.log_known_at.map(|at| now.since(at))
     }
 
-    /// Tells whether this host may serve.
+    /// Returns whether this host may serve.
     pub fn is_fresh(&self, now: Millis, me: Incarnation, members: &Members) -> bool {
         if !members.is_member(me) {
             return false;
@@ -179,7 +196,7 @@
         self.is_current(now, self.log_known_at) || self.sees_majority(now, me, members)
     }
 
-    /// Writes a log event when freshness changed since the last call.
+    /// Writes a log event if the freshness changed since the last call.
     pub fn note_change(&mut self, fresh: bool) {
         if fresh == self.was_fresh {
             return;
--- a/src/membership/leaving.rs
+++ b/src/membership/leaving.rs
@@ -1,36 +1,41 @@
-//! Which upstreams are leaving: by their own word, by the platform's list, or by a peer's hint.
+//! Marks of upstreams that are leaving, as reported by the upstream itself, by the platform's list
+//! or by a hint of another host.
 //!
-//! A mark lasts for some time after the last first-hand word, which the list and the upstream
-//! repeat many times over. Hints carry the age of that word, so a mark does not outlive it by being
-//! passed around.
+//! A mark expires some time after the last first-hand report, which the upstream and the list
+//! repeat many times within that time. A hint carries the age of that report, so that hosts that
+//! pass hints to each other do not extend a mark.
 
 use crate::prelude::*;
 
-/// How long an upstream counts as leaving after the last first-hand word.
+/// How long an upstream counts as leaving after the last first-hand report.
 pub const LEAVING_MARK_MS: Millis = Millis(5_000);
-/// Most upstreams marked at once.
+/// Most upstreams that are marked at the same time.
 pub const MAX_MARKS: usize = 4096;
-/// Most hints in one probe.
+/// Most hints sent or accepted in one probe.
 pub const MAX_HINTS: usize = 32;
 
-/// A hint to a peer.
+/// A hint to another host that an upstream is leaving.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeavingHint {
-    /// The upstream.
+    /// The name of the upstream.
     pub upstream: Name,
-    /// How long ago it or the platform's list said so.
+    /// The age of the last first-hand report: by the upstream itself or the platform's list.
     pub age_ms: Millis,
 }
 
-/// The upstreams that are leaving, with the time of the last first-hand word.
+/// The marks of upstreams that are leaving.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Leaving {
+    /// The time of the last first-hand report, by upstream that is marked.
     said_at: IndexMap<Name, Millis>,
+    /// The time at which a mark was cleared, by upstream that turned out not to be leaving.
     live_at: IndexMap<Name, Millis>,
 }
 
 impl Leaving {
-    /// Takes a word that was said at `said_at`; tells whether the upstream was not marked before.
+    /// Marks an upstream as leaving by a first-hand report of `said_at`. Returns whether the
+    /// upstream is newly marked. A report that is not newer than the last [`clear`](Self::clear)
+    /// has no effect, nor has one beyond [`MAX_MARKS`].
     pub fn mark(&mut self, upstream: &Name, said_at: Millis) -> bool {
         if self
             .live_at
@@ -50,37 +55,38 @@
         true
     }
 
-    /// Tells whether an upstream is marked.
+    /// Returns whether an upstream is marked.
     pub fn is_marked(&self, upstream: &str) -> bool {
         self.said_at.contains_key(upstream)
     }
 
-    /// Takes the word that an upstream is live after all; hints of older words no longer count.
+    /// Removes the mark of an upstream that turned out not to be leaving; hints of reports before
+    /// `now` no longer have an effect.
     pub fn clear(&mut self, upstream: &Name, now: Millis) {
         self.said_at.shift_remove(upstream);
         self.live_at.insert(upstream.clone(), now);
     }
 
-    /// Ends the marks that are over, and returns their upstreams.
+    /// Removes the expired marks and returns their upstreams.
     pub fn expire(&mut self, now: Millis) -> Vec<Name> {
-        let is_over = |at: &Millis| now.since(*at) > LEAVING_MARK_MS;
-        self.live_at.retain(|_, at| !is_over(at));
-        let over = self.said_at.extract_if(.., |_, at| is_over(at));
-        over.map(|(upstream, _)| upstream).collect()
+        let is_expired = |at: &Millis| now.since(*at) > LEAVING_MARK_MS;
+        self.live_at.retain(|_, at| !is_expired(at));
+        let expired = self.said_at.extract_if(.., |_, at| is_expired(at));
+        expired.map(|(upstream, _)| upstream).collect()
     }
 
-    /// Returns hints for a peer, the newest words first.
+    /// Returns the hints for a probe: at most [`MAX_HINTS`], those with the newest reports first.
     pub fn hints(&self, now: Millis) -> Vec<LeavingHint> {
-        let mut newest: Vec<(&Name, Millis)> = self
+        let mut by_age: Vec<(&Name, Millis)> = self
             .said_at
             .iter()
             .map(|(upstream, at)| (upstream, now.since(*at)))
             .collect();
-        newest.sort_by_key(|(_, age_ms)| *age_ms);
-        let hint = |(upstream, age_ms): (&Name, Millis)| LeavingHint {
+        by_age.sort_by_key(|(_, age_ms)| *age_ms);
+        let to_hint = |(upstream, age_ms): (&Name, Millis)| LeavingHint {
             upstream: upstream.clone(),
             age_ms,
         };
-        newest.into_iter().take(MAX_HINTS).map(hint).collect()
+        by_age.into_iter().take(MAX_HINTS).map(to_hint).collect()
     }
 }
--- a/src/membership/members.rs
+++ b/src/membership/members.rs
@@ -1,53 +1,57 @@
-//! The fold's part of membership: who joined, who departed, and who counts for majorities.
+//! The membership state derived from the log: which hosts joined, which departed, and which are
+//! voters.
 //!
-//! Majorities protect edits while the log is out of reach, so the counted set changes one host at a
-//! time, and only with the word of a majority of the former set that it has applied the change.
+//! Like all state that is folded from the log, it is the same at every host that has applied the
+//! same records. Voters are the hosts that count for majorities. Majorities protect edits while the
+//! log is unreachable, so the set of voters changes by one host at a time, and only after a
+//! majority of the former voters confirmed that they have applied the join or departure.
 
 use crate::membership::message::HostEntry;
 use crate::prelude::*;
 
-/// Most hosts in the fold, departed ones included.
+/// Most hosts in the state, departed ones included.
 pub const MAX_MEMBERS: usize = 4096;
 
-/// Most incarnations remembered after their processes are gone.
+/// Most incarnations that are remembered after their processes ended.
 pub const MAX_FORGOTTEN: usize = 4096;
 
-/// Where a host stands.
+/// The state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It joined.
+    /// The host joined and has not departed since.
     Present,
-    /// It left or was evicted.
+    /// The host left or was evicted; its process may still run.
     Departed,
 }
 
-/// A host.
+/// A host that joined.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its addresses and place.
+    /// The host's addresses and data centre.
     pub entry: HostEntry,
-    /// The offset of its last change of state.
+    /// The offset of the record by which it joined or departed.
     pub changed_at: Offset,
-    /// Where it stands.
+    /// Whether it is present or departed.
     pub state: MemberState,
-    /// Whether it counts for majorities.
+    /// Whether it is a voter, that is, counts for majorities.
     pub counted: bool,
-    /// The last sequence number that the fold saw of it.
+    /// The highest sequence number of its records that were applied.
     pub last_seq: u64,
 }
 
-/// The hosts.
+/// The hosts that are present or departed, by incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Members {
     hosts: IndexMap<Incarnation, Member>,
+    /// The offset of the last change of the set of voters.
     last_counted_at: Offset,
-    /// Incarnations that are gone, so that a late copy of their records stays without effect.
+    /// The incarnations whose processes ended, so that late copies of their records have no effect.
     forgotten: IndexSet<Incarnation>,
 }
 
 impl Members {
-    /// Tells whether the fold saw this record, or a later one of the same writer.
+    /// Returns whether this record, or a later one of the same writer, was applied before.
     pub fn is_duplicate(&self, id: RecordId) -> bool {
         if self.forgotten.contains(&id.host) {
             return true;
@@ -55,55 +59,56 @@
         id.seq <= self.last_seq(id.host)
     }
 
-    /// Returns the last sequence number that the fold saw of a host, or zero.
+    /// Returns the highest applied sequence number of a host's records, or zero.
     pub fn last_seq(&self, host: Incarnation) -> u64 {
         self.hosts.get(&host).map_or(0, |member| member.last_seq)
     }
 
-    /// Takes note of a record's sequence number.
+    /// Records the sequence number of an applied record.
     pub fn note_sequence(&mut self, id: RecordId) {
         if let Some(member) = self.hosts.get_mut(&id.host) {
             member.last_seq = member.last_seq.max(id.seq);
         }
     }
 
-    /// Tells whether a host is present.
+    /// Returns whether a host is present.
     pub fn is_member(&self, host: Incarnation) -> bool {
         self.hosts
             .get(&host)
             .is_some_and(|member| member.state == MemberState::Present)
     }
 
-    /// Tells whether the fold still knows a host, present or departed.
+    /// Returns whether a host is present or departed, and not forgotten.
     pub fn knows(&self, host: Incarnation) -> bool {
         self.hosts.contains_key(&host)
     }
 
-    /// Returns a host that is present or departed but not gone.
+    /// Returns a host that is present or departed.
     pub fn get(&self, host: Incarnation) -> Option<&Member> {
         self.hosts.get(&host)
     }
 
-    /// Returns the hosts that are present or departed.
+    /// Iterates over the hosts that are present or departed.
     pub fn known(&self) -> impl Iterator<Item = Incarnation> {
         self.hosts.keys().copied()
     }
 
-    /// Returns the hosts that are present.
+    /// Iterates over the hosts that are present.
     pub fn iter(&self) -> impl Iterator<Item = (&Incarnation, &Member)> {
         self.hosts
             .iter()
             .filter(|(_, member)| member.state == MemberState::Present)
     }
 
-    /// Returns the hosts that departed and whose processes may still exist.
+    /// Iterates over the hosts that departed and whose processes may still run.
     pub fn departed(&self) -> impl Iterator<Item = (&Incarnation, &Member)> {
         self.hosts
             .iter()
             .filter(|(_, member)| member.state == MemberState::Departed)
     }
 
-    /// Returns the hosts that count for majorities, departed ones included until that counts.
+    /// Iterates over the voters: the hosts that count for majorities. A departed host remains a
+    /// voter until a majority has confirmed its departure.
     pub fn counted(&self) -> impl Iterator<Item = Incarnation> {
         self.hosts
             .iter()
@@ -111,21 +116,22 @@
             .map(|(host, _)| *host)
     }
 
-    /// Returns the hosts whose last change does not count yet.
+    /// Iterates over the hosts whose join or departure has not changed the set of voters yet.
     pub fn uncounted_changes(&self) -> impl Iterator<Item = (&Incarnation, &Member)> {
         self.hosts.iter().filter(|(_, member)| !member.is_settled())
     }
 
-    /// Returns the offset that a majority must have applied before a host's change counts.
+    /// Returns the next offset that a majority of the voters must have reached before the join or
+    /// departure of a host may change the set of voters.
     pub fn needed_offset(&self, member: &Member) -> Offset {
         member.changed_at.max(self.last_counted_at).next()
     }
 
-    /// Adds a host.
+    /// Adds a host that joined with the record at `offset`; it is not a voter yet.
     ///
     /// # Errors
     ///
-    /// Rejects an incarnation that joined before, and one too many.
+    /// Rejects an incarnation that is known already, and any host beyond [`MAX_MEMBERS`].
     pub fn join(
         &mut self,
         offset: Offset,
@@ -149,11 +155,13 @@
         Ok(())
     }
 
-    /// Makes a host's last change count.
+    /// Makes a present host a voter, or a departed one no longer a voter, with the record at
+    /// `offset`. `confirmed` is the offset that a majority of the voters has reached.
     ///
     /// # Errors
     ///
-    /// Rejects a host without an uncounted change, and a confirmation that is too old.
+    /// Rejects an unknown host, a host whose last change took effect for majorities already, and a
+    /// confirmation below [`needed_offset`](Self::needed_offset), unless there are no voters yet.
     pub fn count(
         &mut self,
         offset: Offset,
@@ -164,8 +172,8 @@
         if member.is_settled() {
             return Err(Rejection::WrongHostState);
         }
-        let first_of_all = self.counted().next().is_none();
-        if !first_of_all && confirmed < self.needed_offset(member) {
+        let no_voters = self.counted().next().is_none();
+        if !no_voters && confirmed < self.needed_offset(member) {
             return Err(Rejection::NotConfirmed);
         }
         if let Some(member) = self.hosts.get_mut(&host) {
@@ -175,7 +183,7 @@
         Ok(())
     }
 
-    /// Takes a host out.
+    /// Marks a host as departed with the record at `offset`; it remains a voter for now.
     ///
     /// # Errors
     ///
@@ -190,8 +198,9 @@
         Ok(())
     }
 
-    /// Forgets a departed host whose process no longer exists. It counts no more, since nobody can
-    /// learn anything from it; later changes wait for a majority that knows this.
+    /// Forgets a departed host whose process no longer exists. It is no longer a voter, since it
+    /// can confirm nothing any more; later changes of the voters need a majority that has applied
+    /// this.
     ///
     /// # Errors
     ///
@@ -214,6 +223,7 @@
 }
 
 impl Member {
+    /// Returns whether the set of voters reflects the host's state.
     fn is_settled(&self) -> bool {
         self.counted == (self.state == MemberState::Present)
     }
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -1,4 +1,5 @@
-//! What is said about hosts and upstreams, on the log and between hosts.
+//! Entries of hosts and upstreams as the log and the platform's list have them, and the messages
+//! between hosts.
 
 use crate::admission::slices::Slice;
 use crate::clock::Millis;
@@ -11,20 +12,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A host's addresses and place.
+/// The addresses and data centre of a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Its name in its settings.
+    /// The host's name, from its settings.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// The name of the host's data centre.
     pub data_centre: Arc<str>,
-    /// Where callers connect.
+    /// The address where callers connect.
     pub caller_address: SocketAddr,
-    /// Where other hosts connect.
+    /// The address where other hosts connect.
     pub peer_address: SocketAddr,
 }
 
-/// What an upstream is.
+/// The kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamRole {
@@ -37,100 +38,100 @@
 /// An upstream's address and properties, as the platform's list has them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its name.
+    /// The upstream's name.
     pub name: Arc<str>,
-    /// What it is.
+    /// Whether it is an engine or a plain service.
     pub role: UpstreamRole,
-    /// Where it listens.
+    /// The address at which it takes requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The name of its data centre.
     pub data_centre: Arc<str>,
-    /// Accelerator memory; zero for services.
+    /// The size of its accelerator memory; zero for services.
     #[serde(default)]
     pub memory_bytes: u64,
-    /// How many requests it batches at once; zero for services.
+    /// Most requests that it runs in one batch; zero for services.
     #[serde(default)]
     pub slots: u32,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether it refuses load and unload orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether it is leaving.
+    /// Whether it is shutting down and takes no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// An entry host as the platform's list has it.
+/// A host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Its name.
+    /// The host's name.
     pub name: Arc<str>,
-    /// The process that registered last, when it said so.
+    /// The incarnation that registered last under this name, if it stated one.
     pub incarnation: Option<Incarnation>,
 }
 
-/// The platform's list of hosts.
+/// The platform's list of upstreams and hosts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Engines and services.
+    /// The engines and plain services.
     pub upstreams: Vec<UpstreamEntry>,
-    /// Entry hosts.
+    /// The hosts.
     pub hosts: Vec<ListedHost>,
 }
 
-/// What one host asks of another.
+/// A request from one host to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Shows life and exchanges offsets.
+    /// A heartbeat that carries the sender's offset.
     Probe(Probe),
-    /// Tells of demand for models.
+    /// The sender's demand for models.
     Demand(DemandHints),
-    /// Asks for applied records from an offset on.
+    /// A request for applied log records, starting at an offset.
     Records {
-        /// The first offset wanted.
+        /// The offset of the first requested record.
         from: Offset,
     },
-    /// Asks a row's home for a slice of its requests a second.
+    /// A request to the home of a table row for a slice of the row's rate limit.
     Slice {
-        /// The row.
+        /// The key of the row.
         row: RowKey,
-        /// How many requests wait for it.
+        /// Number of requests that are waiting for it at the sender.
         wanted: u32,
     },
-    /// Asks the claimer of an operation how it stands.
+    /// A request to the host that claimed an operation for the operation's state.
     Operation {
-        /// The operation.
+        /// The key of the operation.
         operation: OperationKey,
     },
 }
 
-/// What one host answers to another.
+/// The reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The answer to a probe.
+    /// The reply to a probe, with the replying host's own state.
     Probe(Probe),
-    /// The hints were taken.
+    /// The demand was received.
     Noted,
-    /// Applied records, in order.
+    /// Applied log records in the order of the log.
     Records {
-        /// The records; empty when there are none, or they are no longer kept.
+        /// The records; empty if there are none yet, or if they are no longer kept.
         records: Vec<LoggedRecord>,
-        /// The sender's next offset.
+        /// The offset after the last record that the replying host has applied.
         next_offset: Offset,
     },
-    /// A slice of a row's requests a second.
+    /// A slice of a row's rate limit.
     Slice {
-        /// The row.
+        /// The key of the row.
         row: RowKey,
-        /// The slice.
+        /// The granted slice.
         slice: Slice,
-        /// How many requests were asked for.
+        /// The number of waiting requests that the request stated.
         wanted: u32,
     },
-    /// How an operation stands that the sender claimed.
+    /// The state of an operation that the replying host claimed.
     Operation {
-        /// The operation.
+        /// The key of the operation.
         operation: OperationKey,
-        /// How it stands.
+        /// The state of the operation.
         state: OperationState,
     },
 }
@@ -138,16 +139,17 @@
 /// The content of a probe and of its answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Probe {
-    /// The sender.
+    /// The incarnation of the sender.
     pub from: Incarnation,
-    /// The sender's next offset.
+    /// The offset after the last log record that the sender has applied.
     pub next_offset: Offset,
-    /// How long ago the sender's newest read that reached the end of the log began.
+    /// How long ago the newest read began that reached the end of the log and of which the sender
+    /// has applied everything, whichever host read it; `None` if there is none.
     pub log_age_ms: Option<Millis>,
-    /// Whether the sender is stopping.
+    /// Whether the sender is shutting down.
     pub stopping: bool,
-    /// Upstreams that the sender knows to be leaving.
+    /// The upstreams that the sender knows to be leaving.
     pub leaving_upstreams: Vec<LeavingHint>,
-    /// Hosts that the sender suspects to be dead.
+    /// The hosts that the sender suspects to be down.
     pub suspects: Vec<Incarnation>,
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Who the hosts are, which of them are alive, and whether this host's state is current.
+//! Cluster membership of hosts that share a replicated log: which hosts are members, which of them
+//! are alive, and whether this host's state is current enough to serve.
 
 pub mod entry;
 pub mod freshness;
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -1,43 +1,46 @@
-//! Probes between hosts: who is alive, and which offsets they have applied.
+//! Heartbeat probes between hosts, which detect failed hosts and exchange applied log offsets.
 //!
-//! A round costs the same however many hosts there are: a few partners, those that fail first, the
-//! rest picked by a hash of the round. Silence counts from a host's first unanswered probe, so a
-//! host that was merely not asked is not suspected. Each probe names the sender's suspects; a host
-//! is evicted on the agreement of several.
+//! The cost of a round does not depend on the number of hosts: each host probes a few partners, of
+//! which up to half are hosts that did not answer before, and the others are picked by a hash of
+//! the round. The time of silence of a host counts from its first unanswered probe, so that a host
+//! is not suspected merely because it was not probed. Each probe names the hosts that the sender
+//! suspects; a host is evicted when several hosts agree.
 
 use crate::membership::members::Members;
 use crate::membership::message::{PeerRequest, Probe};
 use crate::prelude::*;
 use rapidhash::v3::rapidhash_v3;
 
-/// Most suspects named in one probe.
+/// Most suspected hosts named in one probe.
 pub const MAX_SUSPECTS: usize = 16;
-/// Most hosts asked beside the round at once, for an edit that waits for them.
-pub const MAX_DIRECT_ASKS: usize = 16;
-/// How long a host's offset is not asked for again beside the round.
-pub const DIRECT_ASK_REST_MS: Millis = Millis(100);
-/// How many hosts beside the proposer must suspect a host that is to be evicted, where there are as
-/// many.
+/// Most hosts probed at once outside the regular rounds, when an edit waits for their offsets.
+pub const MAX_DIRECT_PROBES: usize = 16;
+/// Shortest time from the sending of the last answered probe to a host until it is probed outside
+/// the regular rounds.
+pub const DIRECT_PROBE_INTERVAL_MS: Millis = Millis(100);
+/// Number of hosts besides the proposer that must suspect a host for its eviction. If fewer others
+/// are not suspected themselves, all of those suffice.
 pub const MIN_ACCUSERS: usize = 2;
 
-/// What is known of one peer.
+/// What the probes show about one peer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PeerView {
-    /// When the outstanding probe was sent, if one is.
+    /// When the outstanding probe was sent, if there is one.
     pub asked_at: Option<Millis>,
-    /// When the last probe was sent that was answered.
+    /// When the latest answered probe was sent.
     pub answered_at: Option<Millis>,
-    /// When the first probe since then was sent that was not answered.
+    /// When the first unanswered probe since the peer's last sign of life was sent.
     pub failing_since: Option<Millis>,
-    /// The peer's next offset in its last answer.
+    /// The highest next offset that the peer reported.
     pub next_offset: Offset,
-    /// Whether the peer said that it is stopping.
+    /// Whether the peer's last probe or answer said that it is shutting down.
     pub stopping: bool,
-    /// Whether it is suspected to be dead.
+    /// Whether the peer is suspected to be down.
     pub suspected: bool,
-    /// Whether another incarnation answered at its address, so that it takes no calls any more.
+    /// Whether another incarnation answered at the peer's address, so that the peer can no longer
+    /// be reached there.
     pub replaced: bool,
-    /// Which hosts suspect it, and when each last said so.
+    /// The hosts that suspect the peer, with the time of their last probe that said so.
     accusers: IndexMap<Incarnation, Millis>,
 }
 
@@ -48,19 +51,22 @@
     }
 }
 
-/// The probes of one host.
+/// The state of the probes that this host sends.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Probes {
     interval_ms: Millis,
     suspect_after_ms: Millis,
+    /// Most partners in one round.
     per_round: usize,
     next_round_at: Millis,
+    /// The number of rounds so far, which varies the choice of partners.
     round: u64,
     peers: IndexMap<Incarnation, PeerView>,
 }
 
 impl Probes {
-    /// Makes the state: a round each `interval_ms` with `per_round` partners.
+    /// Creates the state. A round of probes to `per_round` partners is sent every `interval_ms`,
+    /// and a peer is suspected after `suspect_after_ms` of silence.
     pub fn new(interval_ms: Millis, suspect_after_ms: Millis, per_round: usize) -> Self {
         Self {
             interval_ms,
@@ -70,29 +76,29 @@
         }
     }
 
-    /// Returns what is known of a peer.
+    /// Returns what the probes show about a peer, if it was probed.
     pub fn get(&self, peer: Incarnation) -> Option<&PeerView> {
         self.peers.get(&peer)
     }
 
-    /// Tells whether a peer is suspected to be dead.
+    /// Returns whether a peer is suspected to be down.
     pub fn is_suspected(&self, peer: Incarnation) -> bool {
         self.get(peer).is_some_and(|view| view.suspected)
     }
 
-    /// Tells whether a peer answered the last probe to it that ended.
+    /// Returns whether a peer answered the last completed probe to it.
     pub fn answers(&self, peer: Incarnation) -> bool {
         self.get(peer)
             .is_some_and(|view| view.answered_at.is_some() && view.failing_since.is_none())
     }
 
-    /// Tells whether a peer left the last probe to it unanswered.
+    /// Returns whether a peer failed to answer the last completed probe to it.
     pub fn is_failing(&self, peer: Incarnation) -> bool {
         self.get(peer)
             .is_some_and(|view| view.failing_since.is_some())
     }
 
-    /// Returns the suspects to name in a probe.
+    /// Returns the suspected hosts to name in a probe, at most [`MAX_SUSPECTS`].
     pub fn suspects(&self) -> Vec<Incarnation> {
         self.peers
             .iter()
@@ -102,7 +108,8 @@
             .collect()
     }
 
-    /// Tells whether enough hosts suspect a peer to evict it without the platform's word.
+    /// Returns whether enough hosts suspect a peer to evict it without confirmation by the
+    /// platform's list.
     pub fn is_agreed_dead(&self, now: Millis, peer: Incarnation, members: &Members) -> bool {
         let Some(view) = self.get(peer).filter(|view| view.suspected) else {
             return false;
@@ -116,13 +123,13 @@
             .count();
         let suspects = members.iter().filter(|(host, _)| self.is_suspected(**host));
         let (suspects, hosts) = (suspects.count(), members.iter().count());
-        // A host that suspects half of all is likely the one that is cut off.
+        // A host that suspects half of all hosts is probably isolated itself.
         let cut_off = suspects * 2 >= hosts;
         let live_others = hosts.saturating_sub(suspects + 1);
         !cut_off && accusers >= live_others.min(MIN_ACCUSERS)
     }
 
-    /// Sends the round that is due.
+    /// Sends a round of probes if one is due, and updates which peers are suspected.
     pub fn on_tick(&mut self, now: Millis, members: &Members, probe: &Probe, fx: &mut Effects) {
         if now < self.next_round_at {
             return;
@@ -133,9 +140,10 @@
         for partner in self.partners(members, probe.from) {
             self.send(now, partner, members, probe, fx);
         }
-        self.suspect_silent(now);
+        self.update_suspicions(now);
     }
 
+    /// Chooses the partners of a round. Up to half of them are hosts that failed to answer.
     fn partners(&self, members: &Members, me: Incarnation) -> IndexSet<Incarnation> {
         let others: Vec<Incarnation> = members
             .iter()
@@ -145,11 +153,11 @@
         if others.len() <= self.per_round {
             return others.into_iter().collect();
         }
-        let failing = |host: &Incarnation| {
+        let is_failing = |host: &Incarnation| {
             self.get(*host)
                 .is_some_and(|view| view.failing_since.is_some())
         };
-        let failing: Vec<Incarnation> = others.iter().copied().filter(failing).collect();
+        let failing: Vec<Incarnation> = others.iter().copied().filter(is_failing).collect();
         let mut chosen = IndexSet::new();
         for pick in 0..self.per_round / 2 {
             chosen.extend(self.pick(me, pick, &failing));
@@ -160,6 +168,7 @@
         chosen
     }
 
+    /// Draws a host by a hash of this host, the round and the number of the draw.
     fn pick(&self, me: Incarnation, pick: usize, hosts: &[Incarnation]) -> Option<Incarnation> {
         let mut bytes = [0; 24];
         bytes[..8].copy_from_slice(&me.0.to_le_bytes());
@@ -170,7 +179,7 @@
         hosts.get(index as usize).copied()
     }
 
-    /// Asks hosts at once whose offsets an edit waits for, beside the rounds.
+    /// Probes hosts outside the regular rounds when an edit waits for their offsets.
     pub fn ask_now(
         &mut self,
         now: Millis,
@@ -180,19 +189,19 @@
         fx: &mut Effects,
     ) {
         let due: Vec<Incarnation> = hosts
-            .filter(|host| *host != probe.from && self.is_direct_ask_due(now, *host))
-            .take(MAX_DIRECT_ASKS)
+            .filter(|host| *host != probe.from && self.is_direct_probe_due(now, *host))
+            .take(MAX_DIRECT_PROBES)
             .collect();
         for host in due {
             self.send(now, host, members, probe, fx);
         }
     }
 
-    fn is_direct_ask_due(&self, now: Millis, host: Incarnation) -> bool {
+    fn is_direct_probe_due(&self, now: Millis, host: Incarnation) -> bool {
         self.get(host).is_none_or(|view| {
-            let rested =
-                |at: Option<Millis>| at.is_none_or(|at| now.since(at) >= DIRECT_ASK_REST_MS);
-            view.asked_at.is_none() && rested(view.answered_at)
+            let interval_over =
+                |at: Option<Millis>| at.is_none_or(|at| now.since(at) >= DIRECT_PROBE_INTERVAL_MS);
+            view.asked_at.is_none() && interval_over(view.answered_at)
         })
     }
 
@@ -220,7 +229,7 @@
         });
     }
 
-    fn suspect_silent(&mut self, now: Millis) {
+    fn update_suspicions(&mut self, now: Millis) {
         for (peer, view) in &mut self.peers {
             let silent_ms = view.failing_since.map(|since| now.since(since));
             let suspected = silent_ms.is_some_and(|silent_ms| silent_ms > self.suspect_after_ms);
@@ -231,24 +240,24 @@
         }
     }
 
-    /// Takes a peer's answer to a probe.
+    /// Handles a peer's answer to a probe that was sent at `asked_at`.
     pub fn on_answer(&mut self, now: Millis, peer: Incarnation, asked_at: Millis, answer: &Probe) {
         let view = self.peers.entry(peer).or_default();
         view.asked_at = None;
         view.answered_at = view.answered_at.max(Some(asked_at));
         view.note_alive();
-        self.take_content(now, answer);
+        self.apply_content(now, answer);
     }
 
-    /// Takes a probe that a peer sent.
+    /// Handles a probe from a peer.
     pub fn on_probe(&mut self, now: Millis, probe: &Probe) {
         if let Some(view) = self.peers.get_mut(&probe.from) {
             view.note_alive();
         }
-        self.take_content(now, probe);
+        self.apply_content(now, probe);
     }
 
-    fn take_content(&mut self, now: Millis, probe: &Probe) {
+    fn apply_content(&mut self, now: Millis, probe: &Probe) {
         if let Some(view) = self.peers.get_mut(&probe.from) {
             view.next_offset = view.next_offset.max(probe.next_offset);
             view.stopping = probe.stopping;
@@ -262,7 +271,7 @@
         }
     }
 
-    /// Takes note that another incarnation answers at a peer's address.
+    /// Records that another incarnation answered at a peer's address.
     pub fn on_replaced(&mut self, peer: Incarnation) {
         if let Some(view) = self.peers.get_mut(&peer) {
             view.replaced = true;
@@ -270,12 +279,12 @@
         self.on_failed(peer);
     }
 
-    /// Tells whether another incarnation answered at a peer's address.
+    /// Returns whether another incarnation answered at a peer's address.
     pub fn is_replaced(&self, peer: Incarnation) -> bool {
         self.get(peer).is_some_and(|view| view.replaced)
     }
 
-    /// Takes the failure of a call to a peer.
+    /// Records that a probe or another call to a peer failed.
     pub fn on_failed(&mut self, peer: Incarnation) {
         let Some(view) = self.peers.get_mut(&peer) else {
             return;
@@ -285,7 +294,8 @@
         }
     }
 
-    /// Forgets all silence: this process was paused, so the silence was its own.
+    /// Discards all suspicions and outstanding probes after this process was paused, since the
+    /// silence was its own.
     pub fn on_pause(&mut self) {
         for view in self.peers.values_mut() {
             view.asked_at = None;
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of membership: probes, freshness, evictions, and edits under cuts and pauses.
+//! Tests of membership: probes, freshness, evictions, and edits during network partitions and
+//! pauses of processes.
 
 pub mod cluster;
 mod edits;
--- a/src/membership/tests/cluster.rs
+++ b/src/membership/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! A few nodes in one thread with a log, a list of hosts, and links that can be cut.
+//! A simulated cluster: a few nodes in one thread, with a log, the platform's list, and links that
+//! can be cut.
 
 use crate::daemon::event::Event;
 use crate::daemon::node::{Life, Node, NodeConfig};
@@ -9,32 +10,39 @@
 use crate::table::acceptance::{CallId, EditResult};
 use crate::table::message::Edit;
 
-/// How far the time moves in a step.
+/// How far the simulated time advances in a step.
 pub const STEP_MS: Millis = Millis(20);
 /// The hosts' freshness bound.
 pub const FRESH_BOUND_MS: Millis = Millis(2_000);
 const START: Millis = Millis(1_000_000);
 
-/// A node with what the outside does to it.
+/// A node with its inbox and the faults injected into it.
 pub struct Host {
     pub node: Node,
+    /// Whether the host cannot reach the log.
     pub log_cut: bool,
+    /// Whether the host's process is paused.
     pub frozen: bool,
+    /// Whether the platform's list lacks the host.
     pub unlisted: bool,
     inbox: Vec<Event>,
+    /// The incarnation that the host registered on the platform's list.
     registered: Option<Incarnation>,
 }
 
-/// Some nodes and their platform.
+/// Several nodes, their log and the platform's list.
 pub struct Cluster {
     pub now: Millis,
     pub log: FakeLog,
     pub hosts: Vec<Host>,
+    /// The links that are cut, as caller and called host.
     pub cut_links: IndexSet<(usize, usize)>,
+    /// The results of answered edits.
     pub edits: IndexMap<CallId, EditResult>,
+    /// The table versions that answers to edits reported as in force.
     pub in_force: Vec<Offset>,
     pub upstreams: Vec<UpstreamEntry>,
-    /// Effects that the cluster does not carry out, with their hosts.
+    /// Effects that the simulation does not carry out, with the indexes of their hosts.
     pub outputs: Vec<(usize, Effect)>,
     calls: Vec<PeerCall>,
     next_call: u64,
@@ -64,14 +72,14 @@
         for number in 0..count {
             cluster.hosts.push(Host::new(number));
         }
-        cluster.run_until("all to serve and to count", |cluster| {
+        cluster.run_until("all hosts to serve and to be voters", |cluster| {
             let counted = cluster.hosts[0].node.shared.members.counted().count();
             counted == count && cluster.hosts.iter().all(|host| host.is_fresh(cluster.now))
         });
         cluster
     }
 
-    /// Moves the time by one step and lets everything due happen.
+    /// Advances the time by one step and handles all events that are due.
     pub fn step(&mut self) {
         self.now += STEP_MS;
         for index in 0..self.hosts.len() {
@@ -103,22 +111,22 @@
             }
             self.step();
         }
-        panic!("waited in vain for {what}");
+        panic!("timed out waiting for {what}");
     }
 
-    /// Hands an event to a host.
+    /// Queues an event for a host.
     pub fn send(&mut self, host: usize, event: Event) {
         self.hosts[host].inbox.push(event);
     }
 
-    /// Hands an edit to a host.
+    /// Queues an edit for a host. Returns the call that its result will have in `edits`.
     pub fn edit(&mut self, host: usize, edit: Edit) -> CallId {
         let call = self.new_call();
         self.hosts[host].inbox.push(Event::EditAsked { call, edit });
         call
     }
 
-    /// Cuts or mends the link between two hosts.
+    /// Cuts or restores the link between two hosts.
     pub fn cut_link(&mut self, a: usize, b: usize, cut: bool) {
         for link in [(a, b), (b, a)] {
             if cut {
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Cuts or mends all links of a host, and its way to the log.
+    /// Cuts or restores all links of a host, and its connection to the log.
     pub fn cut_host(&mut self, host: usize, cut: bool) {
         self.hosts[host].log_cut = cut;
         for other in 0..self.hosts.len() {
@@ -137,7 +145,8 @@
         }
     }
 
-    /// No host that may serve lacks an edit that an operator was told is in force.
+    /// Checks that no host that may serve lacks an edit that was reported to an operator as in
+    /// force.
     fn check(&self) {
         let newest = self.in_force.iter().max().copied().unwrap_or_default();
         for host in &self.hosts {
@@ -147,7 +156,7 @@
             let version = host.node.shared.table.version;
             assert!(
                 version >= newest,
-                "a host serves {version}, {newest} is in force"
+                "a host serves version {version}, but {newest} is in force"
             );
         }
     }
@@ -175,7 +184,7 @@
                         .hosts
                         .iter()
                         .position(|host| host.node.config.entry.peer_address == address);
-                    let to = to.expect("a known address");
+                    let to = to.expect("the address of a host of the cluster");
                     if self.cut_links.contains(&(index, to)) || self.hosts[to].frozen {
                         self.hosts[index].inbox.push(Event::PeerFailed { peer });
                         continue;
@@ -193,7 +202,9 @@
                 }
                 Effect::AnswerPeer { call, reply } => {
                     let known = self.calls.iter().position(|entry| entry.call == call);
-                    let call = self.calls.swap_remove(known.expect("a known call"));
+                    let call = self
+                        .calls
+                        .swap_remove(known.expect("the call is outstanding"));
                     self.hosts[call.caller].inbox.push(Event::PeerAnswered {
                         peer: call.peer,
                         asked_at: call.asked_at,
--- a/src/membership/tests/edits.rs
+++ b/src/membership/tests/edits.rs
@@ -1,4 +1,4 @@
-//! An edit that was told to be in force is in force at every host that serves, whatever fails.
+//! An edit that was reported as in force is in force at every host that serves, whatever fails.
 
 use super::cluster::Cluster;
 use crate::prelude::*;
@@ -6,16 +6,16 @@
 use crate::table::message::Edit;
 use arbtest::arbitrary::{Result, Unstructured};
 
-/// An edit that conflicts with no other one of these tests.
+/// Returns an edit that conflicts with no edit of another number.
 pub fn model_edit(number: usize) -> Edit {
     let name = format!("model-{number}");
     match put_model(&format!("edit-{number}"), Offset(0), &name) {
         RecordBody::Edit { edit } => edit,
-        other => panic!("no edit: {other:?}"),
+        other => panic!("not an edit: {other:?}"),
     }
 }
 
-fn disturb(u: &mut Unstructured<'_>, cluster: &mut Cluster) -> Result<()> {
+fn inject_fault(u: &mut Unstructured<'_>, cluster: &mut Cluster) -> Result<()> {
     let host = u.choose_index(cluster.hosts.len())?;
     let other = u.choose_index(cluster.hosts.len())?;
     match u.int_in_range(0..=7u8)? {
@@ -31,35 +31,39 @@
     Ok(())
 }
 
-fn heal(cluster: &mut Cluster) {
+fn remove_faults(cluster: &mut Cluster) {
     cluster.cut_links.clear();
     for host in &mut cluster.hosts {
         host.log_cut = false;
         host.frozen = false;
         host.unlisted = false;
     }
-    cluster.run_until("all to serve and to have appended", |cluster| {
-        let end = cluster.log.end();
-        cluster.hosts.iter().all(|host| {
-            let node = &host.node;
-            let settled = node.driver.is_drained() && node.shared.next_offset == end;
-            settled && host.is_fresh(cluster.now)
-        })
-    });
+    cluster.run_until(
+        "all hosts to serve and to have applied all appended records",
+        |cluster| {
+            let end = cluster.log.end();
+            cluster.hosts.iter().all(|host| {
+                let node = &host.node;
+                let settled = node.driver.is_drained() && node.shared.next_offset == end;
+                settled && host.is_fresh(cluster.now)
+            })
+        },
+    );
 }
 
-/// [`Cluster::step`] checks after each step that no fresh host lacks an edit in force.
+/// Guards against a host that serves without an edit in force, after random partitions and pauses.
+/// [`Cluster::step`] checks it after each step.
 #[test]
 fn no_host_serves_without_an_edit_that_is_in_force() {
     check_seeds(60, 1024, |u| {
         let mut cluster = Cluster::new(u.int_in_range(2..=5usize)?);
         for number in 0..40 {
-            disturb(u, &mut cluster)?;
+            inject_fault(u, &mut cluster)?;
             let host = u.choose_index(cluster.hosts.len())?;
             cluster.edit(host, model_edit(number));
             cluster.run_for(Millis(u.int_in_range(20..=2_500u64)?));
         }
-        heal(&mut cluster);
+        remove_faults(&mut cluster);
         let first = &cluster.hosts[0].node.shared.table;
         for host in &cluster.hosts {
             assert_eq!(&host.node.shared.table, first);
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn an_edit_waits_for_a_departed_host_that_may_not_know_it() {
+fn an_edit_waits_for_a_departed_host_that_may_not_have_applied_it() {
     let mut cluster = Cluster::new(3);
     cluster.cut_host(0, true);
     cluster.hosts[0].unlisted = true;
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn a_repeated_command_gets_the_same_answer_at_any_host() {
+fn a_repeated_edit_gets_the_same_answer_at_every_host() {
     let mut cluster = Cluster::new(3);
     let calls: Vec<_> = (0..3)
         .map(|host| cluster.edit(host, model_edit(0)))
--- a/src/membership/tests/entry.rs
+++ b/src/membership/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Entry answers name hosts that answer.
+//! Entry answers name the hosts that answer probes.
 
 use crate::membership::entry::entry_answer;
 use crate::membership::members::Members;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn where_no_host_answers_all_are_named() {
+fn if_no_host_answers_probes_all_are_named() {
     let members = members();
     let probes = probes_with_failures(&members, |_| true);
     let answer = entry_answer("review", ME, false, &members, &probes);
--- a/src/membership/tests/evictions.rs
+++ b/src/membership/tests/evictions.rs
@@ -1,4 +1,4 @@
-//! Who is evicted, who is not, and how an evicted host comes back.
+//! Which hosts are evicted, and how an evicted host joins again.
 
 use super::cluster::Cluster;
 use super::edits::model_edit;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn one_bad_link_evicts_nobody() {
+fn a_single_cut_link_evicts_no_host() {
     let mut cluster = Cluster::new(5);
     let before = incarnations(&cluster);
     for a in 0..5 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn no_departure_counts_while_most_counted_hosts_have_not_applied_it() {
+fn departed_hosts_remain_voters_until_a_majority_has_applied_their_departure() {
     let mut cluster = Cluster::new(5);
     for host in [0, 2, 3] {
         cluster.hosts[host].frozen = true;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_outage_of_the_log_evicts_nobody() {
+fn an_outage_of_the_log_evicts_no_host() {
     let mut cluster = Cluster::new(3);
     let before = incarnations(&cluster);
     cluster
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_host_that_lost_half_of_its_peers_evicts_none_on_its_own_word() {
+fn a_host_that_cannot_reach_half_of_the_hosts_evicts_none_of_them() {
     let mut cluster = Cluster::new(4);
     let before = incarnations(&cluster);
     for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_frozen_host_is_evicted_and_comes_back_as_another_incarnation() {
+fn a_paused_host_is_evicted_and_joins_again_with_a_new_incarnation() {
     let mut cluster = Cluster::new(3);
     let former = cluster.hosts[0].me();
     cluster.hosts[0].frozen = true;
@@ -85,13 +85,13 @@
     let call = cluster.edit(0, model_edit(0));
     cluster.run_until("an edit", |cluster| cluster.edits.contains_key(&call));
     assert!(cluster.edits[&call].is_ok());
-    cluster.run_until("the former one to be gone", |cluster| {
+    cluster.run_until("the former incarnation to be forgotten", |cluster| {
         !cluster.hosts[1].node.shared.members.knows(former)
     });
 }
 
 #[test]
-fn a_paused_host_suspects_nobody_when_it_wakes() {
+fn a_paused_host_suspects_no_peer_when_it_resumes() {
     let mut cluster = Cluster::new(3);
     cluster.hosts[0].frozen = true;
     cluster.run_for(Millis(4_000));
@@ -101,20 +101,20 @@
 }
 
 #[test]
-fn counted_hosts_change_one_at_a_time() {
+fn voters_change_one_at_a_time() {
     let mut cluster = Cluster::new(5);
-    cluster.run_until("all to count", |cluster| {
+    cluster.run_until("all hosts to be voters", |cluster| {
         cluster.hosts[0].node.shared.members.counted().count() == 5
     });
     cluster.hosts[0].frozen = true;
     cluster.hosts[1].frozen = true;
-    cluster.run_until("both to count no more", |cluster| {
+    cluster.run_until("both to be no voters any more", |cluster| {
         cluster.hosts[2].node.shared.members.counted().count() == 3
     });
 }
 
 #[test]
-fn edits_go_on_after_most_hosts_are_gone_for_good() {
+fn edits_take_effect_after_a_permanent_loss_of_most_hosts() {
     let mut cluster = Cluster::new(3);
     for host in 0..2 {
         cluster.hosts[host].frozen = true;
@@ -122,7 +122,7 @@
     }
     let call = cluster.edit(2, model_edit(0));
     cluster.run_until("an answer", |cluster| cluster.edits.contains_key(&call));
-    cluster.run_until("the dead to count no more", |cluster| {
+    cluster.run_until("the lost hosts to be no voters any more", |cluster| {
         cluster.hosts[2].node.shared.members.counted().count() == 1
     });
     let call = cluster.edit(2, model_edit(0));
@@ -130,13 +130,13 @@
     assert_eq!(cluster.in_force.len(), 1);
 }
 
-/// A host whose peers cannot reach it, but which reaches the log, joins again as often as it is
-/// evicted. It may be the preferred proposer of a change of membership that it can never confirm;
-/// the others then propose it.
+/// Guards against edits that wait for long because of a host which reaches the log but not its
+/// peers. It joins again each time that it is evicted, and may be the preferred proposer of a
+/// membership change that it can never confirm; the other hosts must then propose it.
 #[test]
-fn edits_are_in_force_soon_while_a_host_cut_from_its_peers_joins_again_and_again() {
+fn edits_take_effect_while_a_host_cut_from_its_peers_joins_again_and_again() {
     let mut cluster = Cluster::new(3);
-    cluster.run_until("all to count", |cluster| {
+    cluster.run_until("all hosts to be voters", |cluster| {
         cluster.hosts[1].node.shared.members.counted().count() == 3
     });
     for other in [1, 2] {
--- a/src/membership/tests/freshness.rs
+++ b/src/membership/tests/freshness.rs
@@ -4,7 +4,7 @@
 use super::edits::model_edit;
 use crate::prelude::*;
 
-/// How long a host may lag behind a record that its peers have, while it serves.
+/// How long a serving host may lag behind a record that its peers have applied.
 const RELAY_BOUND_MS: Millis = Millis(3_000);
 
 #[test]
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_minority_without_the_log_stops_and_the_majority_goes_on() {
+fn without_the_log_a_minority_becomes_stale_and_the_majority_stays_fresh() {
     let mut cluster = Cluster::new(5);
     cluster
         .hosts
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn half_of_the_hosts_without_the_log_are_no_majority() {
+fn without_the_log_half_of_the_hosts_are_no_majority() {
     let mut cluster = Cluster::new(4);
     cluster
         .hosts
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_pause_makes_a_host_stale_before_it_does_anything() {
+fn a_paused_host_is_stale_from_its_first_event_on() {
     let mut cluster = Cluster::new(3);
     let paused_until = cluster.now + Millis(1_500);
     let node = &mut cluster.hosts[0].node;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_answer_asked_for_before_a_pause_does_not_make_fresh() {
+fn the_answer_to_a_read_before_a_pause_does_not_make_a_host_fresh() {
     let mut cluster = Cluster::new(3);
     let asked_at = cluster.now;
     let paused_until = cluster.now + Millis(1_500);
--- a/src/membership/tests/leaving.rs
+++ b/src/membership/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Hints that an upstream is leaving spread, and do not outlive the first-hand word.
+//! Hints that an upstream is leaving reach all hosts, and do not extend the mark of the first-hand
+//! report.
 
 use super::cluster::Cluster;
 use crate::membership::leaving::{LEAVING_MARK_MS, Leaving};
@@ -6,7 +7,7 @@
 use crate::prelude::*;
 
 #[test]
-fn a_hint_passed_around_ends_with_the_first_hand_word() {
+fn hints_passed_between_hosts_do_not_extend_a_mark() {
     let upstream: Name = "engine-1".into();
     let mut hosts = [Leaving::default(), Leaving::default()];
     let said_at = Millis(1_000_000);
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_hint_older_than_the_word_that_the_upstream_is_live_counts_no_more() {
+fn a_hint_from_before_a_mark_was_cleared_has_no_effect() {
     let upstream: Name = "engine-1".into();
     let mut leaving = Leaving::default();
     let said_at = Millis(1_000_000);
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_peer_s_hint_keeps_new_work_away_within_a_second() {
+fn a_peers_hint_stops_new_requests_to_an_upstream_within_a_second() {
     let mut cluster = Cluster::new(4);
     let upstream: Name = "engine-1".into();
     let entry = UpstreamEntry {
--- a/src/membership/tests/probes.rs
+++ b/src/membership/tests/probes.rs
@@ -1,8 +1,8 @@
-//! Probes cost the same however many hosts there are.
+//! The cost of a round of probes does not depend on the number of hosts.
 
 use crate::membership::members::Members;
 use crate::membership::message::Probe;
-use crate::membership::probes::{MAX_DIRECT_ASKS, Probes};
+use crate::membership::probes::{MAX_DIRECT_PROBES, Probes};
 use crate::prelude::*;
 use crate::shared_log::tests::fake_log::host_entry;
 
@@ -30,7 +30,7 @@
     }
 }
 
-fn asked(fx: &Effects) -> Vec<Incarnation> {
+fn probed_hosts(fx: &Effects) -> Vec<Incarnation> {
     let peer = |effect: &Effect| match effect {
         Effect::AskPeer { peer, .. } => Some(*peer),
         _ => None,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_round_asks_no_more_partners_than_set_and_reaches_all_in_time() {
+fn a_round_probes_at_most_the_set_number_of_hosts_and_rounds_reach_all_hosts() {
     let members = members();
     let mut probes = Probes::new(Millis(250), Millis(5_000), PER_ROUND);
     let mut reached = IndexSet::new();
@@ -47,7 +47,7 @@
         let now = Millis(round * 250);
         let mut fx = Effects::new();
         probes.on_tick(now, &members, &probe(), &mut fx);
-        let partners = asked(&fx);
+        let partners = probed_hosts(&fx);
         assert!(partners.len() <= PER_ROUND);
         for partner in partners {
             probes.on_answer(now, partner, now, &probe());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_silent_host_is_asked_again_and_suspected() {
+fn a_silent_host_is_probed_again_and_suspected() {
     let members = members();
     let mut probes = Probes::new(Millis(250), Millis(5_000), PER_ROUND);
     let silent = Incarnation(7);
@@ -68,7 +68,7 @@
         now += Millis(250);
         let mut fx = Effects::new();
         probes.on_tick(now, &members, &probe(), &mut fx);
-        for partner in asked(&fx) {
+        for partner in probed_hosts(&fx) {
             if partner == silent {
                 probes.on_failed(partner);
             } else {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn hosts_that_an_edit_waits_for_are_all_asked_within_a_second() {
+fn hosts_that_an_edit_waits_for_are_all_probed_within_a_second() {
     let members = members();
     let mut probes = Probes::new(Millis(250), Millis(5_000), PER_ROUND);
     let mut reached = IndexSet::new();
@@ -90,8 +90,8 @@
         let mut fx = Effects::new();
         let missing = members.known().filter(|host| !reached.contains(host));
         probes.ask_now(now, missing, &members, &probe(), &mut fx);
-        let partners = asked(&fx);
-        assert!(partners.len() <= MAX_DIRECT_ASKS);
+        let partners = probed_hosts(&fx);
+        assert!(partners.len() <= MAX_DIRECT_PROBES);
         for partner in partners {
             probes.on_answer(now, partner, now, &probe());
             reached.insert(partner);
