--- a/src/desired/routes.rs
+++ b/src/desired/routes.rs
@@ -4,7 +4,7 @@
 use crate::identity::{Credential, Identity, Keys};
 use crate::prelude::*;
 
-/// A desired state, indexed for lookups by the path of requests.
+/// A desired state, indexed for lookups by the host name and path of requests.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     /// The version of the desired state.
@@ -15,7 +15,9 @@
     pub limits: CallerLimits,
     /// The rate limits by the name of the organisation.
     pub rate_limits: LimitTable,
+    /// The organisations by key; absent if callers need no key.
     keys: Option<Keys>,
+    /// The routes by host name, those with the longest path prefix first.
     by_host: IndexMap<Name, Vec<Arc<Route>>>,
 }
 
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Returns the route of a host with the longest path prefix that matches.
+    /// Returns the route of a host name with the longest path prefix that matches the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Returns the number of routes of all hosts.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
--- a/src/group/reading.rs
+++ b/src/group/reading.rs
@@ -92,7 +92,8 @@
     listed <= 1 || listed > SMALL_GROUP_HOSTS
 }
 
-/// Returns the shortest time between two reads of a list with `listed` hosts.
+/// Returns the shortest time between two reads of a list with `listed` hosts, for hosts that are
+/// starting or that refused a host because it was not listed yet.
 pub fn min_read_interval_ms(listed: usize) -> Millis {
     let hundreds = listed.div_ceil(MIN_READ_INTERVAL_HOSTS).max(1) as u64;
     Millis(SOON_READ_MS.0 * hundreds).min(READ_INTERVAL_MS)
--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -32,6 +32,7 @@
     /// The hosts that may aggregate counts while there is no orderer: the first one that answers
     /// does so, the others are its successors.
     collectors: Vec<Member>,
+    /// Number of hosts in the site.
     hosts: usize,
 }
 
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -90,7 +90,7 @@
         /// The offset of the first requested record.
         from: Offset,
     },
-    /// A request to the home of a table row for a slice of the row's rate limit.
+    /// A request to the home of a table row for a slice of the row's limit of requests per second.
     Slice {
         /// The key of the row.
         row: RowKey,
@@ -118,7 +118,7 @@
         /// The offset after the last record that the replying host has applied.
         next_offset: Offset,
     },
-    /// A slice of a row's rate limit.
+    /// A slice of a row's limit of requests per second.
     Slice {
         /// The key of the row.
         row: RowKey,
--- a/src/upstreams/health.rs
+++ b/src/upstreams/health.rs
@@ -20,8 +20,10 @@
 /// The results of this host's requests to one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
+    /// The share as of `updated_at`.
     failure_share: f64,
     updated_at: Millis,
+    /// Consecutive failures to connect or to get an answer.
     consecutive_unreachable: u32,
     backoff_until: Millis,
 }
--- a/src/upstreams/index.rs
+++ b/src/upstreams/index.rs
@@ -9,7 +9,9 @@
 /// The names of upstreams by the services and models in their entries.
 #[derive(Clone, Debug, Default)]
 pub struct ListIndex {
+    /// Upstreams by service.
     services: IndexMap<Name, IndexSet<Name>>,
+    /// Upstreams by model.
     models: IndexMap<Name, IndexSet<Name>>,
 }
 
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -126,14 +126,19 @@
     index: ListIndex,
     /// The names of the upstreams with requests of this host in progress.
     busy: IndexSet<Name>,
+    /// The last lifetimes of removed upstreams, by name.
     past: IndexMap<Name, PastLifetime>,
     /// The sequence numbers and names put into `past`, oldest first. Some may have been removed
     /// from `past` or replaced there since.
     past_order: VecDeque<(u64, Name)>,
     next_sequence: u64,
+    /// Grows whenever an upstream is added, restarted or removed.
     version: u64,
+    /// The latest time as of which the list was read or confirmed.
     last_reached_at: Option<Millis>,
+    /// Whether a poll of the list failed since then.
     poll_failed: bool,
+    /// When the last outage of the list ended.
     outage_ended_at: Option<Millis>,
 }
 
@@ -360,7 +365,7 @@
         self.busy.iter().filter_map(|id| self.upstreams.get(id))
     }
 
-    /// Returns a number that changes whenever an upstream is added, restarted or removed.
+    /// Returns a number that grows whenever an upstream is added, restarted or removed.
     pub fn version(&self) -> u64 {
         self.version
     }
