--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -11,7 +11,7 @@
 use crate::entry::settings::EntrySettings;
 use crate::entry::stop::ACCEPT_ON_MS;
 use crate::group::parents::{Parents, STALE_MS};
-use crate::group::reading::is_begun_or_large;
+use crate::group::read_policy::is_begun_or_large;
 use crate::group::{Member, Members, Tree};
 use crate::http1::client::within;
 use crate::ordering::gather::Gather;
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -5,7 +5,7 @@
 use crate::entry::platform::{Joined, Platform, StoreCall, StoreError};
 use crate::group::Member;
 use crate::group::members::{MembersChange, MembersNews};
-use crate::group::reading::{ReadCase, Role, SOON_READ_MS};
+use crate::group::read_policy::{ReadCase, Role, SOON_READ_MS};
 use crate::http1::client::within;
 use crate::prelude::*;
 use smol::Timer;
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -9,7 +9,7 @@
 //! - [`member`]: the entry of one host.
 //! - [`members`]: the member list, and updates for hosts with an older list.
 //! - [`departed`]: hosts that left the list and may still serve callers.
-//! - [`reading`]: when a host reads the list from the store itself.
+//! - [`read_policy`]: when a host reads the list from the store itself.
 //! - [`tree`]: which hosts relay for others.
 //! - [`parents`]: which relay, or the orderer, a host syncs with.
 
@@ -17,7 +17,7 @@
 pub mod member;
 pub mod members;
 pub mod parents;
-pub mod reading;
+pub mod read_policy;
 pub mod tree;
 
 #[cfg(test)]
--- a/src/group/tests.rs
+++ b/src/group/tests.rs
@@ -2,5 +2,5 @@
 
 mod members;
 mod parents;
-mod reading;
+mod read_policy;
 mod tree;
--- a/src/group/tests/reading.rs
+++ b/src/group/tests/read_policy.rs
@@ -1,6 +1,6 @@
 //! When a host reads the member list from the store itself.
 
-use crate::group::reading::{ReadCase, Role, min_read_interval_ms};
+use crate::group::read_policy::{ReadCase, Role, min_read_interval_ms};
 use crate::prelude::*;
 
 /// Returns the conditions of a host that started a moment ago, in a large site.
