--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -5,7 +5,7 @@
 use crate::entry::platform::{Joined, Platform, StoreCall, StoreError};
 use crate::group::Member;
 use crate::group::members::{MembersChange, MembersNews};
-use crate::group::read_policy::{ReadCase, Role, SOON_READ_MS};
+use crate::group::read_policy::{ReadConditions, Role, SOON_READ_MS};
 use crate::http1::client::within;
 use crate::prelude::*;
 use smol::Timer;
@@ -119,7 +119,7 @@
         return Ok(());
     }
     let behind_since = *renewal.behind_since.get_or_insert(now);
-    let case = ReadCase {
+    let case = ReadConditions {
         known_ms: host.members.borrow().known_at().map(|at| now.since(at)),
         behind_ms: now.since(behind_since),
         listed: host.members.borrow().count(),
--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -29,7 +29,7 @@
 
 /// The conditions on which a read of a changed list depends.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadCase {
+pub struct ReadConditions {
     /// Time since this host's list was read, updated or confirmed; `None` if it has none yet.
     pub known_ms: Option<Millis>,
     /// For how long this host's list has been older than the one on the store.
@@ -59,7 +59,7 @@
     Alone,
 }
 
-impl ReadCase {
+impl ReadConditions {
     /// Returns whether the host reads the list now.
     pub fn is_due(&self) -> bool {
         let Some(known_ms) = self.known_ms else {
--- a/src/group/tests/read_policy.rs
+++ b/src/group/tests/read_policy.rs
@@ -1,11 +1,11 @@
 //! When a host reads the member list from the store itself.
 
-use crate::group::read_policy::{ReadCase, Role, min_read_interval_ms};
+use crate::group::read_policy::{ReadConditions, Role, min_read_interval_ms};
 use crate::prelude::*;
 
 /// Returns the conditions of a host that started a moment ago, in a large site.
-fn starting() -> ReadCase {
-    ReadCase {
+fn starting() -> ReadConditions {
+    ReadConditions {
         known_ms: Some(Millis(1_900)),
         behind_ms: Millis(1_900),
         listed: 985,
@@ -28,17 +28,17 @@
 /// Guards against reads of the list by hundreds of starting hosts that no other host accepts yet.
 #[test]
 fn a_host_that_is_not_listed_rarely_reads_a_large_group() {
-    let unlisted = ReadCase {
+    let unlisted = ReadConditions {
         is_listed: false,
         ..starting()
     };
     assert!(starting().is_due());
     assert!(!unlisted.is_due());
-    let first = ReadCase {
+    let first = ReadConditions {
         known_ms: None,
         ..unlisted
     };
-    let later = ReadCase {
+    let later = ReadConditions {
         known_ms: Some(Millis(4_000)),
         ..unlisted
     };
@@ -49,7 +49,7 @@
 /// its hosts were killed.
 #[test]
 fn in_a_small_group_a_host_that_is_not_listed_reads_as_often_as_a_listed_one() {
-    let restarted = |listed| ReadCase {
+    let restarted = |listed| ReadConditions {
         known_ms: Some(Millis(1_000)),
         listed,
         is_listed: false,
@@ -63,7 +63,7 @@
 /// them.
 #[test]
 fn a_relay_in_contact_with_the_orderer_does_not_read_for_each_host_that_it_refused() {
-    let relay = ReadCase {
+    let relay = ReadConditions {
         known_ms: Some(Millis(600)),
         behind_ms: Millis(600),
         has_refused: true,
@@ -71,12 +71,12 @@
         ..starting()
     };
     assert!(!relay.is_due());
-    let small = ReadCase {
+    let small = ReadConditions {
         listed: 30,
         ..relay
     };
     assert!(small.is_due());
-    let outdated = ReadCase {
+    let outdated = ReadConditions {
         behind_ms: Millis(2_500),
         has_refused: false,
         ..relay
@@ -86,7 +86,7 @@
 
 #[test]
 fn the_orderer_reads_a_changed_list_twice_a_second() {
-    let orderer = ReadCase {
+    let orderer = ReadConditions {
         known_ms: Some(Millis(500)),
         role: Role::Orderer,
         ..starting()
