--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReadConditions {
     /// Time since this host's list was read, updated or confirmed; `None` if it has none yet.
-    pub known_ms: Option<Millis>,
+    pub list_age_ms: Option<Millis>,
     /// For how long this host's list has been older than the one on the store.
     pub behind_ms: Millis,
     /// Number of hosts in this host's list.
@@ -62,17 +62,17 @@
 impl ReadConditions {
     /// Returns whether the host reads the list now.
     pub fn is_due(&self) -> bool {
-        let Some(known_ms) = self.known_ms else {
+        let Some(list_age_ms) = self.list_age_ms else {
             return true;
         };
-        if self.has_refused && known_ms >= min_read_interval_ms(self.listed) {
+        if self.has_refused && list_age_ms >= min_read_interval_ms(self.listed) {
             return true;
         }
         match self.role {
-            Role::Orderer => known_ms >= SOON_READ_MS,
+            Role::Orderer => list_age_ms >= SOON_READ_MS,
             Role::Relay => self.behind_ms >= RELAY_MAX_UPDATE_WAIT_MS,
             Role::Follower => self.behind_ms >= MAX_UPDATE_WAIT_MS,
-            Role::Alone => known_ms >= self.read_interval_without_orderer(),
+            Role::Alone => list_age_ms >= self.read_interval_without_orderer(),
         }
     }
 
--- a/src/group/tests/read_policy.rs
+++ b/src/group/tests/read_policy.rs
@@ -6,7 +6,7 @@
 /// Returns the conditions of a host that started a moment ago, in a large site.
 fn starting() -> ReadConditions {
     ReadConditions {
-        known_ms: Some(Millis(1_900)),
+        list_age_ms: Some(Millis(1_900)),
         behind_ms: Millis(1_900),
         listed: 985,
         is_listed: true,
@@ -35,11 +35,11 @@
     assert!(starting().is_due());
     assert!(!unlisted.is_due());
     let first = ReadConditions {
-        known_ms: None,
+        list_age_ms: None,
         ..unlisted
     };
     let later = ReadConditions {
-        known_ms: Some(Millis(4_000)),
+        list_age_ms: Some(Millis(4_000)),
         ..unlisted
     };
     assert!(first.is_due() && later.is_due());
@@ -50,7 +50,7 @@
 #[test]
 fn in_a_small_group_a_host_that_is_not_listed_reads_as_often_as_a_listed_one() {
     let restarted = |listed| ReadConditions {
-        known_ms: Some(Millis(1_000)),
+        list_age_ms: Some(Millis(1_000)),
         listed,
         is_listed: false,
         ..starting()
@@ -64,7 +64,7 @@
 #[test]
 fn a_relay_in_contact_with_the_orderer_does_not_read_for_each_host_that_it_refused() {
     let relay = ReadConditions {
-        known_ms: Some(Millis(600)),
+        list_age_ms: Some(Millis(600)),
         behind_ms: Millis(600),
         has_refused: true,
         role: Role::Relay,
@@ -87,7 +87,7 @@
 #[test]
 fn the_orderer_reads_a_changed_list_twice_a_second() {
     let orderer = ReadConditions {
-        known_ms: Some(Millis(500)),
+        list_age_ms: Some(Millis(500)),
         role: Role::Orderer,
         ..starting()
     };
