--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -33,7 +33,7 @@
     /// Time since this host's list was read, updated or confirmed; `None` if it has none yet.
     pub list_age_ms: Option<Millis>,
     /// For how long this host's list has been older than the one on the store.
-    pub behind_ms: Millis,
+    pub outdated_ms: Millis,
     /// Number of hosts in this host's list.
     pub listed: usize,
     /// Whether the list on the store has this host.
@@ -70,8 +70,8 @@
         }
         match self.role {
             Role::Orderer => list_age_ms >= SOON_READ_MS,
-            Role::Relay => self.behind_ms >= RELAY_MAX_UPDATE_WAIT_MS,
-            Role::Follower => self.behind_ms >= MAX_UPDATE_WAIT_MS,
+            Role::Relay => self.outdated_ms >= RELAY_MAX_UPDATE_WAIT_MS,
+            Role::Follower => self.outdated_ms >= MAX_UPDATE_WAIT_MS,
             Role::Alone => list_age_ms >= self.read_interval_without_orderer(),
         }
     }
--- a/src/group/tests/read_policy.rs
+++ b/src/group/tests/read_policy.rs
@@ -7,7 +7,7 @@
 fn starting() -> ReadConditions {
     ReadConditions {
         list_age_ms: Some(Millis(1_900)),
-        behind_ms: Millis(1_900),
+        outdated_ms: Millis(1_900),
         listed: 985,
         is_listed: true,
         is_new: true,
@@ -65,7 +65,7 @@
 fn a_relay_in_contact_with_the_orderer_does_not_read_for_each_host_that_it_refused() {
     let relay = ReadConditions {
         list_age_ms: Some(Millis(600)),
-        behind_ms: Millis(600),
+        outdated_ms: Millis(600),
         has_refused: true,
         role: Role::Relay,
         ..starting()
@@ -77,7 +77,7 @@
     };
     assert!(small.is_due());
     let outdated = ReadConditions {
-        behind_ms: Millis(2_500),
+        outdated_ms: Millis(2_500),
         has_refused: false,
         ..relay
     };
