--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -124,7 +124,7 @@
         outdated_ms: now.since(behind_since),
         listed: host.members.borrow().count(),
         is_listed,
-        is_new: host.age_ms(now) < NEW_MS,
+        started_recently: host.age_ms(now) < NEW_MS,
         has_refused,
         role: role(host, now),
     };
--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -39,7 +39,7 @@
     /// Whether the list on the store has this host.
     pub is_listed: bool,
     /// Whether this host started within the last few seconds.
-    pub is_new: bool,
+    pub started_recently: bool,
     /// Whether this host refused a call since the last check because its list lacks the caller.
     pub has_refused: bool,
     /// This host's role in the relay tree.
@@ -78,7 +78,7 @@
 
     fn read_interval_without_orderer(&self) -> Millis {
         let is_deferred = !self.is_listed && is_begun_or_large(self.listed);
-        match (is_deferred, self.is_new) {
+        match (is_deferred, self.started_recently) {
             (true, _) => UNLISTED_READ_INTERVAL_MS,
             (false, true) => min_read_interval_ms(self.listed),
             (false, false) => READ_INTERVAL_MS,
--- a/src/group/tests/read_policy.rs
+++ b/src/group/tests/read_policy.rs
@@ -10,7 +10,7 @@
         outdated_ms: Millis(1_900),
         listed: 985,
         is_listed: true,
-        is_new: true,
+        started_recently: true,
         has_refused: false,
         role: Role::Alone,
     }
