--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -113,7 +113,7 @@
     } = renewal.joined;
     let now = host.now();
     host.members.borrow_mut().note_heard(now);
-    let has_refused = host.has_unknown_peer.take();
+    let refused_unlisted_peer = host.has_unknown_peer.take();
     if generation == host.members.borrow().generation() {
         renewal.behind_since = None;
         return Ok(());
@@ -125,7 +125,7 @@
         listed: host.members.borrow().count(),
         is_listed,
         started_recently: host.age_ms(now) < NEW_MS,
-        has_refused,
+        refused_unlisted_peer,
         role: role(host, now),
     };
     if case.is_due() {
--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -41,7 +41,7 @@
     /// Whether this host started within the last few seconds.
     pub started_recently: bool,
     /// Whether this host refused a call since the last check because its list lacks the caller.
-    pub has_refused: bool,
+    pub refused_unlisted_peer: bool,
     /// This host's role in the relay tree.
     pub role: Role,
 }
@@ -65,7 +65,7 @@
         let Some(list_age_ms) = self.list_age_ms else {
             return true;
         };
-        if self.has_refused && list_age_ms >= min_read_interval_ms(self.listed) {
+        if self.refused_unlisted_peer && list_age_ms >= min_read_interval_ms(self.listed) {
             return true;
         }
         match self.role {
--- a/src/group/tests/read_policy.rs
+++ b/src/group/tests/read_policy.rs
@@ -11,7 +11,7 @@
         listed: 985,
         is_listed: true,
         started_recently: true,
-        has_refused: false,
+        refused_unlisted_peer: false,
         role: Role::Alone,
     }
 }
@@ -66,7 +66,7 @@
     let relay = ReadConditions {
         list_age_ms: Some(Millis(600)),
         outdated_ms: Millis(600),
-        has_refused: true,
+        refused_unlisted_peer: true,
         role: Role::Relay,
         ..starting()
     };
@@ -78,7 +78,7 @@
     assert!(small.is_due());
     let outdated = ReadConditions {
         outdated_ms: Millis(2_500),
-        has_refused: false,
+        refused_unlisted_peer: false,
         ..relay
     };
     assert!(outdated.is_due());
