--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -143,7 +143,7 @@
         (true, _, _) => Role::Orderer,
         (false, true, true) => Role::Relay,
         (false, true, false) => Role::Follower,
-        (false, false, _) => Role::Alone,
+        (false, false, _) => Role::WithoutOrderer,
     }
 }
 
--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -56,7 +56,7 @@
     /// It is in contact with the orderer, directly or through a relay, and relays for none.
     Follower,
     /// It has no contact with an orderer.
-    Alone,
+    WithoutOrderer,
 }
 
 impl ReadConditions {
@@ -72,7 +72,7 @@
             Role::Orderer => list_age_ms >= SOON_READ_MS,
             Role::Relay => self.outdated_ms >= RELAY_MAX_UPDATE_WAIT_MS,
             Role::Follower => self.outdated_ms >= MAX_UPDATE_WAIT_MS,
-            Role::Alone => list_age_ms >= self.read_interval_without_orderer(),
+            Role::WithoutOrderer => list_age_ms >= self.read_interval_without_orderer(),
         }
     }
 
--- a/src/group/tests/read_policy.rs
+++ b/src/group/tests/read_policy.rs
@@ -12,7 +12,7 @@
         is_listed: true,
         started_recently: true,
         refused_unlisted_peer: false,
-        role: Role::Alone,
+        role: Role::WithoutOrderer,
     }
 }
 
