--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -5,7 +5,7 @@
 use crate::entry::platform::{Joined, Platform, StoreCall, StoreError};
 use crate::group::Member;
 use crate::group::members::{MembersChange, MembersNews};
-use crate::group::read_policy::{ReadConditions, Role, SOON_READ_MS};
+use crate::group::read_policy::{MIN_READ_INTERVAL_MS, ReadConditions, Role};
 use crate::http1::client::within;
 use crate::prelude::*;
 use smol::Timer;
@@ -69,9 +69,9 @@
                     note_store(LogEvent::LogBack, "join", "");
                 }
                 let rest = async {
-                    Timer::after(SOON_READ_MS.to_duration()).await;
+                    Timer::after(MIN_READ_INTERVAL_MS.to_duration()).await;
                     if !is_new_and_alone(&host, host.now()) {
-                        within(JOIN_INTERVAL_MS - SOON_READ_MS, refused).await;
+                        within(JOIN_INTERVAL_MS - MIN_READ_INTERVAL_MS, refused).await;
                     }
                 };
                 futures_lite::future::or(rest, stop).await;
--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -10,7 +10,7 @@
 /// Shortest time between two reads of a changed list. It applies to the orderer, from which the
 /// other hosts get the changes, and in a small group also to hosts that are starting, and to hosts
 /// that refused a host because it was not listed yet.
-pub const SOON_READ_MS: Millis = Millis(500);
+pub const MIN_READ_INTERVAL_MS: Millis = Millis(500);
 /// Interval between reads of a host without contact with an orderer.
 const READ_INTERVAL_MS: Millis = Millis(1_800);
 /// The same for a host that is not listed while hundreds of others may not be listed either.
@@ -19,9 +19,9 @@
 const MAX_UPDATE_WAIT_MS: Millis = Millis(4_000);
 /// The same for a relay; shorter, so that it can pass the change on to its hosts.
 const RELAY_MAX_UPDATE_WAIT_MS: Millis = Millis(2_500);
-/// Number of listed hosts up to which reads may follow each other after [`SOON_READ_MS`]. With more
-/// hosts the interval grows in proportion, up to [`READ_INTERVAL_MS`], by which time the entries of
-/// the processes that ran before a restart have lapsed.
+/// Number of listed hosts up to which reads may follow each other after [`MIN_READ_INTERVAL_MS`].
+/// With more hosts the interval grows in proportion, up to [`READ_INTERVAL_MS`], by which time the
+/// entries of the processes that ran before a restart have lapsed.
 const MIN_READ_INTERVAL_HOSTS: usize = 100;
 /// Number of listed hosts up to which all hosts that are not listed yet may call other hosts and
 /// read the list without causing overload.
@@ -69,7 +69,7 @@
             return true;
         }
         match self.role {
-            Role::Orderer => list_age_ms >= SOON_READ_MS,
+            Role::Orderer => list_age_ms >= MIN_READ_INTERVAL_MS,
             Role::Relay => self.outdated_ms >= RELAY_MAX_UPDATE_WAIT_MS,
             Role::Follower => self.outdated_ms >= MAX_UPDATE_WAIT_MS,
             Role::WithoutOrderer => list_age_ms >= self.read_interval_without_orderer(),
@@ -96,5 +96,5 @@
 /// starting or that refused a host because it was not listed yet.
 pub fn min_read_interval_ms(listed: usize) -> Millis {
     let hundreds = listed.div_ceil(MIN_READ_INTERVAL_HOSTS).max(1) as u64;
-    Millis(SOON_READ_MS.0 * hundreds).min(READ_INTERVAL_MS)
+    Millis(MIN_READ_INTERVAL_MS.0 * hundreds).min(READ_INTERVAL_MS)
 }
