--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -11,7 +11,7 @@
 use crate::entry::settings::EntrySettings;
 use crate::entry::stop::ACCEPT_ON_MS;
 use crate::group::parents::{Parents, STALE_MS};
-use crate::group::read_policy::is_begun_or_large;
+use crate::group::read_policy::may_have_many_unlisted;
 use crate::group::{Member, Members, Tree};
 use crate::http1::client::within;
 use crate::ordering::gather::Gather;
@@ -205,7 +205,7 @@
     pub fn is_unknown_to_others(&self, me: &Member) -> bool {
         let members = self.members.borrow();
         let was_heard = self.view.borrow().answered_at.is_some();
-        let may_be_many = is_begun_or_large(members.count());
+        let may_be_many = may_have_many_unlisted(members.count());
         members.known_at().is_some() && may_be_many && !members.lists(me) && !was_heard
     }
 
--- a/src/group/read_policy.rs
+++ b/src/group/read_policy.rs
@@ -77,7 +77,7 @@
     }
 
     fn read_interval_without_orderer(&self) -> Millis {
-        let is_deferred = !self.is_listed && is_begun_or_large(self.listed);
+        let is_deferred = !self.is_listed && may_have_many_unlisted(self.listed);
         match (is_deferred, self.started_recently) {
             (true, _) => UNLISTED_READ_INTERVAL_MS,
             (false, true) => min_read_interval_ms(self.listed),
@@ -88,7 +88,7 @@
 
 /// Returns whether hundreds of running hosts may not be listed yet: either the list has at most one
 /// host, so the group is just forming, or it is large.
-pub fn is_begun_or_large(listed: usize) -> bool {
+pub fn may_have_many_unlisted(listed: usize) -> bool {
     listed <= 1 || listed > SMALL_GROUP_HOSTS
 }
 
