--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -4,7 +4,7 @@
 use crate::entry::lines;
 use crate::entry::platform::{Joined, Platform, StoreCall, StoreError};
 use crate::group::Member;
-use crate::group::members::{MembersChange, MembersNews};
+use crate::group::members::{MembersChange, MembersUpdate};
 use crate::group::read_policy::{MIN_READ_INTERVAL_MS, ReadConditions, Role};
 use crate::http1::client::within;
 use crate::prelude::*;
@@ -165,7 +165,7 @@
 impl<P: Platform> Host<P> {
     /// Takes how the list of hosts changed, as another host says. News that do not lead to the newest list change nothing:
     /// the list is read then.
-    pub fn take_members_news(&self, news: MembersNews) {
+    pub fn take_members_news(&self, news: MembersUpdate) {
         let change = self.members.borrow_mut().apply(self.now(), news);
         if let Some(change) = change {
             note_change(self, &change, true);
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -39,7 +39,7 @@
 
 /// An update of the member list for a host whose list may be older.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MembersNews {
+pub struct MembersUpdate {
     /// The generation of the sender's list.
     pub generation: u64,
     /// The digest of the sender's list, with which the receiver verifies its list after the update.
@@ -136,7 +136,7 @@
 
     /// Returns the update for a host that has the list of `generation`, also if nothing changed
     /// since. Returns `None` if this host's own list is unknown or older.
-    pub fn news_since(&self, generation: u64) -> Option<MembersNews> {
+    pub fn news_since(&self, generation: u64) -> Option<MembersUpdate> {
         if self.confirmed_at.is_none() || generation > self.generation {
             return None;
         }
@@ -145,7 +145,7 @@
         let changes_suffice =
             generation == self.generation || oldest.is_some_and(|from| from <= generation);
         let is_full = generation == FULL_LIST_GENERATION || !changes_suffice;
-        Some(MembersNews {
+        Some(MembersUpdate {
             generation: self.generation,
             digest: digest(&self.list),
             changes: newer.filter(|_| !is_full).cloned().collect(),
@@ -157,22 +157,22 @@
     /// the list as it is if the update is older than the list, if it holds only changes while no
     /// list is known yet, or if the result fails verification. This host requests the full list
     /// after changes that failed verification and while it has no list.
-    pub fn apply(&mut self, now: Millis, news: MembersNews) -> Option<MembersChange> {
-        if news.generation < self.generation {
+    pub fn apply(&mut self, now: Millis, update: MembersUpdate) -> Option<MembersChange> {
+        if update.generation < self.generation {
             return None;
         }
-        if let Some(members) = news.whole {
+        if let Some(members) = update.whole {
             let list: IndexSet<Member> = members.into_iter().collect();
-            let is_verified = digest(&list) == news.digest;
-            return is_verified.then(|| self.replace(now, news.generation, list));
+            let is_verified = digest(&list) == update.digest;
+            return is_verified.then(|| self.replace(now, update.generation, list));
         }
         self.confirmed_at?;
         let generation = self.generation;
         // The usual case, several times a second: the list has not changed.
-        if news.generation == generation && news.changes.is_empty() {
-            return self.confirm(now, news.digest);
+        if update.generation == generation && update.changes.is_empty() {
+            return self.confirm(now, update.digest);
         }
-        let newer = news
+        let newer = update
             .changes
             .into_iter()
             .filter(|change| change.to > generation);
@@ -185,11 +185,11 @@
         }
         // If this host read its list between two reads of the sender, the list may contain hosts
         // that joined and left between those reads; the sender's changes do not mention them.
-        if digest(&list) != news.digest {
+        if digest(&list) != update.digest {
             self.needs_full_list = true;
             return None;
         }
-        Some(self.replace(now, news.generation, list))
+        Some(self.replace(now, update.generation, list))
     }
 
     fn confirm(&mut self, now: Millis, expected: u64) -> Option<MembersChange> {
--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -1,7 +1,7 @@
 //! Updates of the member list: after an applied update the receiver has the sender's list, whatever
 //! updates are lost, late or overtaken by the receiver's own reads.
 
-use crate::group::members::MembersNews;
+use crate::group::members::MembersUpdate;
 use crate::group::{Member, Members};
 use crate::prelude::*;
 use crate::test_support::{member, seeded};
@@ -97,7 +97,7 @@
     let update = sender
         .news_since(host.generation())
         .expect("the sender's list is newer");
-    let later = MembersNews {
+    let later = MembersUpdate {
         changes: sender
             .news_since(90)
             .expect("the sender's list is newer")
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -5,7 +5,7 @@
 use crate::entry::list_copy::{ListAsk, ListPart};
 use crate::entry::platform::{AppendOutcome, ModelAsk};
 use crate::group::Member;
-use crate::group::members::MembersNews;
+use crate::group::members::MembersUpdate;
 use crate::ordering::demand::AskCount;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::lease::Resignation;
@@ -138,7 +138,7 @@
     /// How new the platform's tables are.
     pub tables: TablesWord,
     /// How the list of hosts changed, when the asker's is older.
-    pub members: Option<MembersNews>,
+    pub members: Option<MembersUpdate>,
     /// What hosts add up, with or without an orderer.
     pub totals: Totals,
 }
