--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -116,7 +116,7 @@
             upstreams: Some(end),
             rows: Vec::new(),
         },
-        members: members.news_since(members.generation()),
+        members: members.update_since(members.generation()),
         totals: Totals::default(),
     }))
 }
@@ -129,7 +129,7 @@
 
 fn members_bytes(world: &World) -> usize {
     let members = listed(world);
-    members.news_since(0).map_or(0, |news| bytes(&news))
+    members.update_since(0).map_or(0, |news| bytes(&news))
 }
 
 /// Returns what an orderer publishes that has read all engines and ordered some.
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -67,7 +67,7 @@
             .collect(),
         separate: orders.separate.clone(),
         tables: host.followed.word(now, ask.upstreams_from),
-        members: host.members.borrow().news_since(ask.members_generation),
+        members: host.members.borrow().update_since(ask.members_generation),
         totals,
     }))
 }
@@ -98,7 +98,7 @@
         ready_in_ms: view.ready_in_ms(now),
         separate: view.separate(),
         tables: host.followed.word(now, ask.upstreams_from),
-        members: host.members.borrow().news_since(ask.members_generation),
+        members: host.members.borrow().update_since(ask.members_generation),
         totals,
     }))
 }
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -136,7 +136,7 @@
 
     /// Returns the update for a host that has the list of `generation`, also if nothing changed
     /// since. Returns `None` if this host's own list is unknown or older.
-    pub fn news_since(&self, generation: u64) -> Option<MembersUpdate> {
+    pub fn update_since(&self, generation: u64) -> Option<MembersUpdate> {
         if self.confirmed_at.is_none() || generation > self.generation {
             return None;
         }
--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -57,7 +57,7 @@
                     group.read(now, &mut sender);
                     sender_list = group.list.clone();
                 }
-                7 => in_flight.push((sender.news_since(host.generation()), sender_list.clone())),
+                7 => in_flight.push((sender.update_since(host.generation()), sender_list.clone())),
                 8 if !in_flight.is_empty() => {
                     let nth = u.choose_index(in_flight.len())?;
                     let (update, list) = in_flight.swap_remove(nth);
@@ -95,11 +95,11 @@
         group.read(Millis(2 + step), &mut sender);
     }
     let update = sender
-        .news_since(host.generation())
+        .update_since(host.generation())
         .expect("the sender's list is newer");
     let later = MembersUpdate {
         changes: sender
-            .news_since(90)
+            .update_since(90)
             .expect("the sender's list is newer")
             .changes,
         whole: None,
@@ -130,16 +130,16 @@
     group.join();
     group.read(Millis(3), &mut sender);
     let update = sender
-        .news_since(host.wants_from())
+        .update_since(host.wants_from())
         .expect("the sender's list is newer");
     assert!(host.apply(Millis(4), update).is_none());
     let update = sender
-        .news_since(host.wants_from())
+        .update_since(host.wants_from())
         .expect("the sender's list is newer");
     assert!(host.apply(Millis(5), update).is_some());
     assert!(has_list(&host, &group.list));
     let update = sender
-        .news_since(host.wants_from())
+        .update_since(host.wants_from())
         .expect("the sender's list is as new");
     assert_eq!(update.whole, None, "the full list is sent only once");
 }
@@ -152,7 +152,7 @@
     let (mut sender, mut host) = (Members::default(), Members::default());
     group.read(Millis(1), &mut sender);
     let update = sender
-        .news_since(host.wants_from())
+        .update_since(host.wants_from())
         .expect("the sender's list is newer");
     assert!(host.apply(Millis(2), update).is_some());
     assert!(has_list(&host, &group.list));
