--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -288,7 +288,7 @@
         is_for_orderer: false,
         is_urgent,
         view_version: host.view.borrow().version(),
-        members_generation: host.members.borrow().wants_from(),
+        members_generation: host.members.borrow().update_base_generation(),
         work: work.into_iter().collect(),
         demand,
         upstreams_from: host.followed.wants_from(),
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns the generation after which this host requests changes; zero requests the full list.
-    pub fn wants_from(&self) -> u64 {
+    pub fn update_base_generation(&self) -> u64 {
         match self.needs_full_list || self.confirmed_at.is_none() {
             true => FULL_LIST_GENERATION,
             false => self.generation,
--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -130,16 +130,16 @@
     group.join();
     group.read(Millis(3), &mut sender);
     let update = sender
-        .update_since(host.wants_from())
+        .update_since(host.update_base_generation())
         .expect("the sender's list is newer");
     assert!(host.apply(Millis(4), update).is_none());
     let update = sender
-        .update_since(host.wants_from())
+        .update_since(host.update_base_generation())
         .expect("the sender's list is newer");
     assert!(host.apply(Millis(5), update).is_some());
     assert!(has_list(&host, &group.list));
     let update = sender
-        .update_since(host.wants_from())
+        .update_since(host.update_base_generation())
         .expect("the sender's list is as new");
     assert_eq!(update.whole, None, "the full list is sent only once");
 }
@@ -152,7 +152,7 @@
     let (mut sender, mut host) = (Members::default(), Members::default());
     group.read(Millis(1), &mut sender);
     let update = sender
-        .update_since(host.wants_from())
+        .update_since(host.update_base_generation())
         .expect("the sender's list is newer");
     assert!(host.apply(Millis(2), update).is_some());
     assert!(has_list(&host, &group.list));
