--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -108,7 +108,7 @@
 ) -> Option<ListCopy> {
     let until = host.now() + look_ms;
     loop {
-        if host.members.borrow().known_at().is_some() {
+        if host.members.borrow().confirmed_at().is_some() {
             for relay in sources.relays(host)? {
                 let copy = fetch_from(host, &sources.peers, &relay).await;
                 let copy = copy.filter(|copy| newer_than.is_none_or(|known| copy.end > known));
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -120,7 +120,7 @@
     }
     let behind_since = *renewal.behind_since.get_or_insert(now);
     let case = ReadConditions {
-        list_age_ms: host.members.borrow().known_at().map(|at| now.since(at)),
+        list_age_ms: host.members.borrow().confirmed_at().map(|at| now.since(at)),
         outdated_ms: now.since(behind_since),
         listed: host.members.borrow().count(),
         is_listed,
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns when the list was last read, updated or confirmed as current.
-    pub fn known_at(&self) -> Option<Millis> {
+    pub fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed_at
     }
 
