--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -206,7 +206,7 @@
         let members = self.members.borrow();
         let was_heard = self.view.borrow().answered_at.is_some();
         let may_be_many = may_have_many_unlisted(members.count());
-        members.confirmed_at().is_some() && may_be_many && !members.lists(me) && !was_heard
+        members.confirmed_at().is_some() && may_be_many && !members.contains(me) && !was_heard
     }
 
     /// Tells whether callers do well to come here.
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether the list has a host.
-    pub fn lists(&self, host: &Member) -> bool {
+    pub fn contains(&self, host: &Member) -> bool {
         self.list.contains(host)
     }
 
