--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -112,7 +112,7 @@
         is_listed,
     } = renewal.joined;
     let now = host.now();
-    host.members.borrow_mut().note_heard(now);
+    host.members.borrow_mut().note_contact(now);
     let refused_unlisted_peer = host.has_unknown_peer.take();
     if generation == host.members.borrow().generation() {
         renewal.behind_since = None;
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -348,7 +348,7 @@
         }
         drop(orders);
         if age_ms < STALE_MS {
-            host.members.borrow_mut().note_heard(now);
+            host.members.borrow_mut().note_contact(now);
         }
         if host.followed.take_word(asked_at, tables) {
             host.upstreams.borrow_mut().note_heard(now);
--- a/src/entry/tests/organisations.rs
+++ b/src/entry/tests/organisations.rs
@@ -38,7 +38,7 @@
     let list = IndexSet::from([me]);
     let mut members = host.members.borrow_mut();
     members.replace(host.now(), 1, list);
-    members.note_heard(host.now());
+    members.note_contact(host.now());
 }
 
 fn request(headers: &str) -> String {
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -41,7 +41,7 @@
     let me = member(host.incarnation, "here", 500);
     let list: IndexSet<Member> = others.chain([me]).collect();
     host.members.borrow_mut().replace(host.now(), 1, list);
-    host.members.borrow_mut().note_heard(host.now());
+    host.members.borrow_mut().note_contact(host.now());
     host.accept_listed();
     assert!(host.is_relay());
 }
--- a/src/entry/tests/upstream_limits.rs
+++ b/src/entry/tests/upstream_limits.rs
@@ -41,7 +41,7 @@
     let now = site.host.now();
     let mut members = site.host.members.borrow_mut();
     members.replace(now, 1, [me].into_iter().collect());
-    members.note_heard(now);
+    members.note_contact(now);
 }
 
 /// An upstream in need got as many requests as before it named its limit.
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -94,7 +94,7 @@
     }
 
     /// Records that the store or the orderer answered, so that the others count this host.
-    pub fn note_heard(&mut self, now: Millis) {
+    pub fn note_contact(&mut self, now: Millis) {
         self.contact_at = Some(now);
     }
 
--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -183,14 +183,14 @@
 fn a_host_that_left_the_list_is_counted_while_it_may_still_admit_requests() {
     let mut members = Members::default();
     let start = Millis(1_000_000);
-    members.note_heard(start);
+    members.note_contact(start);
     assert_eq!(members.count_serving(start), None);
     members.replace(start, 1, listed(&[1, 2, 3]));
     assert_eq!(members.count_serving(start), Some(3));
     members.replace(start + Millis(2_000), 2, listed(&[1]));
-    members.note_heard(start + Millis(20_000));
+    members.note_contact(start + Millis(20_000));
     assert_eq!(members.count_serving(start + Millis(20_000)), Some(3));
-    members.note_heard(start + Millis(31_000));
+    members.note_contact(start + Millis(31_000));
     assert_eq!(members.count_serving(start + Millis(31_000)), Some(1));
 }
 
@@ -198,7 +198,7 @@
 fn a_restarted_host_is_counted_once() {
     let mut members = Members::default();
     let start = Millis(1_000_000);
-    members.note_heard(start);
+    members.note_contact(start);
     // The port of a test host is the low 16 bits of its incarnation, so this one has host 1's
     // address.
     let restarted = 1 + (1 << 16);
@@ -220,12 +220,12 @@
     let start = Millis(1_000_000);
     for members in [&mut cut_off, &mut other] {
         members.replace(start, 1, listed(&[1, 2]));
-        members.note_heard(start);
+        members.note_contact(start);
     }
     other.replace(start + Millis(2_000), 2, listed(&[2]));
     for ms in (0..60_000).step_by(500) {
         let now = start + Millis(ms);
-        other.note_heard(now);
+        other.note_contact(now);
         let is_admitting = cut_off.count_serving(now).is_some();
         let counts_it = other.count_serving(now) == Some(2);
         assert!(counts_it || !is_admitting, "after {ms} ms");
