--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -10,7 +10,7 @@
 use crate::entry::pool::Pool;
 use crate::entry::settings::EntrySettings;
 use crate::entry::stop::ACCEPT_ON_MS;
-use crate::group::parents::{Parents, STALE_MS};
+use crate::group::parents::{ParentSelector, STALE_MS};
 use crate::group::read_policy::may_have_many_unlisted;
 use crate::group::{Member, Members, Tree};
 use crate::http1::client::within;
@@ -53,7 +53,7 @@
     /// Which hosts relay between the others and the orderer.
     pub tree: RefCell<Tree>,
     /// Which of them this host asks.
-    pub parents: RefCell<Parents>,
+    pub parents: RefCell<ParentSelector>,
     /// What hosts told this one as their relay.
     pub gather: RefCell<Gather>,
     /// What the orderer says.
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -23,7 +23,7 @@
 
 /// Recent results of this host's syncs with its relays.
 #[derive(Clone, Debug, Default)]
-pub struct Parents {
+pub struct ParentSelector {
     /// When relays that did not answer are tried again, by incarnation.
     failed_until: IndexMap<u64, Millis>,
     /// Until when relays whose state was stale come after others, by incarnation.
@@ -31,7 +31,7 @@
     answered_at: Option<Millis>,
 }
 
-impl Parents {
+impl ParentSelector {
     /// Chooses the host to sync with. A relay with stale state is preferred to the orderer: while
     /// no host acts as orderer the state of all relays is stale, and hundreds of hosts would
     /// otherwise connect to an orderer that is down.
--- a/src/group/tests/parents.rs
+++ b/src/group/tests/parents.rs
@@ -1,6 +1,6 @@
 //! Choice of the parent when relays are down or have no current state of the orderer.
 
-use crate::group::parents::{Parent, Parents};
+use crate::group::parents::{Parent, ParentSelector};
 use crate::group::{Member, Tree};
 use crate::prelude::*;
 use crate::test_support::member;
@@ -11,7 +11,7 @@
 struct Site {
     tree: Tree,
     me: Member,
-    parents: Parents,
+    parents: ParentSelector,
 }
 
 impl Site {
@@ -24,7 +24,7 @@
         Self {
             tree,
             me,
-            parents: Parents::default(),
+            parents: ParentSelector::default(),
         }
     }
 
