--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -194,7 +194,7 @@
         let parents = host.parents.borrow();
         let mut collectors = tree.collectors().iter();
         collectors
-            .find(|first| !parents.has_failed(asked_at, first))
+            .find(|first| !parents.failed_recently(asked_at, first))
             .cloned()
     };
     let Some(first) = first.filter(|first| first.incarnation != me.incarnation) else {
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether a relay recently failed to answer and has not answered since.
-    pub fn has_failed(&self, now: Millis, relay: &Member) -> bool {
+    pub fn failed_recently(&self, now: Millis, relay: &Member) -> bool {
         let until = self.failed_until.get(&relay.incarnation);
         until.is_some_and(|until| now < *until)
     }
