--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -97,7 +97,7 @@
 /// something new.
 fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     !host.hears_orderer(now)
-        && !host.parents.borrow().has_answered(now)
+        && !host.parents.borrow().answered_recently(now)
         && host.orders.borrow().lease.is_worth_reading(now)
 }
 
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -81,7 +81,7 @@
 
     /// Returns whether a relay answered within [`STALE_MS`]. If so, the relay looks for the orderer
     /// on this host's behalf.
-    pub fn has_answered(&self, now: Millis) -> bool {
+    pub fn answered_recently(&self, now: Millis) -> bool {
         self.answered_at.is_some_and(|at| now.since(at) < STALE_MS)
     }
 }
--- a/src/group/tests/parents.rs
+++ b/src/group/tests/parents.rs
@@ -67,6 +67,6 @@
     site.parents.note_answered(NOW, &first, None);
     site.parents.note_answered(NOW, &second, None);
     assert_eq!(site.choose(NOW), Parent::Relay(first));
-    assert!(site.parents.has_answered(NOW + Millis(1_000)));
-    assert!(!site.parents.has_answered(NOW + Millis(1_300)));
+    assert!(site.parents.answered_recently(NOW + Millis(1_000)));
+    assert!(!site.parents.answered_recently(NOW + Millis(1_300)));
 }
