--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -10,7 +10,7 @@
 use crate::entry::pool::Pool;
 use crate::entry::settings::EntrySettings;
 use crate::entry::stop::ACCEPT_ON_MS;
-use crate::group::parents::{ParentSelector, STALE_MS};
+use crate::group::parents::{ORDERER_STALE_MS, ParentSelector};
 use crate::group::read_policy::may_have_many_unlisted;
 use crate::group::{Member, Members, Tree};
 use crate::http1::client::within;
@@ -197,7 +197,7 @@
     /// Tells whether what this host knows of the orderer is new.
     pub fn hears_orderer(&self, now: Millis) -> bool {
         let answered_at = self.view.borrow().answered_at;
-        answered_at.is_some_and(|at| now.since(at) < STALE_MS)
+        answered_at.is_some_and(|at| now.since(at) < ORDERER_STALE_MS)
     }
 
     /// Tells whether the others would refuse this host's calls, and those of hundreds like it: the group does not list it yet. A
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -8,7 +8,7 @@
 use crate::entry::platform::Platform;
 use crate::entry::upstream_limits;
 use crate::group::Member;
-use crate::group::parents::{Parent, STALE_MS};
+use crate::group::parents::{ORDERER_STALE_MS, Parent};
 use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncAsk, SyncReply, Totals};
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -347,7 +347,7 @@
             orders.lease.note_told_end(now, end);
         }
         drop(orders);
-        if age_ms < STALE_MS {
+        if age_ms < ORDERER_STALE_MS {
             host.members.borrow_mut().note_contact(now);
         }
         if host.followed.take_word(asked_at, tables) {
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -10,7 +10,7 @@
 const RELAY_RETRY_MS: Millis = Millis(3_000);
 /// The age from which the orderer's state at a relay counts as stale, so that another relay is
 /// preferred: several intervals between syncs of a relay with the orderer.
-pub const STALE_MS: Millis = Millis(1_200);
+pub const ORDERER_STALE_MS: Millis = Millis(1_200);
 
 /// The host to sync with.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -73,15 +73,16 @@
         self.answered_at = Some(now);
         self.failed_until.swap_remove(&relay.incarnation);
         self.stale_until.retain(|_, until| now < *until);
-        if age_ms.is_none_or(|age_ms| age_ms >= STALE_MS) {
+        if age_ms.is_none_or(|age_ms| age_ms >= ORDERER_STALE_MS) {
             self.stale_until
                 .insert(relay.incarnation, now + RELAY_RETRY_MS);
         }
     }
 
-    /// Returns whether a relay answered within [`STALE_MS`]. If so, the relay looks for the orderer
-    /// on this host's behalf.
+    /// Returns whether a relay answered within [`ORDERER_STALE_MS`]. If so, the relay looks for the
+    /// orderer on this host's behalf.
     pub fn answered_recently(&self, now: Millis) -> bool {
-        self.answered_at.is_some_and(|at| now.since(at) < STALE_MS)
+        self.answered_at
+            .is_some_and(|at| now.since(at) < ORDERER_STALE_MS)
     }
 }
