--- a/bench/src/fleet/world.rs
+++ b/bench/src/fleet/world.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Size;
 use mangovale::desired::{EngineSpec, ModelSpec};
 use mangovale::group::parents::MAX_RELAYS;
-use mangovale::group::{Member, Tree};
+use mangovale::group::{Member, RelayTree};
 use mangovale::prelude::*;
 use mangovale::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -28,7 +28,7 @@
     /// The hosts, in the order of their incarnations.
     pub hosts: Vec<Member>,
     /// Which of them relay.
-    pub tree: Tree,
+    pub tree: RelayTree,
     /// The list of upstreams.
     pub upstreams: Registry,
     /// What engines can hold.
@@ -45,7 +45,7 @@
         }
         Self {
             size,
-            tree: Tree::new(hosts.iter()),
+            tree: RelayTree::new(hosts.iter()),
             hosts,
             upstreams,
             spec: spec(size.models),
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -12,7 +12,7 @@
 use crate::entry::stop::ACCEPT_ON_MS;
 use crate::group::parents::{ORDERER_STALE_MS, ParentSelector};
 use crate::group::read_policy::may_have_many_unlisted;
-use crate::group::{Member, Members, Tree};
+use crate::group::{Member, Members, RelayTree};
 use crate::http1::client::within;
 use crate::ordering::gather::Gather;
 use crate::ordering::view::View;
@@ -51,7 +51,7 @@
     /// The other hosts and this one, as the group has them.
     pub members: RefCell<Members>,
     /// Which hosts relay between the others and the orderer.
-    pub tree: RefCell<Tree>,
+    pub tree: RefCell<RelayTree>,
     /// Which of them this host asks.
     pub parents: RefCell<ParentSelector>,
     /// What hosts told this one as their relay.
@@ -265,7 +265,7 @@
 
     /// Takes that the list of members changed: accepts their connections and that of the orderer, and works out the relays.
     pub fn accept_listed(&self) {
-        *self.tree.borrow_mut() = Tree::new(self.members.borrow().iter());
+        *self.tree.borrow_mut() = RelayTree::new(self.members.borrow().iter());
         let orderer = self.orders.borrow().holder().cloned();
         self.accept_members(orderer.as_ref());
     }
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// How often a host speaks with the orderer or its relay, and how often while a request waits for a model, where few hosts
-/// speak with the same one; see [`Tree::interval_factor`](crate::group::Tree::interval_factor).
+/// speak with the same one; see [`RelayTree::interval_factor`](crate::group::RelayTree::interval_factor).
 pub const SYNC_MS: Millis = Millis(250);
 const WAITING_SYNC_MS: Millis = Millis(30);
 const LEAST_SYNC_MS: Millis = Millis(4);
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -25,4 +25,4 @@
 
 pub use member::Member;
 pub use members::Members;
-pub use tree::Tree;
+pub use tree::RelayTree;
--- a/src/group/parents.rs
+++ b/src/group/parents.rs
@@ -1,6 +1,6 @@
 //! Choice of the parent of a host in the relay tree: a relay or the orderer itself.
 
-use crate::group::{Member, Tree};
+use crate::group::{Member, RelayTree};
 use crate::prelude::*;
 
 /// Most relays that a host tries before it syncs with the orderer itself.
@@ -35,7 +35,7 @@
     /// Chooses the host to sync with. A relay with stale state is preferred to the orderer: while
     /// no host acts as orderer the state of all relays is stale, and hundreds of hosts would
     /// otherwise connect to an orderer that is down.
-    pub fn choose(&self, now: Millis, tree: &Tree, me: &Member) -> Parent {
+    pub fn choose(&self, now: Millis, tree: &RelayTree, me: &Member) -> Parent {
         let relays = tree.relays_of(me).into_iter().take(MAX_RELAYS);
         let is_pending = |times: &IndexMap<u64, Millis>, relay: &Member| {
             times
--- a/src/group/tests/parents.rs
+++ b/src/group/tests/parents.rs
@@ -1,7 +1,7 @@
 //! Choice of the parent when relays are down or have no current state of the orderer.
 
 use crate::group::parents::{Parent, ParentSelector};
-use crate::group::{Member, Tree};
+use crate::group::{Member, RelayTree};
 use crate::prelude::*;
 use crate::test_support::member;
 
@@ -9,7 +9,7 @@
 const FRESH: Option<Millis> = Some(Millis(200));
 
 struct Site {
-    tree: Tree,
+    tree: RelayTree,
     me: Member,
     parents: ParentSelector,
 }
@@ -18,7 +18,7 @@
     /// Makes 64 hosts of one data centre, of which at least three relay for the last one.
     fn new() -> Self {
         let hosts: Vec<Member> = (1..=64).map(|n| member(n, "here", 100)).collect();
-        let tree = Tree::new(hosts.iter());
+        let tree = RelayTree::new(hosts.iter());
         let me = hosts[63].clone();
         assert!(tree.relays_of(&me).len() >= 3);
         Self {
--- a/src/group/tests/tree.rs
+++ b/src/group/tests/tree.rs
@@ -2,7 +2,7 @@
 //! the same tree.
 
 use crate::group::tree::DIRECT_HOSTS;
-use crate::group::{Member, Tree};
+use crate::group::{Member, RelayTree};
 use crate::prelude::*;
 use crate::test_support::{member, seeded};
 
@@ -17,7 +17,7 @@
 }
 
 fn hosts_of_each_relay(site: &[Member]) -> IndexMap<u64, usize> {
-    let tree = Tree::new(site.iter());
+    let tree = RelayTree::new(site.iter());
     let mut hosts: IndexMap<u64, usize> = IndexMap::new();
     for host in site {
         if let Some(first) = tree.relays_of(host).first() {
@@ -30,7 +30,7 @@
 #[test]
 fn in_a_small_site_every_host_syncs_with_the_orderer() {
     let site = site(DIRECT_HOSTS as u64);
-    let tree = Tree::new(site.iter());
+    let tree = RelayTree::new(site.iter());
     assert_eq!(tree.direct_hosts(), DIRECT_HOSTS);
     assert!(site.iter().all(|host| tree.relays_of(host).is_empty()));
     assert!(!site.iter().any(|host| tree.is_relay(host.incarnation)));
@@ -42,7 +42,7 @@
 fn the_busiest_host_has_few_connections_at_any_site_size() {
     for hosts in [25, 86, 195, 300, 864, 1_000] {
         let site = site(hosts);
-        let tree = Tree::new(site.iter());
+        let tree = RelayTree::new(site.iter());
         let root = (hosts as f64).sqrt();
         assert!((tree.direct_hosts() as f64) < 2.0 * root, "{hosts} hosts");
         let busiest = hosts_of_each_relay(&site).into_values().max();
@@ -53,7 +53,7 @@
 #[test]
 fn hosts_with_high_cpu_capacity_relay_for_their_data_centre() {
     let site = site(195);
-    let tree = Tree::new(site.iter());
+    let tree = RelayTree::new(site.iter());
     for host in &site {
         for relay in tree.relays_of(host) {
             assert_eq!(relay.data_centre, host.data_centre);
@@ -68,10 +68,10 @@
         // At square sizes, the loss of one host changes the number of relays of a data centre by no
         // more than that host.
         let mut site = site(u.int_in_range(6..=16u64)?.pow(2));
-        let before = Tree::new(site.iter());
+        let before = RelayTree::new(site.iter());
         let mut shuffled = site.clone();
         fastrand::Rng::with_seed(u.arbitrary()?).shuffle(&mut shuffled);
-        let other = Tree::new(shuffled.iter());
+        let other = RelayTree::new(shuffled.iter());
         for host in &site {
             assert_eq!(before.relays_of(host), other.relays_of(host));
         }
@@ -82,7 +82,7 @@
             .collect();
         let lost = u.choose(&relays)?.clone();
         site.retain(|host| *host != lost);
-        let after = Tree::new(site.iter());
+        let after = RelayTree::new(site.iter());
         for host in site.iter().filter(|host| !after.is_relay(host.incarnation)) {
             let (was, is) = (before.relays_of(host), after.relays_of(host));
             let added = is.iter().filter(|relay| !was.contains(relay)).count();
--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -25,7 +25,7 @@
 
 /// The relays of a site.
 #[derive(Clone, Debug, Default)]
-pub struct Tree {
+pub struct RelayTree {
     /// The relays by data centre; a host uses relays of its own data centre, so that little traffic
     /// crosses between data centres.
     relays: IndexMap<Name, Vec<Member>>,
@@ -36,7 +36,7 @@
     hosts: usize,
 }
 
-impl Tree {
+impl RelayTree {
     /// Derives the tree from a list of hosts. A relay has about as many hosts as the orderer has
     /// relays, which keeps the load of the busiest host as small as two levels allow.
     pub fn new<'a>(members: impl Iterator<Item = &'a Member>) -> Self {
