--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -54,10 +54,10 @@
                 hosts,
             };
         }
-        let hosts_a_relay = (hosts as f64).sqrt().ceil() as usize;
+        let hosts_per_relay = (hosts as f64).sqrt().ceil() as usize;
         for own in by_data_centre.values_mut() {
             own.sort_by_key(Member::rank);
-            own.truncate(own.len().div_ceil(hosts_a_relay));
+            own.truncate(own.len().div_ceil(hosts_per_relay));
         }
         Self {
             collectors: choose_collectors(by_data_centre.values().flatten().cloned()),
@@ -106,13 +106,13 @@
     pub fn interval_factor(&self, is_direct: bool) -> u64 {
         let callers = match is_direct {
             true => self.direct_hosts(),
-            false => self.hosts_a_relay().min(self.direct_hosts()),
+            false => self.hosts_per_relay().min(self.direct_hosts()),
         };
         callers.div_ceil(HOSTS_AT_SHORTEST_INTERVAL).max(1) as u64
     }
 
     /// Returns the average number of hosts per relay, rounded up.
-    pub fn hosts_a_relay(&self) -> usize {
+    pub fn hosts_per_relay(&self) -> usize {
         self.hosts.div_ceil(self.direct_hosts().max(1))
     }
 }
