--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -198,7 +198,7 @@
 fn helpers<P: Platform>(host: &Host<P>, me: &Member) -> Vec<Member> {
     let members = host.members.borrow();
     let mut others: Vec<&Member> = members.iter().filter(|other| *other != me).collect();
-    others.sort_by_key(|other| (other.data_centre == me.data_centre, other.rank()));
+    others.sort_by_key(|other| (other.data_centre == me.data_centre, other.capacity_rank()));
     others.into_iter().take(HELPERS).cloned().collect()
 }
 
--- a/src/group/member.rs
+++ b/src/group/member.rs
@@ -54,7 +54,7 @@
     /// Returns the sort key of hosts for work on behalf of others: the highest CPU capacity first,
     /// ties by incarnation. Incarnations are random and known to every host, so all hosts get the
     /// same order.
-    pub fn rank(&self) -> (std::cmp::Reverse<u32>, u64) {
+    pub fn capacity_rank(&self) -> (std::cmp::Reverse<u32>, u64) {
         (std::cmp::Reverse(self.cpu_millicores), self.incarnation)
     }
 }
--- a/src/group/tree.rs
+++ b/src/group/tree.rs
@@ -56,7 +56,7 @@
         }
         let hosts_per_relay = (hosts as f64).sqrt().ceil() as usize;
         for own in by_data_centre.values_mut() {
-            own.sort_by_key(Member::rank);
+            own.sort_by_key(Member::capacity_rank);
             own.truncate(own.len().div_ceil(hosts_per_relay));
         }
         Self {
@@ -119,7 +119,7 @@
 
 fn choose_collectors(members: impl Iterator<Item = Member>) -> Vec<Member> {
     let mut members: Vec<Member> = members.collect();
-    members.sort_by_key(Member::rank);
+    members.sort_by_key(Member::capacity_rank);
     members.truncate(MAX_COLLECTORS);
     members
 }
--- a/src/ordering/lease.rs
+++ b/src/ordering/lease.rs
@@ -32,7 +32,9 @@
     let mut all = members.clone().peekable();
     let is_first = all.peek().is_none();
     let is_listed = all.any(|other| other.incarnation == own.incarnation);
-    let before = members.filter(|other| other.rank() < own.rank()).count();
+    let before = members
+        .filter(|other| other.capacity_rank() < own.capacity_rank())
+        .count();
     is_first || (is_listed && before < CANDIDATES)
 }
 
