--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -474,7 +474,7 @@
         false => host.followed.note_read(cursor.table, asked_at, end),
     }
     if cursor.table == Table::Upstreams {
-        host.upstreams.borrow_mut().note_heard(host.now());
+        host.upstreams.borrow_mut().note_list_reached(host.now());
         match is_source(host) {
             true => {
                 let listed = host.upstreams.borrow().count();
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -351,7 +351,7 @@
             host.members.borrow_mut().note_contact(now);
         }
         if host.followed.take_word(asked_at, tables) {
-            host.upstreams.borrow_mut().note_heard(now);
+            host.upstreams.borrow_mut().note_list_reached(now);
         }
         if let Some(members) = members {
             host.take_members_news(members);
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -150,7 +150,7 @@
 
 fn replace_upstreams<P: Platform>(host: &Host<P>, list: WholeList) -> Vec<(Name, Change)> {
     let mut registry = host.upstreams.borrow_mut();
-    registry.note_heard(list.as_of);
+    registry.note_list_reached(list.as_of);
     let dropped = list.unreadable.into_iter().map(|id| {
         let change = registry.drop_unreadable(&id);
         (id, change)
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -147,7 +147,7 @@
     /// time before the last recorded one changes nothing. A long gap counts as an outage only if a
     /// poll of the list failed in it, since a host that relies on another host's copy may get it
     /// late.
-    pub fn note_heard(&mut self, now: Millis) {
+    pub fn note_list_reached(&mut self, now: Millis) {
         let gap = self
             .last_reached_at
             .map_or(Millis::ZERO, |at| now.since(at));
--- a/src/upstreams/tests.rs
+++ b/src/upstreams/tests.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_leaving_upstream_gets_no_requests_and_stays_leaving() {
     let mut registry = Registry::default();
-    registry.note_heard(Millis(0));
+    registry.note_list_reached(Millis(0));
     assert_eq!(registry.put(entry("a")), Change::Added);
     assert_eq!(registry.put(leaving("a")), Change::Leaving);
     assert_eq!(usable(&registry), [""; 0]);
@@ -53,9 +53,9 @@
 #[test]
 fn a_removal_without_an_outage_takes_effect_at_once() {
     let mut registry = Registry::default();
-    registry.note_heard(Millis(0));
+    registry.note_list_reached(Millis(0));
     registry.put(entry("a"));
-    registry.note_heard(Millis(1_500));
+    registry.note_list_reached(Millis(1_500));
     assert_eq!(registry.remove(Millis(1_500), "a"), Change::Gone);
     assert_eq!(usable(&registry), [""; 0]);
 }
@@ -65,9 +65,9 @@
 #[test]
 fn a_removal_after_a_late_copy_of_the_list_takes_effect_at_once() {
     let mut registry = Registry::default();
-    registry.note_heard(Millis(0));
+    registry.note_list_reached(Millis(0));
     registry.put(entry("a"));
-    registry.note_heard(Millis(4_000));
+    registry.note_list_reached(Millis(4_000));
     assert_eq!(registry.remove(Millis(4_000), "a"), Change::Gone);
     assert_eq!(usable(&registry), [""; 0]);
 }
@@ -75,13 +75,13 @@
 #[test]
 fn upstreams_whose_entries_lapsed_in_an_outage_are_used_for_the_grace_period() {
     let mut registry = Registry::default();
-    registry.note_heard(Millis(0));
+    registry.note_list_reached(Millis(0));
     for id in ["back", "gone", "left"] {
         registry.put(entry(id));
     }
     registry.put(leaving("left"));
     registry.note_unheard();
-    registry.note_heard(Millis(6_000));
+    registry.note_list_reached(Millis(6_000));
     let changes = registry.replace(Millis(6_000), Vec::new());
     assert_eq!(changes.len(), 3);
     assert_eq!(usable(&registry), ["back", "gone"]);
@@ -216,10 +216,10 @@
 fn an_older_copy_of_the_list_does_not_count_as_an_outage() {
     let mut registry = Registry::default();
     registry.put(entry("a"));
-    registry.note_heard(Millis(10_000));
-    registry.note_heard(Millis(7_000));
+    registry.note_list_reached(Millis(10_000));
+    registry.note_list_reached(Millis(7_000));
     registry.note_unheard();
-    registry.note_heard(Millis(10_100));
+    registry.note_list_reached(Millis(10_100));
     assert_eq!(registry.remove(Millis(10_100), "a"), Change::Gone);
 }
 
