--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -137,7 +137,7 @@
             Err(error) => {
                 note_failure(&mut cursor, &error);
                 if table == Table::Upstreams {
-                    host.upstreams.borrow_mut().note_unheard();
+                    host.upstreams.borrow_mut().note_list_unreachable();
                 }
                 let pause_ms = RETRY_MS[cursor.failures.min(RETRY_MS.len()) - 1];
                 Timer::after(spread(pause_ms).to_duration()).await;
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -257,7 +257,7 @@
         let outage_ends_at = now + Millis(5_000);
         let mut upstreams = site.host.upstreams.borrow_mut();
         upstreams.note_list_reached(now);
-        upstreams.note_unheard();
+        upstreams.note_list_unreachable();
         upstreams.note_list_reached(outage_ends_at);
         upstreams.remove(outage_ends_at, "u1");
         assert!(upstreams.get("u1").is_some());
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -158,7 +158,7 @@
     }
 
     /// Records that a poll of the list failed.
-    pub fn note_unheard(&mut self) {
+    pub fn note_list_unreachable(&mut self) {
         self.poll_failed = true;
     }
 
--- a/src/upstreams/tests.rs
+++ b/src/upstreams/tests.rs
@@ -80,7 +80,7 @@
         registry.put(entry(id));
     }
     registry.put(leaving("left"));
-    registry.note_unheard();
+    registry.note_list_unreachable();
     registry.note_list_reached(Millis(6_000));
     let changes = registry.replace(Millis(6_000), Vec::new());
     assert_eq!(changes.len(), 3);
@@ -218,7 +218,7 @@
     registry.put(entry("a"));
     registry.note_list_reached(Millis(10_000));
     registry.note_list_reached(Millis(7_000));
-    registry.note_unheard();
+    registry.note_list_unreachable();
     registry.note_list_reached(Millis(10_100));
     assert_eq!(registry.remove(Millis(10_100), "a"), Change::Gone);
 }
