--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -88,7 +88,7 @@
     service: &'a str,
     model: &'a ModelAsk,
 ) -> impl Iterator<Item = &'a Upstream> {
-    let listing = upstreams.listing(&model.model);
+    let listing = upstreams.listing_model(&model.model);
     let told = view.holders(model);
     let told = told.filter_map(|engine| upstreams.get_lifetime(engine));
     let told_alone = told.filter(|upstream| !upstream.holds(&model.model, None));
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -389,7 +389,7 @@
     }
 
     /// Returns the upstreams whose entries list a model, leaving ones included.
-    pub fn listing<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Upstream> {
+    pub fn listing_model<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Upstream> {
         let listing = self.index.listing(model);
         listing.filter_map(|id| self.upstreams.get(id))
     }
--- a/src/upstreams/tests.rs
+++ b/src/upstreams/tests.rs
@@ -288,7 +288,7 @@
             }
             for model in ["m0", "m1", "m2"] {
                 let holding = scan(&|upstream| upstream.holds(model, None));
-                assert_eq!(names(&mut registry.listing(model)), holding);
+                assert_eq!(names(&mut registry.listing_model(model)), holding);
             }
         }
         Ok(())
