--- a/src/entry/in_flight.rs
+++ b/src/entry/in_flight.rs
@@ -27,7 +27,7 @@
         let prompt_tokens = std::mem::take(&mut self.prompt_tokens);
         self.registry
             .borrow_mut()
-            .note_prompt_read(&self.upstream, prompt_tokens);
+            .note_prefill_done(&self.upstream, prompt_tokens);
     }
 }
 
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -341,7 +341,7 @@
     }
 
     /// Records that the engine has processed the prompt of a request.
-    pub fn note_prompt_read(&mut self, lifetime: &Lifetime, prompt_tokens: u64) {
+    pub fn note_prefill_done(&mut self, lifetime: &Lifetime, prompt_tokens: u64) {
         if let Some(upstream) = self.get_lifetime_mut(lifetime) {
             upstream.prompt_tokens = upstream.prompt_tokens.saturating_sub(prompt_tokens);
             let long_prompts = u32::from(is_long(prompt_tokens));
