--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -158,7 +158,7 @@
     };
     let is_as_listed = |view: &EngineView| {
         let engine = world.upstreams.get_lifetime(&view.engine);
-        engine.is_some_and(|engine| engine.holds_just(&view.held))
+        engine.is_some_and(|engine| engine.holds_exactly(&view.held))
     };
     let mut published = PublishedEngines::default();
     published.update(1, changes, is_as_listed);
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -99,7 +99,7 @@
         let changes = self.ledger.take_changes(now);
         let is_as_listed = |view: &EngineView| {
             let upstream = upstreams.get_lifetime(&view.engine);
-            upstream.is_some_and(|upstream| upstream.holds_just(&view.held))
+            upstream.is_some_and(|upstream| upstream.holds_exactly(&view.held))
         };
         self.published.update(fence, changes, is_as_listed);
     }
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns whether the entry lists exactly the given models and adapters.
-    pub fn holds_just(&self, asks: &[ModelAsk]) -> bool {
+    pub fn holds_exactly(&self, asks: &[ModelAsk]) -> bool {
         let models = self.entry.models.iter();
         let listed: usize = models.map(|held| 1 + held.adapters.len()).sum();
         let holds = |ask: &ModelAsk| self.holds(&ask.model, ask.adapter.as_deref());
