--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -72,7 +72,7 @@
     let upstreams = host.upstreams.borrow();
     let view = host.view.borrow();
     let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &ask.service, model)
-        .filter(|other| !other.health.is_resting(now))
+        .filter(|other| !other.health.is_backing_off(now))
         .collect();
     let copies = model_copies(&view, model, Some(fetch_share));
     let shape = prompt_shape(&ask.facts);
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -429,7 +429,7 @@
     let upstreams = host.upstreams.borrow();
     let unusable = upstreams
         .iter()
-        .filter(|upstream| upstream.entry.leaving || upstream.health.is_resting(now));
+        .filter(|upstream| upstream.entry.leaving || upstream.health.is_backing_off(now));
     unusable.map(|upstream| upstream.entry.id.clone()).collect()
 }
 
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -183,7 +183,7 @@
 }
 
 fn is_open(now: Millis, upstream: &Upstream) -> bool {
-    !upstream.health.is_resting(now)
+    !upstream.health.is_backing_off(now)
 }
 
 fn least<'a>(
--- a/src/upstreams/health.rs
+++ b/src/upstreams/health.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns whether the upstream gets no requests at the moment.
-    pub fn is_resting(&self, now: Millis) -> bool {
+    pub fn is_backing_off(&self, now: Millis) -> bool {
         now < self.backoff_until
     }
 
--- a/src/upstreams/tests.rs
+++ b/src/upstreams/tests.rs
@@ -106,9 +106,9 @@
     let first = health.note_unreachable(Millis(0));
     let second = health.note_unreachable(first);
     assert!(second - first > first);
-    assert!(health.is_resting(first));
+    assert!(health.is_backing_off(first));
     health.note_success(first);
-    assert!(!health.is_resting(first));
+    assert!(!health.is_backing_off(first));
 }
 
 #[test]
@@ -140,7 +140,7 @@
     assert_eq!(usable(&registry), ["a"]);
     assert!(registry.get_lifetime_mut(&former).is_none());
     let upstream = registry.get("a").expect("the upstream is listed");
-    assert!(!upstream.health.is_resting(Millis(1)));
+    assert!(!upstream.health.is_backing_off(Millis(1)));
     assert_eq!(upstream.in_flight, 0);
     assert!(!registry.end_lifetime(&former));
     // The leaving entry of the former lifetime arrives late.
