--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -191,7 +191,7 @@
         Change::Restarted => (LogEvent::UpstreamRegistered, "started again under its name"),
         Change::Leaving => (LogEvent::UpstreamLeaving, "leaving"),
         Change::Gone => (LogEvent::UpstreamGone, "gone"),
-        Change::Held => (LogEvent::UpstreamSilent, "entry lapsed in an outage"),
+        Change::Retained => (LogEvent::UpstreamSilent, "entry lapsed in an outage"),
         Change::Updated => (LogEvent::UpstreamUpdated, "updated"),
         Change::None => return,
     };
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -101,7 +101,7 @@
     /// An upstream was removed.
     Gone,
     /// An entry vanished in an outage; the upstream is kept for the rest of the grace period.
-    Held,
+    Retained,
     /// Other fields of an entry changed.
     Updated,
     /// Nothing relevant changed.
@@ -254,7 +254,7 @@
             .is_some_and(|at| now.since(at) < OUTAGE_GRACE_MS);
         if after_outage && !upstream.entry.leaving {
             upstream.vanished_at = Some(now);
-            return Change::Held;
+            return Change::Retained;
         }
         self.drop_upstream(id, false);
         Change::Gone
