--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -193,7 +193,7 @@
         Change::Gone => (LogEvent::UpstreamGone, "gone"),
         Change::Retained => (LogEvent::UpstreamSilent, "entry lapsed in an outage"),
         Change::Updated => (LogEvent::UpstreamUpdated, "updated"),
-        Change::None => return,
+        Change::Unchanged => return,
     };
     let upstreams = host.upstreams.borrow();
     let entry = upstreams.get(id).map(|upstream| &upstream.entry);
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -105,7 +105,7 @@
     /// Other fields of an entry changed.
     Updated,
     /// Nothing relevant changed.
-    None,
+    Unchanged,
 }
 
 /// The last lifetime of an upstream that was removed.
@@ -166,10 +166,10 @@
     /// and changes nothing.
     pub fn put(&mut self, entry: UpstreamEntry) -> Change {
         if self.is_past(&entry) {
-            return Change::None;
+            return Change::Unchanged;
         }
         match self.upstreams.get_mut(&entry.id) {
-            Some(upstream) if entry.born_at < upstream.entry.born_at => Change::None,
+            Some(upstream) if entry.born_at < upstream.entry.born_at => Change::Unchanged,
             Some(upstream) if entry.born_at > upstream.entry.born_at => {
                 self.busy.swap_remove(&entry.id);
                 self.index.remove(&upstream.entry);
@@ -193,7 +193,7 @@
                 upstream.entry = UpstreamEntry { leaving, ..entry };
                 match (starts_leaving, is_unchanged) {
                     (true, _) => Change::Leaving,
-                    (false, true) => Change::None,
+                    (false, true) => Change::Unchanged,
                     (false, false) => Change::Updated,
                 }
             }
@@ -212,10 +212,10 @@
     /// former lifetime are dropped; the list gives the rest of the entry later.
     pub fn note_restarted(&mut self, lifetime: &Lifetime) -> Change {
         let Some(upstream) = self.upstreams.get(&lifetime.id) else {
-            return Change::None;
+            return Change::Unchanged;
         };
         if lifetime.born_at <= upstream.entry.born_at {
-            return Change::None;
+            return Change::Unchanged;
         }
         let entry = UpstreamEntry {
             born_at: lifetime.born_at,
@@ -231,7 +231,7 @@
     pub fn drop_unreadable(&mut self, id: &str) -> Change {
         match self.drop_upstream(id, false) {
             true => Change::Gone,
-            false => Change::None,
+            false => Change::Unchanged,
         }
     }
 
@@ -247,7 +247,7 @@
     /// rest of that time, since it may only have been unable to renew its entry.
     pub fn remove(&mut self, now: Millis, id: &str) -> Change {
         let Some(upstream) = self.upstreams.get_mut(id) else {
-            return Change::None;
+            return Change::Unchanged;
         };
         let after_outage = self
             .outage_ended_at
@@ -279,7 +279,7 @@
             let id = entry.id.clone();
             changes.push((id, self.put(entry)));
         }
-        changes.retain(|(_, change)| *change != Change::None);
+        changes.retain(|(_, change)| *change != Change::Unchanged);
         changes
     }
 
--- a/src/upstreams/tests.rs
+++ b/src/upstreams/tests.rs
@@ -96,7 +96,7 @@
     let mut registry = Registry::default();
     registry.put(entry("a"));
     assert!(registry.end_lifetime(&lifetime("a", 0)));
-    assert_eq!(registry.put(entry("a")), Change::None);
+    assert_eq!(registry.put(entry("a")), Change::Unchanged);
     assert_eq!(usable(&registry), [""; 0]);
 }
 
@@ -144,7 +144,7 @@
     assert_eq!(upstream.in_flight, 0);
     assert!(!registry.end_lifetime(&former));
     // The leaving entry of the former lifetime arrives late.
-    assert_eq!(registry.put(entry_born_at(5, true)), Change::None);
+    assert_eq!(registry.put(entry_born_at(5, true)), Change::Unchanged);
     assert_eq!(usable(&registry), ["a"]);
 }
 
@@ -238,7 +238,7 @@
         registry.remove(Millis(0), &old.id);
     }
     for entry in old {
-        assert_eq!(registry.put(entry), Change::None);
+        assert_eq!(registry.put(entry), Change::Unchanged);
     }
     assert_eq!(registry.iter().count(), 10_000);
 }
