--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -1,7 +1,7 @@
 //! The desired state that an operator submits to the platform: routes, services, models, caller
 //! limits and organisations, all under one version.
 
-pub mod limit_table;
+pub mod rate_limit_table;
 pub mod routes;
 
 #[cfg(test)]
@@ -9,7 +9,7 @@
 
 use crate::identity::KeyDigest;
 use crate::prelude::*;
-pub use limit_table::LimitTable;
+pub use rate_limit_table::RateLimitTable;
 pub use routes::RouteTable;
 
 /// A complete desired state.
--- a/src/desired/limit_table.rs
+++ b/src/desired/rate_limit_table.rs
@@ -5,9 +5,9 @@
 
 /// Rate limits by the name of an organisation or upstream.
 #[derive(Clone, Debug, Default)]
-pub struct LimitTable(IndexMap<Name, RateLimit>);
+pub struct RateLimitTable(IndexMap<Name, RateLimit>);
 
-impl LimitTable {
+impl RateLimitTable {
     /// Returns the limit for a name, if there is one.
     pub fn get(&self, name: &str) -> Option<RateLimit> {
         self.0.get(name).copied()
@@ -27,7 +27,7 @@
     }
 }
 
-impl FromIterator<(Name, RateLimit)> for LimitTable {
+impl FromIterator<(Name, RateLimit)> for RateLimitTable {
     fn from_iter<I: IntoIterator<Item = (Name, RateLimit)>>(limits: I) -> Self {
         Self(limits.into_iter().collect())
     }
--- a/src/desired/routes.rs
+++ b/src/desired/routes.rs
@@ -1,6 +1,6 @@
 //! Lookup of the route of a request, and the choice of a service among its targets.
 
-use crate::desired::{CallerLimits, DesiredState, LimitTable, Route, Service};
+use crate::desired::{CallerLimits, DesiredState, RateLimitTable, Route, Service};
 use crate::identity::{Credential, Identity, Keys};
 use crate::prelude::*;
 
@@ -14,7 +14,7 @@
     /// Bounds on callers' requests and connections.
     pub limits: CallerLimits,
     /// The rate limits by the name of the organisation.
-    pub rate_limits: LimitTable,
+    pub rate_limits: RateLimitTable,
     /// The organisations by key; absent if callers need no key.
     keys: Option<Keys>,
     /// The routes by host name, those with the longest path prefix first.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,6 +1,6 @@
 //! Rate limits of organisations on a request's way, and in the messages between hosts.
 
-use crate::desired::{LimitTable, RateLimit};
+use crate::desired::{RateLimit, RateLimitTable};
 use crate::entry::ask::Ask;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
@@ -162,7 +162,7 @@
 /// Calls the limiter with this host's present place in the site; not before there is a desired state.
 fn with_limiter<P: Platform, T>(
     host: &Host<P>,
-    with: impl FnOnce(&mut Limiter, Millis, &LimitTable) -> T,
+    with: impl FnOnce(&mut Limiter, Millis, &RateLimitTable) -> T,
 ) -> Option<T> {
     let table = host.routes.borrow().clone()?;
     let now = host.now();
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -1,7 +1,7 @@
 //! Whether a request is within the limit that an organisation or an upstream has, as one host knows it. Either is told
 //! apart by its name alone.
 
-use crate::desired::{LimitTable, RateLimit};
+use crate::desired::{RateLimit, RateLimitTable};
 use crate::prelude::*;
 use crate::rate_limit::levels::{KnownLevels, Level, LimitsNews, is_needed};
 use crate::rate_limit::token_bucket::{Refill, SLOTS, TokenBucket, slot_of};
@@ -116,14 +116,14 @@
     }
 
     /// Takes note of this host's place. A new orderer goes on from the levels that it knows.
-    pub fn set_place(&mut self, now: Millis, place: Place, limits: &LimitTable) {
+    pub fn set_place(&mut self, now: Millis, place: Place, limits: &RateLimitTable) {
         if place.scope != self.place.scope {
             self.change_scope(now, place, limits);
         }
         self.place = place;
     }
 
-    fn change_scope(&mut self, now: Millis, place: Place, limits: &LimitTable) {
+    fn change_scope(&mut self, now: Millis, place: Place, limits: &RateLimitTable) {
         self.buckets.clear();
         self.placed_at = now;
         if place.scope == Scope::Group {
@@ -137,7 +137,7 @@
     }
 
     /// Begins the buckets of a new orderer with the last levels of the one before.
-    fn begin_site_buckets(&mut self, now: Millis, limits: &LimitTable) {
+    fn begin_site_buckets(&mut self, now: Millis, limits: &RateLimitTable) {
         let is_kept = |known: &KnownLevels| {
             known.scope == Scope::Site && slot_of(now) < slot_of(known.as_of) + SLOTS
         };
@@ -242,7 +242,7 @@
     }
 
     /// Takes the use that another host reports.
-    pub fn take_usage(&mut self, now: Millis, usage: &[Usage], limits: &LimitTable) {
+    pub fn take_usage(&mut self, now: Millis, usage: &[Usage], limits: &RateLimitTable) {
         for Usage { name, slots } in usage {
             let limit = limits.get(name);
             for (slots_ago, amount) in slots {
@@ -297,14 +297,14 @@
     }
 
     /// Returns the levels for hosts that report to this one.
-    pub fn news(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
+    pub fn news(&self, now: Millis, limits: &RateLimitTable) -> LimitsNews {
         match self.wider_levels(now) {
             Some(known) => self.pass_on(now, known, limits),
             None => self.own_news(now, limits),
         }
     }
 
-    fn own_news(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
+    fn own_news(&self, now: Millis, limits: &RateLimitTable) -> LimitsNews {
         let share = self.share(now);
         let level = |(name, bucket): (&Name, &TokenBucket)| {
             let limit = limits.get(name)?;
@@ -325,7 +325,7 @@
     }
 
     /// Returns levels of more hosts than this one hears, less the use that is not in them yet.
-    fn pass_on(&self, now: Millis, known: &KnownLevels, limits: &LimitTable) -> LimitsNews {
+    fn pass_on(&self, now: Millis, known: &KnownLevels, limits: &RateLimitTable) -> LimitsNews {
         let level = |name: &Name| {
             let limit = limits.get(name)?;
             let refill = self.refill(&limit, known.share);
@@ -348,7 +348,7 @@
     }
 
     /// Forgets the buckets of those that have no limit any more.
-    pub fn keep_known(&mut self, limits: &LimitTable) {
+    pub fn keep_known(&mut self, limits: &RateLimitTable) {
         self.buckets.retain(|name, _| limits.get(name).is_some());
     }
 
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -1,7 +1,7 @@
 //! One host's decisions: what it admits alone, as the orderer, and by the levels that it knows.
 
 use super::model::{START, TOLERANCE};
-use crate::desired::{LimitTable, LimitUnit, RateLimit};
+use crate::desired::{LimitUnit, RateLimit, RateLimitTable};
 use crate::prelude::*;
 use crate::rate_limit::limiter::{Limiter, Place, Scope};
 
@@ -11,7 +11,7 @@
     burst: 10.0,
 };
 
-fn table() -> LimitTable {
+fn table() -> RateLimitTable {
     [("o".into(), LIMIT)].into_iter().collect()
 }
 
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -1,6 +1,6 @@
 //! A site of limiters: hosts that speak through relays with an orderer, cuts between them, kills, and callers.
 
-use crate::desired::{LimitTable, LimitUnit, RateLimit};
+use crate::desired::{LimitUnit, RateLimit, RateLimitTable};
 use crate::prelude::*;
 use crate::rate_limit::UpstreamLimits;
 use crate::rate_limit::limiter::{Limiter, Place, Scope};
@@ -49,7 +49,7 @@
     pub large_admitted: u32,
     hosts: Vec<ModelHost>,
     limit: RateLimit,
-    table: LimitTable,
+    table: RateLimitTable,
     uses: VecDeque<(Millis, f64)>,
     used_in_window: f64,
     /// The most that was used in a window.
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -3,7 +3,7 @@
 //! Only the host that gets an answer reads the limit in it, so hosts tell each other what was named, beside the use. The
 //! newest statement holds. What is left is counted as it is for organisations.
 
-use crate::desired::{LimitTable, LimitUnit, RateLimit};
+use crate::desired::{LimitUnit, RateLimit, RateLimitTable};
 use crate::prelude::*;
 use crate::rate_limit::limiter::{Limiter, Place};
 use crate::rate_limit::{Decision, LimitsNews, Usage};
@@ -57,7 +57,7 @@
 pub struct UpstreamLimits {
     stated: IndexMap<Name, Stated>,
     /// Of those that name one.
-    limits: LimitTable,
+    limits: RateLimitTable,
     limiter: Limiter,
 }
 
@@ -66,7 +66,7 @@
     pub fn new(started_at: Millis) -> Self {
         Self {
             stated: IndexMap::new(),
-            limits: LimitTable::default(),
+            limits: RateLimitTable::default(),
             limiter: Limiter::new(started_at, 0.0),
         }
     }
