--- a/src/identity/mod.rs
+++ b/src/identity/mod.rs
@@ -93,7 +93,7 @@
 
 impl Keys {
     /// Indexes organisations by their keys. If two have the same key, it identifies the first one;
-    /// [`check`] finds such duplicates.
+    /// [`check_unique`] finds such duplicates.
     pub fn new(organisations: &[Arc<Organisation>]) -> Self {
         let mut by_digest = IndexMap::new();
         for organisation in organisations {
@@ -136,7 +136,7 @@
 /// # Errors
 ///
 /// Returns the first shared name or key.
-pub fn check(organisations: &[Arc<Organisation>]) -> Result<(), KeysError> {
+pub fn check_unique(organisations: &[Arc<Organisation>]) -> Result<(), KeysError> {
     let mut names: IndexSet<&Name> = IndexSet::new();
     let mut holders: IndexMap<KeyDigest, &Name> = IndexMap::new();
     for organisation in organisations {
--- a/src/identity/tests.rs
+++ b/src/identity/tests.rs
@@ -93,10 +93,13 @@
 #[test]
 fn organisations_that_share_a_name_or_a_key_are_rejected() {
     let a = organisation("a", &["k1", "k1"]);
-    assert_eq!(check(&[a.clone(), organisation("b", &["k2"])]), Ok(()));
-    let same_name = check(&[a.clone(), organisation("a", &["k2"])]);
+    assert_eq!(
+        check_unique(&[a.clone(), organisation("b", &["k2"])]),
+        Ok(())
+    );
+    let same_name = check_unique(&[a.clone(), organisation("a", &["k2"])]);
     assert!(matches!(same_name, Err(KeysError::SharedName { .. })));
-    let same_key = check(&[a, organisation("b", &["k1"])]);
+    let same_key = check_unique(&[a, organisation("b", &["k1"])]);
     assert!(matches!(same_key, Err(KeysError::SharedKey { .. })));
 }
 
