--- a/src/daemon/event.rs
+++ b/src/daemon/event.rs
@@ -1,7 +1,7 @@
 //! What can happen to a host.
 
 use crate::attempt::message::{AttemptOutcome, RequestHead, RequestId};
-use crate::membership::message::{HostList, PeerReply, PeerRequest};
+use crate::membership::message::{PeerReply, PeerRequest, PlatformList};
 use crate::placement::message::{EngineReport, OrderAnswer, StoreReport};
 use crate::prelude::*;
 use crate::shared_log::driver::{LogCallError, LogPage};
@@ -35,7 +35,7 @@
     /// The platform's list was read.
     HostsListed {
         /// The list.
-        list: HostList,
+        list: PlatformList,
     },
     /// The platform's list could not be read.
     HostsFailed,
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -3,7 +3,7 @@
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::{entry_answer, home};
 use crate::membership::members::{Member, MemberState};
-use crate::membership::message::{HostList, PeerReply, PeerRequest, Probe, UpstreamEntry};
+use crate::membership::message::{PeerReply, PeerRequest, PlatformList, Probe, UpstreamEntry};
 use crate::prelude::*;
 use crate::shared_log::driver::MAX_READ_RECORDS;
 use crate::shared_log::fold::Applied;
@@ -27,7 +27,7 @@
 /// What this host knows from the platform, and what it proposed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Platform {
-    list: Option<HostList>,
+    list: Option<PlatformList>,
     list_under_way: bool,
     next_list_at: Millis,
     next_register_at: Millis,
@@ -43,7 +43,7 @@
     }
 
     /// Returns the list as last read.
-    pub fn list(&self) -> Option<&HostList> {
+    pub fn list(&self) -> Option<&PlatformList> {
         self.list.as_ref()
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Takes the platform's list.
-    pub fn on_hosts_listed(&mut self, now: Millis, list: HostList) {
+    pub fn on_hosts_listed(&mut self, now: Millis, list: PlatformList) {
         self.platform.list_under_way = false;
         self.platform.listed_at = Some(now);
         for entry in &list.upstreams {
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the joined decisions.
 
-use crate::membership::message::{HostList, UpstreamEntry, UpstreamRole};
+use crate::membership::message::{PlatformList, UpstreamEntry, UpstreamRole};
 use crate::membership::tests::cluster::Cluster;
 use crate::prelude::*;
 use crate::table::message::{Brand, Change, Edit, Model, Row, RowKey};
@@ -62,7 +62,7 @@
     let now = cluster.now;
     let node = &mut cluster.hosts[0].node;
     let hosts = Vec::new();
-    node.on_hosts_listed(now, HostList { upstreams, hosts });
+    node.on_hosts_listed(now, PlatformList { upstreams, hosts });
     node.check_cold_start(now, &MODEL.into(), DEADLINE_MS)
 }
 
--- a/src/edge/hosts.rs
+++ b/src/edge/hosts.rs
@@ -2,7 +2,9 @@
 
 use crate::edge::http::{call_json, client};
 use crate::edge::{BoxFuture, HostDirectory};
-use crate::membership::message::{HostEntry, HostList, ListedHost, UpstreamEntry, UpstreamRole};
+use crate::membership::message::{
+    HostEntry, ListedHost, PlatformList, UpstreamEntry, UpstreamRole,
+};
 use crate::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -67,7 +69,7 @@
         }
     }
 
-    async fn read_list(&self) -> Option<HostList> {
+    async fn read_list(&self) -> Option<PlatformList> {
         let answer = call_json(
             &self.client,
             Method::Get,
@@ -77,7 +79,7 @@
         )
         .await;
         let answer: ListAnswer = answer.ok()?.body?;
-        let mut list = HostList::default();
+        let mut list = PlatformList::default();
         for line in answer.hosts {
             add_line(&mut list, line);
         }
@@ -120,7 +122,7 @@
     }
 }
 
-fn add_line(list: &mut HostList, line: Line) {
+fn add_line(list: &mut PlatformList, line: Line) {
     let role = match line.role {
         LineRole::Entry => {
             list.hosts.push(ListedHost {
@@ -145,7 +147,7 @@
 }
 
 impl HostDirectory for HttpHostList {
-    fn list(&self) -> BoxFuture<'_, Option<HostList>> {
+    fn list(&self) -> BoxFuture<'_, Option<PlatformList>> {
         Box::pin(self.read_list())
     }
 
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -22,7 +22,7 @@
 pub mod stream;
 pub mod upstream;
 
-use crate::membership::message::{HostEntry, HostList};
+use crate::membership::message::{HostEntry, PlatformList};
 use crate::placement::message::{EngineOrder, EngineReport, OrderAnswer, StoreReport};
 use crate::prelude::*;
 use crate::shared_log::driver::{LogCallError, LogPage};
@@ -45,7 +45,7 @@
 /// The platform's list of hosts. A call that fails returns nothing.
 pub trait HostDirectory: Send + Sync {
     /// Reads the list.
-    fn list(&self) -> BoxFuture<'_, Option<HostList>>;
+    fn list(&self) -> BoxFuture<'_, Option<PlatformList>>;
 
     /// Registers or renews an entry host.
     fn register(&self, entry: HostEntry, incarnation: Incarnation) -> BoxFuture<'_, ()>;
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -71,7 +71,7 @@
 
 /// The platform's list of upstreams and hosts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HostList {
+pub struct PlatformList {
     /// The engines and plain services.
     pub upstreams: Vec<UpstreamEntry>,
     /// The hosts.
--- a/src/membership/tests/cluster.rs
+++ b/src/membership/tests/cluster.rs
@@ -3,7 +3,7 @@
 
 use crate::daemon::event::Event;
 use crate::daemon::node::{Life, Node, NodeConfig};
-use crate::membership::message::{HostEntry, HostList, ListedHost, UpstreamEntry};
+use crate::membership::message::{HostEntry, ListedHost, PlatformList, UpstreamEntry};
 use crate::prelude::*;
 use crate::shared_log::driver::{LogCallError, LogPage};
 use crate::shared_log::tests::fake_log::{FakeLog, host_entry};
@@ -258,7 +258,7 @@
             incarnation: host.registered,
         };
         let hosts = self.hosts.iter().filter(|host| !host.unlisted);
-        let list = HostList {
+        let list = PlatformList {
             upstreams: self.upstreams.clone(),
             hosts: hosts.map(listed).collect(),
         };
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -7,7 +7,7 @@
 use mangovale::daemon::event::Event;
 use mangovale::daemon::node::{Node, NodeConfig};
 use mangovale::daemon::trace::{Trace, TraceFile};
-use mangovale::membership::message::{HostEntry, HostList, ListedHost};
+use mangovale::membership::message::{HostEntry, ListedHost, PlatformList};
 use mangovale::settings::TimingSettings;
 use mangovale::shared_log::record::Incarnation;
 
@@ -40,9 +40,9 @@
         incarnation: Some(Incarnation(number as u64)),
     };
     let hosts = (0..length).map(listed).collect();
-    let list = HostList {
+    let list = PlatformList {
         hosts,
-        ..HostList::default()
+        ..PlatformList::default()
     };
     Event::HostsListed { list }
 }
