--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -189,7 +189,7 @@
             return;
         };
         let missing: Vec<Incarnation> = members
-            .counted()
+            .voters()
             .filter(|host| self.applied_by(*host) < needed)
             .collect();
         let probe = self.own_probe(now);
@@ -198,11 +198,11 @@
     }
 
     fn majority_applied(&self, needed: Offset) -> bool {
-        let counted = self.shared.members.counted().count();
+        let counted = self.shared.members.voters().count();
         let with_it = self
             .shared
             .members
-            .counted()
+            .voters()
             .filter(|host| self.applied_by(*host) >= needed)
             .count();
         counted == 0 || with_it * 2 > counted
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -215,9 +215,9 @@
     }
 
     fn sees_majority(&self, now: Millis, me: Incarnation, members: &Members) -> bool {
-        let counted = members.counted().count();
+        let counted = members.voters().count();
         let seen = members
-            .counted()
+            .voters()
             .filter(|host| {
                 *host == me || self.is_current(now, self.peers_known_at.get(host).copied())
             })
--- a/src/membership/members.rs
+++ b/src/membership/members.rs
@@ -109,7 +109,7 @@
 
     /// Iterates over the voters: the hosts that count for majorities. A departed host remains a
     /// voter until a majority has confirmed its departure.
-    pub fn counted(&self) -> impl Iterator<Item = Incarnation> {
+    pub fn voters(&self) -> impl Iterator<Item = Incarnation> {
         self.hosts
             .iter()
             .filter(|(_, member)| member.counted)
@@ -172,7 +172,7 @@
         if member.is_settled() {
             return Err(Rejection::WrongHostState);
         }
-        let no_voters = self.counted().next().is_none();
+        let no_voters = self.voters().next().is_none();
         if !no_voters && confirmed < self.needed_offset(member) {
             return Err(Rejection::NotConfirmed);
         }
--- a/src/membership/tests/evictions.rs
+++ b/src/membership/tests/evictions.rs
@@ -37,7 +37,7 @@
     }
     cluster.run_until("the evictions", |cluster| member_count(cluster) == 2);
     cluster.run_for(Millis(15_000));
-    assert_eq!(cluster.hosts[1].node.shared.members.counted().count(), 5);
+    assert_eq!(cluster.hosts[1].node.shared.members.voters().count(), 5);
 }
 
 #[test]
@@ -104,12 +104,12 @@
 fn voters_change_one_at_a_time() {
     let mut cluster = Cluster::new(5);
     cluster.run_until("all hosts to be voters", |cluster| {
-        cluster.hosts[0].node.shared.members.counted().count() == 5
+        cluster.hosts[0].node.shared.members.voters().count() == 5
     });
     cluster.hosts[0].frozen = true;
     cluster.hosts[1].frozen = true;
     cluster.run_until("both to be no voters any more", |cluster| {
-        cluster.hosts[2].node.shared.members.counted().count() == 3
+        cluster.hosts[2].node.shared.members.voters().count() == 3
     });
 }
 
@@ -123,7 +123,7 @@
     let call = cluster.edit(2, model_edit(0));
     cluster.run_until("an answer", |cluster| cluster.edits.contains_key(&call));
     cluster.run_until("the lost hosts to be no voters any more", |cluster| {
-        cluster.hosts[2].node.shared.members.counted().count() == 1
+        cluster.hosts[2].node.shared.members.voters().count() == 1
     });
     let call = cluster.edit(2, model_edit(0));
     cluster.run_until("an answer", |cluster| cluster.edits.contains_key(&call));
@@ -137,7 +137,7 @@
 fn edits_take_effect_while_a_host_cut_from_its_peers_joins_again_and_again() {
     let mut cluster = Cluster::new(3);
     cluster.run_until("all hosts to be voters", |cluster| {
-        cluster.hosts[1].node.shared.members.counted().count() == 3
+        cluster.hosts[1].node.shared.members.voters().count() == 3
     });
     for other in [1, 2] {
         cluster.cut_link(0, other, true);
--- a/src/table/acceptance.rs
+++ b/src/table/acceptance.rs
@@ -172,8 +172,8 @@
         if unconfirmed.is_empty() {
             return Some(Ok(EditAnswer::InForce { version }));
         }
-        let counted = members.counted().count();
-        let with_it = members.counted().filter(has_it).count();
+        let counted = members.voters().count();
+        let with_it = members.voters().filter(has_it).count();
         if with_it * 2 > counted {
             let since = *self.majority_at.get_or_insert(now);
             if now.since(since) > fresh_bound_ms {
