--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -159,7 +159,7 @@
                 || self.probes.answers(host)
         };
         let mut changes: Vec<(MemberState, Incarnation, Offset)> = members
-            .uncounted_changes()
+            .pending_changes()
             .filter(|(host, member)| may_count(**host, member))
             .map(|(host, member)| (member.state, *host, members.needed_offset(member)))
             .collect();
@@ -182,7 +182,7 @@
     fn ask_counted(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let newest = members
-            .uncounted_changes()
+            .pending_changes()
             .map(|(_, member)| members.needed_offset(member))
             .max();
         let Some(needed) = newest else {
--- a/src/membership/members.rs
+++ b/src/membership/members.rs
@@ -117,7 +117,7 @@
     }
 
     /// Iterates over the hosts whose join or departure has not changed the set of voters yet.
-    pub fn uncounted_changes(&self) -> impl Iterator<Item = (&Incarnation, &Member)> {
+    pub fn pending_changes(&self) -> impl Iterator<Item = (&Incarnation, &Member)> {
         self.hosts.iter().filter(|(_, member)| !member.is_settled())
     }
 
