--- a/src/membership/members.rs
+++ b/src/membership/members.rs
@@ -162,7 +162,7 @@
     ///
     /// Rejects an unknown host, a host whose last change took effect for majorities already, and a
     /// confirmation below [`needed_offset`](Self::needed_offset), unless there are no voters yet.
-    pub fn count(
+    pub fn commit_change(
         &mut self,
         offset: Offset,
         host: Incarnation,
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -127,7 +127,7 @@
             RecordBody::Counted {
                 host,
                 confirmed_offset,
-            } => self.members.count(offset, *host, *confirmed_offset),
+            } => self.members.commit_change(offset, *host, *confirmed_offset),
             RecordBody::Leave => self.members.depart(offset, writer),
             RecordBody::Evict { host } => self.members.depart(offset, *host),
             RecordBody::Gone { host } => {
