--- a/src/membership/members.rs
+++ b/src/membership/members.rs
@@ -205,7 +205,7 @@
     /// # Errors
     ///
     /// Rejects a host that is not departed.
-    pub fn gone(&mut self, offset: Offset, host: Incarnation) -> Result<(), Rejection> {
+    pub fn forget(&mut self, offset: Offset, host: Incarnation) -> Result<(), Rejection> {
         let member = self.hosts.get(&host).ok_or(Rejection::WrongHostState)?;
         if member.state != MemberState::Departed {
             return Err(Rejection::WrongHostState);
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -131,7 +131,7 @@
             RecordBody::Leave => self.members.depart(offset, writer),
             RecordBody::Evict { host } => self.members.depart(offset, *host),
             RecordBody::Gone { host } => {
-                self.members.gone(offset, *host)?;
+                self.members.forget(offset, *host)?;
                 self.placement.executor_gone(*host);
                 Ok(())
             }
