--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -70,7 +70,7 @@
             .filter(|(_, offset)| **offset <= newest)
             .map(|(host, _)| *host);
         self.probes
-            .ask_now(now, missing, &self.shared.members, &probe, fx);
+            .probe_now(now, missing, &self.shared.members, &probe, fx);
     }
 
     fn applied_offsets(&self) -> IndexMap<Incarnation, Offset> {
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -194,7 +194,7 @@
             .collect();
         let probe = self.own_probe(now);
         self.probes
-            .ask_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
+            .probe_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
     }
 
     fn majority_applied(&self, needed: Offset) -> bool {
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -180,7 +180,7 @@
     }
 
     /// Probes hosts outside the regular rounds when an edit waits for their offsets.
-    pub fn ask_now(
+    pub fn probe_now(
         &mut self,
         now: Millis,
         hosts: impl Iterator<Item = Incarnation>,
--- a/src/membership/tests/probes.rs
+++ b/src/membership/tests/probes.rs
@@ -89,7 +89,7 @@
         let now = Millis(10_000 + tick * 18);
         let mut fx = Effects::new();
         let missing = members.known().filter(|host| !reached.contains(host));
-        probes.ask_now(now, missing, &members, &probe(), &mut fx);
+        probes.probe_now(now, missing, &members, &probe(), &mut fx);
         let partners = probed_hosts(&fx);
         assert!(partners.len() <= MAX_DIRECT_PROBES);
         for partner in partners {
