--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -4,7 +4,7 @@
 use crate::attempt::message::RequestId;
 use crate::attempt::requests::Phase;
 use crate::daemon::node::Node;
-use crate::membership::entry::rank;
+use crate::membership::entry::rank_hosts;
 use crate::membership::message::PeerRequest;
 use crate::prelude::*;
 use crate::table::message::RowKey;
@@ -66,7 +66,7 @@
     fn home_of_row(&self, row: &RowKey) -> Option<Incarnation> {
         let key = format!("limit {}\n{}", row.brand, row.model);
         let members = self.shared.members.iter().map(|(host, _)| *host);
-        rank(&key, members).first().copied()
+        rank_hosts(&key, members).first().copied()
     }
 
     /// Grants a slice of a row's limit, if this host is the row's home.
--- a/src/membership/entry.rs
+++ b/src/membership/entry.rs
@@ -22,7 +22,7 @@
 
 /// Ranks hosts for a key by rendezvous hashing. The first one is the key's home, the host that is
 /// responsible for it.
-pub fn rank(key: &str, hosts: impl Iterator<Item = Incarnation>) -> Vec<Incarnation> {
+pub fn rank_hosts(key: &str, hosts: impl Iterator<Item = Incarnation>) -> Vec<Incarnation> {
     let mut scored: Vec<(u64, Incarnation)> = hosts.map(|host| (score(key, host), host)).collect();
     scored.sort_unstable_by(|a, b| b.cmp(a));
     scored.into_iter().map(|(_, host)| host).collect()
@@ -68,7 +68,7 @@
         // Probably this host is the one that is isolated.
         usable = silent;
     }
-    let hosts = rank(key, usable.into_iter())
+    let hosts = rank_hosts(key, usable.into_iter())
         .into_iter()
         .take(MAX_ENTRY_HOSTS)
         .filter_map(|host| members.get(host))
