--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -269,11 +269,11 @@
     node.shared = shared;
     node.life = mangovale::daemon::node::Life::Serving;
     let mut now = Millis(START_MS);
-    node.freshness.log_known(now);
+    node.freshness.note_log_applied(now);
     let started_at = Instant::now();
     for _ in 0..TICKS {
         now += Millis(20);
-        node.freshness.log_known(now);
+        node.freshness.note_log_applied(now);
         node.handle(now, Event::Tick);
     }
     micros(started_at) / f64::from(TICKS)
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -48,7 +48,7 @@
         self.driver
             .on_page(asked_at, self.shared.next_offset, page.end_offset);
         if self.shared.next_offset >= page.end_offset {
-            self.freshness.log_known(asked_at);
+            self.freshness.note_log_applied(asked_at);
         }
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -90,7 +90,7 @@
     }
 
     /// Records that this host has applied everything that was in the log at the time `at`.
-    pub fn log_known(&mut self, at: Millis) {
+    pub fn note_log_applied(&mut self, at: Millis) {
         self.log_known_at = self.log_known_at.max(Some(at));
     }
 
@@ -132,7 +132,7 @@
         for (peer, entry) in reached {
             self.note_peer_applied(peer, entry.asked_at);
             if let Some(at) = entry.log_known_at {
-                self.log_known(at);
+                self.note_log_applied(at);
             }
         }
     }
