--- a/src/membership/entry.rs
+++ b/src/membership/entry.rs
@@ -39,9 +39,9 @@
         .max_by_key(|host| (score(key, *host), *host))
 }
 
-/// Returns the entry answer for a key. Suspected and stopping hosts are left out, and hosts that
-/// missed their last probe are named only if there is no other. `serving` tells whether this host,
-/// `me`, may be named.
+/// Returns the entry answer for a brand and a model or service, by whose name, `key`, the hosts are
+/// ranked. Suspected and stopping hosts are left out, and hosts that missed their last probe are
+/// named only if there is no other. `serving` tells whether this host, `me`, may be named.
 pub fn entry_answer(
     key: &str,
     me: Incarnation,
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -177,7 +177,7 @@
         self.last_event_at.unwrap_or_default()
     }
 
-    /// Removes the evidence from peers that are no longer known members.
+    /// Removes the evidence from peers that are forgotten as members.
     pub fn retain_members(&mut self, members: &Members) {
         self.peers_known_at.retain(|peer, _| members.knows(*peer));
         self.peers_ahead.retain(|peer, _| members.knows(*peer));
@@ -214,14 +214,16 @@
         known_at.is_some_and(|at| at >= self.not_before && now.since(at) <= self.bound_ms)
     }
 
+    /// Returns whether this host has recent evidence that it applied everything that a majority of
+    /// the voters had applied.
     fn sees_majority(&self, now: Millis, me: Incarnation, members: &Members) -> bool {
-        let counted = members.voters().count();
+        let voters = members.voters().count();
         let seen = members
             .voters()
             .filter(|host| {
                 *host == me || self.is_current(now, self.peers_known_at.get(host).copied())
             })
             .count();
-        seen * 2 > counted
+        seen * 2 > voters
     }
 }
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -143,8 +143,9 @@
     pub from: Incarnation,
     /// The offset after the last log record that the sender has applied.
     pub next_offset: Offset,
-    /// How long ago the newest read began that reached the end of the log and of which the sender
-    /// has applied everything, whichever host read it; `None` if there is none.
+    /// The time since the start of the newest read that reached the end of the log and whose
+    /// records the sender has all applied; another host may have made the read. `None` if there is
+    /// none.
     pub log_age_ms: Option<Millis>,
     /// Whether the sender is shutting down.
     pub stopping: bool,
--- a/src/membership/tests/cluster.rs
+++ b/src/membership/tests/cluster.rs
@@ -73,8 +73,8 @@
             cluster.hosts.push(Host::new(number));
         }
         cluster.run_until("all hosts to serve and to be voters", |cluster| {
-            let counted = cluster.hosts[0].node.shared.members.voters().count();
-            counted == count && cluster.hosts.iter().all(|host| host.is_fresh(cluster.now))
+            let voters = cluster.hosts[0].node.shared.members.voters().count();
+            voters == count && cluster.hosts.iter().all(|host| host.is_fresh(cluster.now))
         });
         cluster
     }
--- a/src/upstreams/health.rs
+++ b/src/upstreams/health.rs
@@ -51,7 +51,7 @@
         self.backoff_until
     }
 
-    /// Returns whether the upstream gets no requests at the moment.
+    /// Returns whether the upstream is in backoff, during which it gets no requests.
     pub fn is_backing_off(&self, now: Millis) -> bool {
         now < self.backoff_until
     }
