--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -3,7 +3,7 @@
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::{entry_answer, home};
 use crate::membership::members::{Member, MemberState};
-use crate::membership::message::{HostList, PeerReply, PeerRequest, Probe, UpstreamEntry};
+use crate::membership::message::{PeerReply, PeerRequest, PlatformList, Probe, UpstreamEntry};
 use crate::prelude::*;
 use crate::shared_log::driver::MAX_READ_RECORDS;
 use crate::shared_log::fold::Applied;
@@ -27,7 +27,7 @@
 /// What this host knows from the platform, and what it proposed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Platform {
-    list: Option<HostList>,
+    list: Option<PlatformList>,
     list_under_way: bool,
     next_list_at: Millis,
     next_register_at: Millis,
@@ -43,7 +43,7 @@
     }
 
     /// Returns the list as last read.
-    pub fn list(&self) -> Option<&HostList> {
+    pub fn list(&self) -> Option<&PlatformList> {
         self.list.as_ref()
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Takes the platform's list.
-    pub fn on_hosts_listed(&mut self, now: Millis, list: HostList) {
+    pub fn on_hosts_listed(&mut self, now: Millis, list: PlatformList) {
         self.platform.list_under_way = false;
         self.platform.listed_at = Some(now);
         for entry in &list.upstreams {
@@ -159,7 +159,7 @@
                 || self.probes.answers(host)
         };
         let mut changes: Vec<(MemberState, Incarnation, Offset)> = members
-            .uncounted_changes()
+            .pending_changes()
             .filter(|(host, member)| may_count(**host, member))
             .map(|(host, member)| (member.state, *host, members.needed_offset(member)))
             .collect();
@@ -182,27 +182,27 @@
     fn ask_counted(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let newest = members
-            .uncounted_changes()
+            .pending_changes()
             .map(|(_, member)| members.needed_offset(member))
             .max();
         let Some(needed) = newest else {
             return;
         };
         let missing: Vec<Incarnation> = members
-            .counted()
+            .voters()
             .filter(|host| self.applied_by(*host) < needed)
             .collect();
         let probe = self.own_probe(now);
         self.probes
-            .ask_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
+            .probe_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
     }
 
     fn majority_applied(&self, needed: Offset) -> bool {
-        let counted = self.shared.members.counted().count();
+        let counted = self.shared.members.voters().count();
         let with_it = self
             .shared
             .members
-            .counted()
+            .voters()
             .filter(|host| self.applied_by(*host) >= needed)
             .count();
         counted == 0 || with_it * 2 > counted
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -72,7 +72,7 @@
     let upstreams = host.upstreams.borrow();
     let view = host.view.borrow();
     let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &ask.service, model)
-        .filter(|other| !other.health.is_resting(now))
+        .filter(|other| !other.health.is_backing_off(now))
         .collect();
     let copies = model_copies(&view, model, Some(fetch_share));
     let shape = prompt_shape(&ask.facts);
@@ -88,7 +88,7 @@
     service: &'a str,
     model: &'a ModelAsk,
 ) -> impl Iterator<Item = &'a Upstream> {
-    let listing = upstreams.listing(&model.model);
+    let listing = upstreams.listing_model(&model.model);
     let told = view.holders(model);
     let told = told.filter_map(|engine| upstreams.get_lifetime(engine));
     let told_alone = told.filter(|upstream| !upstream.holds(&model.model, None));
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -137,7 +137,7 @@
             Err(error) => {
                 note_failure(&mut cursor, &error);
                 if table == Table::Upstreams {
-                    host.upstreams.borrow_mut().note_unheard();
+                    host.upstreams.borrow_mut().note_list_unreachable();
                 }
                 let pause_ms = RETRY_MS[cursor.failures.min(RETRY_MS.len()) - 1];
                 Timer::after(spread(pause_ms).to_duration()).await;
@@ -474,7 +474,7 @@
         false => host.followed.note_read(cursor.table, asked_at, end),
     }
     if cursor.table == Table::Upstreams {
-        host.upstreams.borrow_mut().note_heard(host.now());
+        host.upstreams.borrow_mut().note_list_reached(host.now());
         match is_source(host) {
             true => {
                 let listed = host.upstreams.borrow().count();
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -10,9 +10,9 @@
 use crate::entry::pool::Pool;
 use crate::entry::settings::EntrySettings;
 use crate::entry::stop::ACCEPT_ON_MS;
-use crate::group::parents::{Parents, STALE_MS};
-use crate::group::reading::is_begun_or_large;
-use crate::group::{Member, Members, Tree};
+use crate::group::parents::{ORDERER_STALE_MS, ParentSelector};
+use crate::group::read_policy::may_have_many_unlisted;
+use crate::group::{Member, Members, RelayTree};
 use crate::http1::client::within;
 use crate::ordering::gather::Gather;
 use crate::ordering::view::View;
@@ -51,9 +51,9 @@
     /// The other hosts and this one, as the group has them.
     pub members: RefCell<Members>,
     /// Which hosts relay between the others and the orderer.
-    pub tree: RefCell<Tree>,
+    pub tree: RefCell<RelayTree>,
     /// Which of them this host asks.
-    pub parents: RefCell<Parents>,
+    pub parents: RefCell<ParentSelector>,
     /// What hosts told this one as their relay.
     pub gather: RefCell<Gather>,
     /// What the orderer says.
@@ -197,7 +197,7 @@
     /// Tells whether what this host knows of the orderer is new.
     pub fn hears_orderer(&self, now: Millis) -> bool {
         let answered_at = self.view.borrow().answered_at;
-        answered_at.is_some_and(|at| now.since(at) < STALE_MS)
+        answered_at.is_some_and(|at| now.since(at) < ORDERER_STALE_MS)
     }
 
     /// Tells whether the others would refuse this host's calls, and those of hundreds like it: the group does not list it yet. A
@@ -205,8 +205,8 @@
     pub fn is_unknown_to_others(&self, me: &Member) -> bool {
         let members = self.members.borrow();
         let was_heard = self.view.borrow().answered_at.is_some();
-        let may_be_many = is_begun_or_large(members.count());
-        members.known_at().is_some() && may_be_many && !members.lists(me) && !was_heard
+        let may_be_many = may_have_many_unlisted(members.count());
+        members.confirmed_at().is_some() && may_be_many && !members.contains(me) && !was_heard
     }
 
     /// Tells whether callers do well to come here.
@@ -265,7 +265,7 @@
 
     /// Takes that the list of members changed: accepts their connections and that of the orderer, and works out the relays.
     pub fn accept_listed(&self) {
-        *self.tree.borrow_mut() = Tree::new(self.members.borrow().iter());
+        *self.tree.borrow_mut() = RelayTree::new(self.members.borrow().iter());
         let orderer = self.orders.borrow().holder().cloned();
         self.accept_members(orderer.as_ref());
     }
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -97,7 +97,7 @@
 /// something new.
 fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     !host.hears_orderer(now)
-        && !host.parents.borrow().has_answered(now)
+        && !host.parents.borrow().answered_recently(now)
         && host.orders.borrow().lease.is_worth_reading(now)
 }
 
@@ -198,7 +198,7 @@
 fn helpers<P: Platform>(host: &Host<P>, me: &Member) -> Vec<Member> {
     let members = host.members.borrow();
     let mut others: Vec<&Member> = members.iter().filter(|other| *other != me).collect();
-    others.sort_by_key(|other| (other.data_centre == me.data_centre, other.rank()));
+    others.sort_by_key(|other| (other.data_centre == me.data_centre, other.capacity_rank()));
     others.into_iter().take(HELPERS).cloned().collect()
 }
 
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -4,8 +4,8 @@
 use crate::entry::lines;
 use crate::entry::platform::{Joined, Platform, StoreCall, StoreError};
 use crate::group::Member;
-use crate::group::members::{MembersChange, MembersNews};
-use crate::group::reading::{ReadCase, Role, SOON_READ_MS};
+use crate::group::members::{MembersChange, MembersUpdate};
+use crate::group::read_policy::{MIN_READ_INTERVAL_MS, ReadConditions, Role};
 use crate::http1::client::within;
 use crate::prelude::*;
 use smol::Timer;
@@ -69,9 +69,9 @@
                     note_store(LogEvent::LogBack, "join", "");
                 }
                 let rest = async {
-                    Timer::after(SOON_READ_MS.to_duration()).await;
+                    Timer::after(MIN_READ_INTERVAL_MS.to_duration()).await;
                     if !is_new_and_alone(&host, host.now()) {
-                        within(JOIN_INTERVAL_MS - SOON_READ_MS, refused).await;
+                        within(JOIN_INTERVAL_MS - MIN_READ_INTERVAL_MS, refused).await;
                     }
                 };
                 futures_lite::future::or(rest, stop).await;
@@ -112,20 +112,20 @@
         is_listed,
     } = renewal.joined;
     let now = host.now();
-    host.members.borrow_mut().note_heard(now);
-    let has_refused = host.has_unknown_peer.take();
+    host.members.borrow_mut().note_contact(now);
+    let refused_unlisted_peer = host.has_unknown_peer.take();
     if generation == host.members.borrow().generation() {
         renewal.behind_since = None;
         return Ok(());
     }
     let behind_since = *renewal.behind_since.get_or_insert(now);
-    let case = ReadCase {
-        known_ms: host.members.borrow().known_at().map(|at| now.since(at)),
-        behind_ms: now.since(behind_since),
+    let case = ReadConditions {
+        list_age_ms: host.members.borrow().confirmed_at().map(|at| now.since(at)),
+        outdated_ms: now.since(behind_since),
         listed: host.members.borrow().count(),
         is_listed,
-        is_new: host.age_ms(now) < NEW_MS,
-        has_refused,
+        started_recently: host.age_ms(now) < NEW_MS,
+        refused_unlisted_peer,
         role: role(host, now),
     };
     if case.is_due() {
@@ -143,7 +143,7 @@
         (true, _, _) => Role::Orderer,
         (false, true, true) => Role::Relay,
         (false, true, false) => Role::Follower,
-        (false, false, _) => Role::Alone,
+        (false, false, _) => Role::WithoutOrderer,
     }
 }
 
@@ -165,7 +165,7 @@
 impl<P: Platform> Host<P> {
     /// Takes how the list of hosts changed, as another host says. News that do not lead to the newest list change nothing:
     /// the list is read then.
-    pub fn take_members_news(&self, news: MembersNews) {
+    pub fn take_members_news(&self, news: MembersUpdate) {
         let change = self.members.borrow_mut().apply(self.now(), news);
         if let Some(change) = change {
             note_change(self, &change, true);
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -99,7 +99,7 @@
         let changes = self.ledger.take_changes(now);
         let is_as_listed = |view: &EngineView| {
             let upstream = upstreams.get_lifetime(&view.engine);
-            upstream.is_some_and(|upstream| upstream.holds_just(&view.held))
+            upstream.is_some_and(|upstream| upstream.holds_exactly(&view.held))
         };
         self.published.update(fence, changes, is_as_listed);
     }
@@ -429,7 +429,7 @@
     let upstreams = host.upstreams.borrow();
     let unusable = upstreams
         .iter()
-        .filter(|upstream| upstream.entry.leaving || upstream.health.is_resting(now));
+        .filter(|upstream| upstream.entry.leaving || upstream.health.is_backing_off(now));
     unusable.map(|upstream| upstream.entry.id.clone()).collect()
 }
 
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -8,7 +8,7 @@
 use crate::entry::platform::Platform;
 use crate::entry::upstream_limits;
 use crate::group::Member;
-use crate::group::parents::{Parent, STALE_MS};
+use crate::group::parents::{ORDERER_STALE_MS, Parent};
 use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncAsk, SyncReply, Totals};
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// How often a host speaks with the orderer or its relay, and how often while a request waits for a model, where few hosts
-/// speak with the same one; see [`Tree::interval_factor`](crate::group::Tree::interval_factor).
+/// speak with the same one; see [`RelayTree::interval_factor`](crate::group::RelayTree::interval_factor).
 pub const SYNC_MS: Millis = Millis(250);
 const WAITING_SYNC_MS: Millis = Millis(30);
 const LEAST_SYNC_MS: Millis = Millis(4);
@@ -67,7 +67,7 @@
             .collect(),
         separate: orders.separate.clone(),
         tables: host.followed.word(now, ask.upstreams_from),
-        members: host.members.borrow().news_since(ask.members_generation),
+        members: host.members.borrow().update_since(ask.members_generation),
         totals,
     }))
 }
@@ -98,7 +98,7 @@
         ready_in_ms: view.ready_in_ms(now),
         separate: view.separate(),
         tables: host.followed.word(now, ask.upstreams_from),
-        members: host.members.borrow().news_since(ask.members_generation),
+        members: host.members.borrow().update_since(ask.members_generation),
         totals,
     }))
 }
@@ -194,7 +194,7 @@
         let parents = host.parents.borrow();
         let mut collectors = tree.collectors().iter();
         collectors
-            .find(|first| !parents.has_failed(asked_at, first))
+            .find(|first| !parents.failed_recently(asked_at, first))
             .cloned()
     };
     let Some(first) = first.filter(|first| first.incarnation != me.incarnation) else {
@@ -288,7 +288,7 @@
         is_for_orderer: false,
         is_urgent,
         view_version: host.view.borrow().version(),
-        members_generation: host.members.borrow().wants_from(),
+        members_generation: host.members.borrow().update_base_generation(),
         work: work.into_iter().collect(),
         demand,
         upstreams_from: host.followed.wants_from(),
@@ -347,11 +347,11 @@
             orders.lease.note_told_end(now, end);
         }
         drop(orders);
-        if age_ms < STALE_MS {
-            host.members.borrow_mut().note_heard(now);
+        if age_ms < ORDERER_STALE_MS {
+            host.members.borrow_mut().note_contact(now);
         }
         if host.followed.take_word(asked_at, tables) {
-            host.upstreams.borrow_mut().note_heard(now);
+            host.upstreams.borrow_mut().note_list_reached(now);
         }
         if let Some(members) = members {
             host.take_members_news(members);
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -150,7 +150,7 @@
 
 fn replace_upstreams<P: Platform>(host: &Host<P>, list: WholeList) -> Vec<(Name, Change)> {
     let mut registry = host.upstreams.borrow_mut();
-    registry.note_heard(list.as_of);
+    registry.note_list_reached(list.as_of);
     let dropped = list.unreadable.into_iter().map(|id| {
         let change = registry.drop_unreadable(&id);
         (id, change)
@@ -191,9 +191,9 @@
         Change::Restarted => (LogEvent::UpstreamRegistered, "started again under its name"),
         Change::Leaving => (LogEvent::UpstreamLeaving, "leaving"),
         Change::Gone => (LogEvent::UpstreamGone, "gone"),
-        Change::Held => (LogEvent::UpstreamSilent, "entry lapsed in an outage"),
+        Change::Retained => (LogEvent::UpstreamSilent, "entry lapsed in an outage"),
         Change::Updated => (LogEvent::UpstreamUpdated, "updated"),
-        Change::None => return,
+        Change::Unchanged => return,
     };
     let upstreams = host.upstreams.borrow();
     let entry = upstreams.get(id).map(|upstream| &upstream.entry);
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -127,11 +127,11 @@
             RecordBody::Counted {
                 host,
                 confirmed_offset,
-            } => self.members.count(offset, *host, *confirmed_offset),
+            } => self.members.commit_change(offset, *host, *confirmed_offset),
             RecordBody::Leave => self.members.depart(offset, writer),
             RecordBody::Evict { host } => self.members.depart(offset, *host),
             RecordBody::Gone { host } => {
-                self.members.gone(offset, *host)?;
+                self.members.forget(offset, *host)?;
                 self.placement.executor_gone(*host);
                 Ok(())
             }
