--- a/src/entry/ask.rs
+++ b/src/entry/ask.rs
@@ -1,51 +1,51 @@
-//! A request as it is served: its route, its service, and how long it has.
+//! A caller's request that is being served: its route, its service and its deadlines.
 
 use crate::desired::{Route, RouteTable};
 use crate::entry::host::Host;
 use crate::entry::platform::{Platform, RequestFacts};
-use crate::entry::tries::COME_BACK_MS;
+use crate::entry::tries::RETRY_AFTER_MS;
 use crate::http1::RequestHead;
 use crate::identity::Identity;
 use crate::prelude::*;
 use crate::retry::RequestDigest;
 use std::rc::Rc;
 
-/// How long callers wait for the first event of a stream: two seconds, four times its goal or eight times the gap
-/// that is on time, whichever is longest.
-const STREAM_PATIENCE_MS: Millis = Millis(2_000);
-const STREAM_PATIENCE_GOALS: u64 = 4;
-const STREAM_PATIENCE_GAPS: u64 = 8;
+/// How long callers wait for the first event of a stream: the longest of two seconds, four times
+/// the route's latency goal, and eight times the gap between events that counts as on time.
+const FIRST_EVENT_TIMEOUT_MS: Millis = Millis(2_000);
+const FIRST_EVENT_TIMEOUT_GOALS: u64 = 4;
+const FIRST_EVENT_TIMEOUT_GAPS: u64 = 8;
 
-/// A request under way.
+/// A caller's request that is being served.
 pub struct Ask {
-    /// Its head.
+    /// The head, as the caller sent it.
     pub head: RequestHead,
-    /// Its body.
+    /// The complete body, without transfer coding.
     pub body: Vec<u8>,
-    /// What its headers say.
+    /// The values of the headers that the platform defines.
     pub facts: RequestFacts,
-    /// What it has in common with its repeats.
+    /// A digest of the organisation, method, host, target and body: equal for repeats of a request.
     pub digest: RequestDigest,
-    /// Who sent it.
+    /// The caller, as its credential shows.
     pub identity: Identity,
-    /// Its route.
+    /// The route that matches the request's host and path.
     pub route: Arc<Route>,
-    /// The service that is to serve it.
+    /// The service that was drawn from the route for this request.
     pub service: Name,
     /// Whether the service's upstreams are engines.
     pub at_engine: bool,
     /// When its head was read.
     pub arrived_at: Millis,
-    /// When it gets its final answer at the latest.
+    /// The time by which the final answer must be complete.
     pub ends_at: Millis,
-    /// When its caller gives it up unless the answer has begun.
-    pub begins_by: Millis,
-    /// The version of the desired state that it was read under.
+    /// The time at which the caller gives the request up unless the answer has begun.
+    pub first_byte_deadline: Millis,
+    /// The version of the desired state that was in force when the request arrived.
     pub version: u64,
 }
 
 impl Ask {
-    /// Returns the name of the organisation that sent it.
+    /// Returns the name of the organisation that sent the request, if it sent a key of one.
     pub fn organisation(&self) -> Option<&Name> {
         self.identity
             .organisation()
@@ -53,7 +53,11 @@
     }
 }
 
-/// Makes the request under way of a head that was read, or the refusal when it cannot be served.
+/// Looks up the route, caller and service of a request that was read, and sets its deadlines.
+///
+/// # Errors
+///
+/// Returns the refusal, with the header values for its answer, when the request cannot be served.
 pub fn prepare<P: Platform>(
     host: &Host<P>,
     head: RequestHead,
@@ -87,7 +91,7 @@
             .services
             .get(&service)
             .is_some_and(|service| service.engine.is_some()),
-        begins_by: ends_at.min(arrived_at + patience_ms(&route)),
+        first_byte_deadline: ends_at.min(arrived_at + first_byte_timeout_ms(&route)),
         ends_at,
         digest,
         identity,
@@ -102,17 +106,17 @@
 }
 
 /// Returns how long a caller of a route waits for an answer to begin.
-fn patience_ms(route: &Route) -> Millis {
+fn first_byte_timeout_ms(route: &Route) -> Millis {
     if !route.streams {
         return Millis::NEVER;
     }
-    let by_goal = Millis(route.goal_ms.0 * STREAM_PATIENCE_GOALS);
+    let by_goal = Millis(route.goal_ms.0 * FIRST_EVENT_TIMEOUT_GOALS);
     let gap_ms = route.event_gap_ms.unwrap_or(Millis::ZERO);
-    let by_gap = Millis(gap_ms.0 * STREAM_PATIENCE_GAPS);
-    STREAM_PATIENCE_MS.max(by_goal).max(by_gap)
+    let by_gap = Millis(gap_ms.0 * FIRST_EVENT_TIMEOUT_GAPS);
+    FIRST_EVENT_TIMEOUT_MS.max(by_goal).max(by_gap)
 }
 
-/// Who sent a request, and what serves it.
+/// The caller of a request, and the route and service that serve it.
 struct Found {
     table: Rc<RouteTable>,
     identity: Identity,
@@ -127,7 +131,7 @@
 ) -> Result<Found, Refusal> {
     let table = table.ok_or_else(|| {
         let why = "this host has no desired state yet";
-        Refusal::new(ErrorKind::Starting, why).after(COME_BACK_MS)
+        Refusal::new(ErrorKind::Starting, why).after(RETRY_AFTER_MS)
     })?;
     let route = table
         .find(&head.host(), head.path())
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: reading requests, writing answers, noticing callers that have gone.
+//! Connections of callers: reads requests, writes answers, and detects callers that disconnect.
 
 use crate::desired::CallerLimits;
 use crate::entry::ask;
@@ -6,7 +6,7 @@
 use crate::entry::forward;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
-use crate::entry::tries::BUSY_COME_BACK_MS;
+use crate::entry::tries::BUSY_RETRY_AFTER_MS;
 use crate::http1::client::{prepare, within};
 use crate::http1::{
     BodyReader, Connection, HeadError, Headers, ReadError, RequestHead, ResponseHead,
@@ -17,32 +17,37 @@
 use smol::{LocalExecutor, Timer};
 use std::rc::Rc;
 
-/// How often an idle listener looks whether it is to close.
-const ACCEPT_LOOK_MS: Millis = Millis(500);
-/// The longest gap between two pieces of a body.
-const BODY_GAP_MS: Millis = Millis(5_000);
-/// Most bytes of request bodies that a host holds at once, those of requests that wait included: a fifth of the memory
-/// of the smallest host (160 MB).
+/// How often a listener without new connections checks whether it must close.
+const ACCEPT_POLL_MS: Millis = Millis(500);
+/// The longest time without a further piece of a request's body.
+const BODY_READ_TIMEOUT_MS: Millis = Millis(5_000);
+/// Most bytes of request bodies that a host holds at once, including those of requests that wait:
+/// a fifth of the memory of the smallest host (160 MB).
 pub const MAX_HELD_BODY_BYTES: u64 = 32 << 20;
-/// Most bytes that a caller may send ahead of the answer to its request.
-const MAX_AHEAD_BYTES: usize = 64 << 10;
-/// How long, and how much, is read of a request that was refused before it arrived whole.
+/// Most bytes of pipelined requests that are read before the present request is answered. Beyond
+/// that nothing more is read, so a caller that disconnects is noticed only when the answer is
+/// written.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// For how long a request that was refused before it was complete is still read.
 const DRAIN_MS: Millis = Millis(500);
+/// How many bytes of a request that was refused before it was complete are still read.
 const MAX_DRAINED_BYTES: usize = 8 << 20;
-/// Descriptors left for upstreams, the store, peers and files, as a part of all.
-const OTHER_DESCRIPTORS_PART: usize = 3;
-/// How long an idle connection stays open once a stop was asked for: callers that hold an older answer of the
-/// directory may still send on it, and learn from the answer that it closes.
+/// Callers' connections may use one part in three of the process's descriptors; the others are for
+/// upstreams, the store, peers and files.
+const CALLER_DESCRIPTORS_DIVISOR: usize = 3;
+/// How long an idle connection stays open once a stop was requested: callers with an older answer
+/// of the directory may still send on it, and learn from the answer that it closes.
 const STOP_IDLE_MS: Millis = Millis(2_000);
 
-/// Accepts callers until a planned stop takes no more requests; then the listener closes, and callers go elsewhere.
+/// Accepts callers' connections until a stopping host accepts no more requests. Then the listener
+/// closes, and callers connect to another host.
 pub async fn accept<P: Platform + 'static>(
     host: Rc<Host<P>>,
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
 ) {
-    while host.takes_requests() {
-        let Some(accepted) = within(ACCEPT_LOOK_MS, listener.accept()).await else {
+    while host.accepts_requests() {
+        let Some(accepted) = within(ACCEPT_POLL_MS, listener.accept()).await else {
             continue;
         };
         match accepted {
@@ -50,9 +55,10 @@
                 let host = host.clone();
                 executor.spawn(serve_connection(host, stream)).detach();
             }
-            // Closing at once tells the caller to go elsewhere.
+            // There is no room: closing at once makes the caller use another host.
             Ok((stream, _)) => drop(stream),
-            // No descriptor is free, or the caller has gone; a pause lets others end.
+            // No descriptor is free, or the caller disconnected; during the pause other
+            // connections may end.
             Err(_) => {
                 Timer::after(Millis(20).to_duration()).await;
             }
@@ -61,10 +67,11 @@
 }
 
 fn has_room<P: Platform>(host: &Host<P>) -> bool {
-    let most = host.settings().max_descriptors / OTHER_DESCRIPTORS_PART;
-    host.caller_connections.get() < most
+    let max_connections = host.settings().max_descriptors / CALLER_DESCRIPTORS_DIVISOR;
+    host.caller_connections.get() < max_connections
 }
 
+/// Uncounts a caller's connection when it is dropped.
 struct OpenConnection<'a, P: Platform>(&'a Host<P>);
 
 impl<P: Platform> Drop for OpenConnection<'_, P> {
@@ -90,7 +97,7 @@
     while serve_request(&host, &mut connection, &mut side).await {}
 }
 
-/// Serves one request. Returns whether the connection may have another one.
+/// Reads and serves one request. Returns whether the connection can be used for another one.
 async fn serve_request<P: Platform>(
     host: &Host<P>,
     connection: &mut Connection<TcpStream>,
@@ -107,24 +114,24 @@
         Ok(head) => read_body(connection, side, &head, limits, &mut held)
             .await
             .map(|body| (head, body)),
-        Err(error) => Err(refusal_of(&error)),
+        Err(error) => Err(read_refusal(&error)),
     };
     side.closes = true;
     let (head, body) = match read {
         Ok(read) => read,
         Err(refusal) => {
-            forward::own_answer(host, None, side, &mut log, &refusal).await;
+            forward::answer_refusal(host, None, side, &mut log, &refusal).await;
             drain(connection).await;
             return false;
         }
     };
     side.closes = !head.keep_alive || host.is_stopping();
     let answered = async { Some(answer(host, head, body, arrived_at, side, &mut log).await) };
-    let gone = async {
-        until_gone(connection).await;
+    let disconnected = async {
+        wait_for_disconnect(connection).await;
         None
     };
-    let ended = futures_lite::future::or(answered, gone).await;
+    let ended = futures_lite::future::or(answered, disconnected).await;
     drop(log);
     ended == Some(Ended::Whole) && !side.closes
 }
@@ -138,11 +145,11 @@
     log: &mut CourseLog<'_, P>,
 ) -> Ended {
     match ask::prepare(host, head, body, arrived_at) {
-        Ok(ask) if !host.takes_requests() => {
+        Ok(ask) if !host.accepts_requests() => {
             log.course.request = ask.facts.id.clone();
             let refusal =
                 Refusal::new(ErrorKind::Stopping, "this host is about to end").after(Millis::ZERO);
-            forward::own_answer(host, ask.facts.id.as_deref(), side, log, &refusal).await
+            forward::answer_refusal(host, ask.facts.id.as_deref(), side, log, &refusal).await
         }
         Ok(ask) => {
             log.course.request = ask.facts.id.clone();
@@ -158,7 +165,7 @@
         Err(refused) => {
             let (refusal, facts) = *refused;
             log.course.request = facts.id.clone();
-            forward::own_answer(host, facts.id.as_deref(), side, log, &refusal).await
+            forward::answer_refusal(host, facts.id.as_deref(), side, log, &refusal).await
         }
     }
 }
@@ -170,8 +177,8 @@
         .map_or_else(CallerLimits::default, |table| table.limits)
 }
 
-/// Reads a head. Returns nothing when the connection is done with: the caller closed it, it was idle for too
-/// long, or this host is stopping.
+/// Reads the head of a request. Returns none when the connection must be closed without an answer:
+/// the caller closed it, it was idle for too long, or this host is stopping.
 async fn read_head<P: Platform>(
     host: &Host<P>,
     connection: &mut Connection<TcpStream>,
@@ -194,7 +201,7 @@
     }
 }
 
-/// Waits for the first byte of a request; false when the connection is done with.
+/// Waits for the first byte of a request. Returns false when the connection must be closed.
 async fn wait_for_bytes<P: Platform>(
     host: &Host<P>,
     connection: &mut Connection<TcpStream>,
@@ -231,18 +238,18 @@
     if head.expects_continue && !reader.is_done() {
         let permission = b"HTTP/1.1 100 Continue\r\n\r\n";
         if side.stream.write_all(permission).await.is_err() {
-            return Err(half_a_body());
+            return Err(incomplete());
         }
     }
     let mut body = Vec::new();
     loop {
-        match within(BODY_GAP_MS, reader.next(connection)).await {
+        match within(BODY_READ_TIMEOUT_MS, reader.next(connection)).await {
             Some(Ok(Some(piece))) => body.extend_from_slice(&piece),
             Some(Ok(None)) => return Ok(body),
             Some(Err(ReadError::Malformed)) => {
                 return Err(Refusal::new(ErrorKind::BadRequest, "a chunk is malformed"));
             }
-            Some(Err(_)) | None => return Err(half_a_body()),
+            Some(Err(_)) | None => return Err(incomplete()),
         }
         if body.len() as u64 > limits.body_bytes {
             return Err(too_large());
@@ -251,7 +258,7 @@
     }
 }
 
-/// Counts a request's body while it is held.
+/// Counts the bytes of a request's body in [`Host::held_body_bytes`] until it is dropped.
 struct HeldBody<'a, P: Platform> {
     host: &'a Host<P>,
     bytes: u64,
@@ -262,16 +269,16 @@
         Self { host, bytes: 0 }
     }
 
-    /// Counts the body with so many bytes, or says that there is no room for it.
+    /// Counts the body as `bytes` long, or returns a refusal when the host has no room for it.
     fn grow_to(&mut self, bytes: u64) -> Result<(), Refusal> {
-        let more = bytes.saturating_sub(self.bytes);
-        let all = self.host.held_body_bytes.get() + more;
-        if all > MAX_HELD_BODY_BYTES {
+        let added = bytes.saturating_sub(self.bytes);
+        let total = self.host.held_body_bytes.get() + added;
+        if total > MAX_HELD_BODY_BYTES {
             let why = "this host holds as many bytes of requests as it may";
-            return Err(Refusal::new(ErrorKind::Overloaded, why).after(BUSY_COME_BACK_MS));
+            return Err(Refusal::new(ErrorKind::Overloaded, why).after(BUSY_RETRY_AFTER_MS));
         }
-        self.host.held_body_bytes.set(all);
-        self.bytes += more;
+        self.host.held_body_bytes.set(total);
+        self.bytes += added;
         Ok(())
     }
 }
@@ -287,25 +294,25 @@
     Refusal::new(ErrorKind::BodyTooLarge, "the body is longer than allowed")
 }
 
-fn half_a_body() -> Refusal {
+fn incomplete() -> Refusal {
     Refusal::new(
         ErrorKind::RequestIncomplete,
         "the request did not arrive whole",
     )
 }
 
-fn refusal_of(error: &ReadError) -> Refusal {
+fn read_refusal(error: &ReadError) -> Refusal {
     match error {
         ReadError::Head {
             source: HeadError::TooLarge,
         } => Refusal::new(ErrorKind::HeadTooLarge, error.to_string()),
         ReadError::Head { .. } => Refusal::new(ErrorKind::BadRequest, error.to_string()),
-        _ => half_a_body(),
+        _ => incomplete(),
     }
 }
 
-/// Reads on for a moment after a refusal: closing a connection with unread bytes resets it, and the caller
-/// would not see the answer.
+/// Reads and discards the rest of a refused request for a short time. Closing a connection with
+/// unread bytes resets it, and the caller would not see the answer.
 async fn drain(connection: &mut Connection<TcpStream>) {
     let mut drained = 0;
     let read = async {
@@ -319,9 +326,10 @@
     within(DRAIN_MS, read).await;
 }
 
-/// Waits until the caller closes its connection. Bytes that it sends ahead stay for the next request.
-async fn until_gone(connection: &mut Connection<TcpStream>) {
-    while connection.ahead_bytes() < MAX_AHEAD_BYTES {
+/// Waits until the caller closes its connection. Bytes that arrive meanwhile are kept for the next
+/// request.
+async fn wait_for_disconnect(connection: &mut Connection<TcpStream>) {
+    while connection.ahead_bytes() < MAX_PIPELINED_BYTES {
         if connection.read_more().await.is_err() {
             return;
         }
@@ -329,18 +337,18 @@
     std::future::pending::<()>().await;
 }
 
-/// How a body is marked for the caller.
+/// How the end of an answer's body is marked for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyForm {
-    /// The head is all.
+    /// The answer has no body.
     HeadOnly,
-    /// By its length.
+    /// By a `Content-Length` header with this number of bytes.
     Length(u64),
-    /// In chunks.
+    /// By the chunked transfer coding.
     Chunked,
 }
 
-/// The writing side of a caller's connection.
+/// The writing half of a caller's connection.
 pub struct CallerSide {
     stream: TcpStream,
     closes: bool,
@@ -348,7 +356,7 @@
 }
 
 impl CallerSide {
-    /// Writes an answer that is whole already.
+    /// Writes the head and the body of an answer that was read to its end.
     ///
     /// # Errors
     ///
@@ -366,7 +374,7 @@
         self.stream.write_all(&bytes).await
     }
 
-    /// Writes the head of an answer.
+    /// Writes the head of an answer whose body follows with [`Self::piece`] and [`Self::end`].
     ///
     /// # Errors
     ///
@@ -377,7 +385,7 @@
         self.stream.write_all(&bytes).await
     }
 
-    /// Writes a piece of the body.
+    /// Writes a piece of the body, as a chunk where the answer is chunked.
     ///
     /// # Errors
     ///
@@ -397,7 +405,7 @@
         }
     }
 
-    /// Marks the end of the body.
+    /// Writes the last chunk where the answer is chunked; otherwise does nothing.
     ///
     /// # Errors
     ///
@@ -409,7 +417,8 @@
         }
     }
 
-    /// Writes a whole answer of the host's own.
+    /// Writes a refusal as a complete answer with a JSON body. `headers` are the platform's; the
+    /// body's type and, where the refusal has one, a `Retry-After` time are added.
     ///
     /// # Errors
     ///
@@ -475,6 +484,6 @@
         message: &refusal.message,
         advice: refusal.kind.answer().advice,
     };
-    // A struct of three texts always serialises.
+    // Serialising a struct of three strings cannot fail.
     serde_json::to_vec(&body).unwrap_or_default()
 }
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing the upstream of a request's next try from what this host knows.
+//! Chooses the upstream for a request's next attempt, from this host's view of the upstreams.
 
 use crate::entry::ask::Ask;
 use crate::entry::host::Host;
@@ -12,18 +12,19 @@
 use rapidhash::v3::rapidhash_v3;
 use std::net::SocketAddr;
 
-/// Chooses the upstream of the next try.
+/// Chooses the upstream for the next attempt: an engine that holds the request's model, or any
+/// usable upstream of a plain service. Returns none when no upstream may get the request now.
 pub fn choose<P: Platform>(host: &Host<P>, ask: &Ask, tries: &Tries) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
     let view = host.view.borrow();
     let cap = connection_cap(host, ask);
-    let is_open = |upstream: &&Upstream| {
-        upstream.in_flight < cap && !tries.passed_over.contains(&upstream.entry.id)
+    let is_candidate = |upstream: &&Upstream| {
+        upstream.in_flight < cap && !tries.excluded.contains(&upstream.entry.id)
     };
     let chosen = match (&ask.facts.model, ask.at_engine) {
         (Some(model), true) => {
-            let holding = holders(&upstreams, &view, now, &ask.service, model).filter(is_open);
+            let holding = holders(&upstreams, &view, now, &ask.service, model).filter(is_candidate);
             let with_work = holding.map(|upstream| (upstream, view.work(&upstream.entry.id)));
             let copies = model_copies(&view, model, fetch_share(host, ask));
             pick::engine(
@@ -37,8 +38,8 @@
         }
         _ => {
             let data_centre = host.settings().data_centre.clone();
-            let open = upstreams.usable(&ask.service).filter(is_open);
-            pick::service(now, open, &data_centre, fastrand::f64())
+            let candidates = upstreams.usable(&ask.service).filter(is_candidate);
+            pick::service(now, candidates, &data_centre, fastrand::f64())
         }
     };
     chosen.map(|upstream| upstream.entry.id.clone())
@@ -52,7 +53,8 @@
     }
 }
 
-/// Returns how long fetching the shared beginning of a prompt takes against reading it, where engines are to fetch it.
+/// Returns the time that an engine takes to fetch the shared prefix of a prompt from another
+/// engine, as a fraction of the time to compute it. None where engines must not fetch it.
 fn fetch_share<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<f64> {
     let routes = host.routes.borrow();
     let service = routes.as_ref()?.services.get(&ask.service)?;
@@ -60,7 +62,8 @@
     prefix::fetch_share(service.engine.as_ref()?, pick::TOKENS_PER_MS, shared_tokens)
 }
 
-/// Returns the engine from which an upstream is to fetch the beginning of a prompt.
+/// Returns the address of the engine from which an upstream should fetch the computed prefix of a
+/// prompt; none when it should compute the prefix itself.
 pub fn prefix_source<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -80,7 +83,8 @@
     Some(source.address())
 }
 
-/// Returns the engines of a service that may get new work and hold a model, by the orderer's word or else by their entries.
+/// Returns the engines of a service that hold a model and are not leaving. What the orderer
+/// published about an engine takes precedence over the engine's own entry in the list of upstreams.
 pub fn holders<'a>(
     upstreams: &'a Registry,
     view: &'a View,
@@ -89,16 +93,17 @@
     model: &'a ModelAsk,
 ) -> impl Iterator<Item = &'a Upstream> {
     let listing = upstreams.listing(&model.model);
-    let told = view.holders(model);
-    let told = told.filter_map(|engine| upstreams.get_lifetime(engine));
-    let told_alone = told.filter(|upstream| !upstream.holds(&model.model, None));
+    let published = view.holders(model);
+    let published = published.filter_map(|engine| upstreams.get_lifetime(engine));
+    let published_only = published.filter(|upstream| !upstream.holds(&model.model, None));
     let serving = listing
-        .chain(told_alone)
+        .chain(published_only)
         .filter(move |upstream| &*upstream.entry.service == service && !upstream.entry.leaving);
     serving.filter(move |upstream| holds(view, now, upstream, model))
 }
 
-/// Tells whether an engine holds a model, as far as this host knows.
+/// Tells whether an engine holds a model, as far as this host knows. An engine that recently
+/// refused a request because it lacks the model does not hold it.
 pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelAsk) -> bool {
     let id = &upstream.entry.id;
     if view.is_lacking(now, id, model) {
@@ -108,8 +113,8 @@
         .unwrap_or_else(|| upstream.holds(&model.model, model.adapter.as_deref()))
 }
 
-/// Returns how many requests this host may have under way at one upstream, so that all hosts together stay
-/// under the connections that it accepts.
+/// Returns how many requests this host may have in flight at one upstream, so that all hosts
+/// together do not exceed the connections that the upstream accepts.
 fn connection_cap<P: Platform>(host: &Host<P>, ask: &Ask) -> u32 {
     let routes = host.routes.borrow();
     let service = routes
@@ -118,10 +123,12 @@
     let members = host.members.borrow().count() as u32;
     match service.map_or(0, |service| service.max_connections) {
         0 => u32::MAX,
-        all => (all / members).max(2),
+        max_connections => (max_connections / members).max(2),
     }
 }
 
+/// Returns the lengths of a prompt and of its shared prefix, and a hash that identifies the prefix
+/// of that model and adapter. The last part of a prompt is not shared.
 fn prompt_shape(facts: &RequestFacts) -> PromptShape {
     let (_, shared) = facts.parts.split_last().unzip();
     let shared = shared.unwrap_or_default();
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams: finding out on a request's way, and in the messages between hosts.
+//! Detects requests that crash upstreams, refuses them, and exchanges the evidence between hosts.
 
 use crate::entry::ask::Ask;
 use crate::entry::host::Host;
@@ -11,8 +11,9 @@
 use crate::upstreams::Lifetime;
 use std::net::SocketAddr;
 
-/// How long an upstream may take to accept a connection, where a request waits to learn whether it crashed.
-const CHECK_MS: Millis = Millis(100);
+/// How long an upstream may take to accept the connection that checks whether it crashed; a request
+/// waits for the result.
+const CRASH_CHECK_TIMEOUT_MS: Millis = Millis(100);
 
 #[derive(Serialize)]
 struct CrashLine<'a> {
@@ -27,7 +28,8 @@
     left_ms: Millis,
 }
 
-/// Returns the refusal of a request that crashes the upstreams which run it. It has not run.
+/// Returns a refusal, and logs it, if a request is quarantined because it crashes the upstreams
+/// that run it. The refused request has not run.
 pub fn quarantine<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<Refusal> {
     let left_ms = with_quarantine(host, |quarantine, now| {
         quarantine.quarantined_ms(now, &ask.digest)
@@ -42,20 +44,20 @@
     Some(Refusal::new(ErrorKind::Quarantined, why).after(left_ms))
 }
 
-/// Takes note that the connection to an upstream ended while it ran a request. Finds out whether the upstream crashed,
-/// unless that is known or it was leaving.
+/// Records that the connection to an upstream ended while it ran a request. Checks whether the
+/// upstream crashed, unless that is known already or the upstream was leaving.
 pub async fn note_broken_run<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime) {
     let Some(address) = address_if_staying(host, upstream) else {
         return;
     };
-    let is_known = with_quarantine(host, |quarantine, now| {
+    let is_known_crash = with_quarantine(host, |quarantine, now| {
         quarantine.note_broken(now, upstream, ask.digest)
     });
-    if is_known {
+    if is_known_crash {
         host.note_want();
         return;
     }
-    match within(CHECK_MS, host.pool.open(address)).await {
+    match within(CRASH_CHECK_TIMEOUT_MS, host.pool.open(address)).await {
         Some(Ok(connection)) => host.pool.keep(host.now(), &upstream.id, connection, None),
         Some(Err(error)) => note_unreachable(host, upstream, &error),
         None => {}
@@ -69,16 +71,17 @@
     (!known.entry.leaving).then(|| known.address())
 }
 
-/// Takes note that an upstream cannot be connected to. Where nothing listens any more, it crashed, if requests were under
-/// way there a moment ago.
+/// Records that no connection to an upstream can be opened. If the connection is refused, so that
+/// nothing listens at the address any more, the upstream's lifetime has ended.
 pub fn note_unreachable<P: Platform>(host: &Host<P>, upstream: &Lifetime, error: &std::io::Error) {
     if error.kind() == std::io::ErrorKind::ConnectionRefused {
-        note_over(host, upstream);
+        note_lifetime_ended(host, upstream);
     }
 }
 
-/// Takes note that a start of an upstream is over: it crashed, unless it was leaving.
-pub fn note_over<P: Platform>(host: &Host<P>, upstream: &Lifetime) {
+/// Records that a lifetime of an upstream has ended. Unless it was leaving, it counts as a crash if
+/// requests were under way there shortly before.
+pub fn note_lifetime_ended<P: Platform>(host: &Host<P>, upstream: &Lifetime) {
     if address_if_staying(host, upstream).is_none() {
         return;
     }
@@ -96,39 +99,41 @@
     host.note_want();
 }
 
-/// Takes note that an upstream ran a request to its end.
+/// Records that an upstream answered a request completely, which is evidence that the request does
+/// not crash upstreams.
 pub fn note_completed<P: Platform>(host: &Host<P>, ask: &Ask) {
     with_quarantine(host, |quarantine, now| {
         quarantine.note_completed(now, ask.digest);
     });
 }
 
-/// Returns what this host has to report.
+/// Returns the crash evidence for this host's next message to a relay or the orderer.
 pub fn report<P: Platform>(host: &Host<P>) -> CrashReport {
     with_quarantine(host, Quarantine::report)
 }
 
-/// Takes what another host reports.
+/// Adds the crash evidence that another host reports.
 pub fn take_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
     with_quarantine(host, |quarantine, now| quarantine.take_report(now, report));
 }
 
-/// Returns what a host that reports to this one is to know, by the state of its ledger.
+/// Returns the evidence that a reporting host lacks, for the reply to it. `known` is the state of
+/// that host's evidence, as it stated it.
 pub fn news<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
     with_quarantine(host, |quarantine, now| quarantine.news(now, known))
 }
 
-/// Takes the answer to a message with this host's report.
+/// Applies the reply to a message that carried this host's report.
 pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashNews) {
     with_quarantine(host, |quarantine, now| quarantine.take_news(now, news));
 }
 
-/// Takes what an orderer left for all hosts.
+/// Adds the evidence that an orderer stored with its lease for all hosts.
 pub fn take_lasting<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
     with_quarantine(host, |quarantine, now| quarantine.take_told(now, evidence));
 }
 
-/// Returns what is to outlast all processes.
+/// Returns the evidence that must survive a restart of all processes.
 pub fn lasting<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
     with_quarantine(host, |quarantine, now| quarantine.lasting(now))
 }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a connection to an upstream, up to the start of the answer's body.
+//! Writes one request to an upstream's connection and reads its answer up to the start of the body.
 
 use crate::entry::ask::Ask;
 use crate::entry::host::Host;
@@ -9,23 +9,25 @@
 use crate::http1::{BodyReader, Framing, Headers, ReadError, ResponseHead};
 use crate::routing::roles::is_long;
 
-/// Answers up to this length are read whole before the caller gets their first byte, so that one that breaks
-/// off can still be replaced.
-const WHOLE_BYTES: u64 = 64 << 10;
-/// Answers of other requests that are passed over before this one's; an upstream sends at most one extra each.
+/// Answers up to this length are read completely before the caller gets their first byte, so that
+/// one that breaks off can be replaced by another attempt.
+const BUFFERED_ANSWER_BYTES: u64 = 64 << 10;
+/// Most answers to other requests that are skipped before this request's own answer; an upstream
+/// sends at most one extra answer to each request.
 const MAX_FOREIGN_ANSWERS: u32 = 4;
 
 /// The start of an answer.
 pub struct Exchanged {
-    /// Its head.
+    /// The head of the answer.
     pub head: ResponseHead,
-    /// What was read of the body.
+    /// The bytes of the body that were read so far.
     pub begun: Vec<u8>,
-    /// Reads the rest.
+    /// Reads the rest of the body.
     pub reader: BodyReader,
 }
 
-/// Writes a request and reads its answer's head, and of the body the first piece, or all of it when it is short.
+/// Writes a request and reads the head of its answer and the first piece of the body. Unless the
+/// answer is a successful stream, up to [`BUFFERED_ANSWER_BYTES`] of the body are read.
 ///
 /// # Errors
 ///
@@ -38,8 +40,8 @@
     in_flight: &mut InFlight,
 ) -> Result<Exchanged, ReadError> {
     let bytes = request_bytes(ask, &headers);
-    write_and_listen(connection, &bytes).await?;
-    let head = own_head(host, ask, connection).await?;
+    write_request(connection, &bytes).await?;
+    let head = read_matching_head(host, ask, connection).await?;
     let mut reader = BodyReader::new(head.framing);
     let mut begun = Vec::new();
     if let Some(piece) = reader.next(&mut connection.io).await? {
@@ -49,9 +51,10 @@
     if is_long(ask.facts.prompt_tokens) {
         host.note_want();
     }
-    let is_short = matches!(head.framing, Framing::Length(length) if length <= WHOLE_BYTES);
+    let is_short =
+        matches!(head.framing, Framing::Length(length) if length <= BUFFERED_ANSWER_BYTES);
     if !ask.route.streams || is_short || head.status != 200 {
-        read_whole(&mut reader, connection, &mut begun).await?;
+        read_buffered(&mut reader, connection, &mut begun).await?;
     }
     Ok(Exchanged {
         head,
@@ -60,12 +63,13 @@
     })
 }
 
-async fn read_whole(
+/// Reads the body on into `begun`, to its end or until enough of it is buffered.
+async fn read_buffered(
     reader: &mut BodyReader,
     connection: &mut UpstreamConnection,
     begun: &mut Vec<u8>,
 ) -> Result<(), ReadError> {
-    while (begun.len() as u64) < WHOLE_BYTES {
+    while (begun.len() as u64) < BUFFERED_ANSWER_BYTES {
         match reader.next(&mut connection.io).await? {
             Some(piece) => begun.extend_from_slice(&piece),
             None => return Ok(()),
@@ -88,12 +92,9 @@
     bytes
 }
 
-/// Writes a request. An upstream may answer before it has read all of it; then the answer is read all the same,
-/// and the connection is used for nothing else, since the rest of the body is still due on it.
-async fn write_and_listen(
-    connection: &mut UpstreamConnection,
-    bytes: &[u8],
-) -> Result<(), ReadError> {
+/// Writes a request. If the upstream answers before it has read the whole request, writing stops
+/// and the connection is not reused, because the rest of the body is missing on it.
+async fn write_request(connection: &mut UpstreamConnection, bytes: &[u8]) -> Result<(), ReadError> {
     let mut writer = connection.io.stream().clone();
     let write = async {
         let written = futures_lite::AsyncWriteExt::write_all(&mut writer, bytes).await;
@@ -116,17 +117,18 @@
     }
 }
 
-/// Reads heads until the one that answers this request. An extra answer to an earlier request may come first.
-async fn own_head<P: Platform>(
+/// Reads answers until the head of the one that carries this request's id. Late or extra answers to
+/// earlier requests on the connection are read and discarded.
+async fn read_matching_head<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
     connection: &mut UpstreamConnection,
 ) -> Result<ResponseHead, ReadError> {
-    let to_head_request = &*ask.head.method == "HEAD";
+    let is_head_request = &*ask.head.method == "HEAD";
     for _ in 0..MAX_FOREIGN_ANSWERS {
         let head = connection
             .io
-            .read_response_head(MAX_HEAD_BYTES, to_head_request)
+            .read_response_head(MAX_HEAD_BYTES, is_head_request)
             .await?;
         if (100..200).contains(&head.status) {
             continue;
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,7 +1,8 @@
-//! One request's way from its head to its final answer.
+//! Serves one request, from the read request to its final answer.
 //!
-//! Every try ends in one of three ways: answered, not run, or perhaps run. Only a request of which no try may
-//! have run is refused as "not run"; one that may not run twice is not sent again after a try that may have.
+//! Each attempt at an upstream ends in one of three ways: answered, not run, or unknown whether it
+//! ran. A request is refused as "not run" only if no attempt can have run it. A request that must
+//! not run twice is not sent again after an attempt that may have run it.
 
 use crate::desired::Repeat;
 use crate::entry::ask::Ask;
@@ -16,16 +17,18 @@
 use crate::entry::send::{self, Sent, StartedAnswer};
 use crate::entry::tries::Tries;
 use crate::entry::upstream_limits;
-use crate::entry::waiting::{too_late, wait_for_turn, wait_for_upstream};
+use crate::entry::waiting::{late_start_refusal, wait_for_turn, wait_for_upstream};
 use crate::prelude::*;
 use crate::routing::roles::is_long;
 
-/// The part of its remaining time after which a caller does not come back any more.
-const COME_BACK_PART: u64 = 3;
-/// What is left of a request's time for an answer to reach the caller.
+/// A refusal asks its caller to retry within one part in three of the request's remaining time:
+/// after a longer wait callers do not retry.
+const RETRY_AFTER_DIVISOR: u64 = 3;
+/// How long before the end of a request's time an answer must be there to still reach the caller.
 pub const ANSWER_MARGIN_MS: Millis = Millis(20);
 
-/// Serves a request to its final answer.
+/// Serves a request: tries upstreams until one answers or no further attempt is allowed, and writes
+/// the final answer to the caller.
 pub async fn serve<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -37,19 +40,19 @@
         Err(refusal) => return refuse(host, ask, out, log, refusal).await,
     };
     host.note_request(&ask.service);
-    let _counted = Counted::new(host, ask);
+    let _in_demand = DemandCount::new(host, ask);
     let mut tries = Tries::default();
     loop {
         let now = host.now();
         if now + ANSWER_MARGIN_MS >= ask.ends_at {
             return match tries.failure {
                 Some(_) => give_up(host, ask, out, log, tries).await,
-                None => refuse(host, ask, out, log, tries.end_of_time()).await,
+                None => refuse(host, ask, out, log, tries.deadline_refusal()).await,
             };
         }
         if let Some(refusal) = crashes::quarantine(host, ask) {
             return match tries.runs {
-                0 => own_answer(host, ask.facts.id.as_deref(), out, log, &refusal).await,
+                0 => answer_refusal(host, ask.facts.id.as_deref(), out, log, &refusal).await,
                 _ => give_up(host, ask, out, log, tries).await,
             };
         }
@@ -61,7 +64,7 @@
             }
         };
         if tries.runs == 0
-            && let Some(refusal) = too_late(host, ask, &upstream)
+            && let Some(refusal) = late_start_refusal(host, ask, &upstream)
         {
             return refuse(host, ask, out, log, refusal).await;
         }
@@ -91,7 +94,7 @@
                 }
                 tries.note_perhaps_run(upstream);
             }
-            Sent::NotSent => tries.pass_over(upstream),
+            Sent::NotSent => tries.exclude(upstream),
             Sent::NotRun { lacks_model, .. } => {
                 if let (true, Some(model)) = (lacks_model, &ask.facts.model) {
                     let mut view = host.view.borrow_mut();
@@ -110,8 +113,8 @@
     }
 }
 
-/// Ends a request that may have run and is not tried again: by the failure that an upstream answered, where
-/// there is one, else by one of the host's own.
+/// Ends a request that may not be tried again: with the failure that an upstream answered, where
+/// there is one, else with a refusal of the host's own.
 async fn give_up<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -127,7 +130,8 @@
     refuse(host, ask, out, log, tries.last_refusal()).await
 }
 
-/// Passes an answer on. Returns nothing when it broke off before the caller got any of it.
+/// Passes an upstream's answer on to the caller. Returns none when the answer broke off before the
+/// caller got any of it; then another attempt is possible.
 async fn finish<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -158,7 +162,7 @@
     }
 }
 
-/// Gives a request a final answer of the host's own.
+/// Refuses a request, with a retry time that fits into the request's remaining time.
 async fn refuse<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -167,16 +171,16 @@
     refusal: Refusal,
 ) -> Ended {
     let left_ms = ask.ends_at.since(host.now());
-    let most_ms = Millis(left_ms.0 / COME_BACK_PART);
+    let max_ms = Millis(left_ms.0 / RETRY_AFTER_DIVISOR);
     let refusal = Refusal {
-        retry_after_ms: refusal.retry_after_ms.map(|after| after.min(most_ms)),
+        retry_after_ms: refusal.retry_after_ms.map(|after| after.min(max_ms)),
         ..refusal
     };
-    own_answer(host, ask.facts.id.as_deref(), out, log, &refusal).await
+    answer_refusal(host, ask.facts.id.as_deref(), out, log, &refusal).await
 }
 
-/// Writes a final answer of the host's own and notes it.
-pub async fn own_answer<P: Platform>(
+/// Writes a refusal to the caller and records it in the request's log line.
+pub async fn answer_refusal<P: Platform>(
     host: &Host<P>,
     request_id: Option<&str>,
     out: &mut CallerSide,
@@ -198,13 +202,13 @@
     }
 }
 
-/// Counts a request in the demand for its model while it is here.
-struct Counted<'a, P: Platform> {
+/// Counts a request in the demand for its model until it is dropped.
+struct DemandCount<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a Ask,
 }
 
-impl<'a, P: Platform> Counted<'a, P> {
+impl<'a, P: Platform> DemandCount<'a, P> {
     fn new(host: &'a Host<P>, ask: &'a Ask) -> Self {
         if let Some(model) = &ask.facts.model
             && let Some(count) = host.demand.borrow_mut().count(model)
@@ -218,7 +222,7 @@
     }
 }
 
-impl<P: Platform> Drop for Counted<'_, P> {
+impl<P: Platform> Drop for DemandCount<'_, P> {
     fn drop(&mut self) {
         if let Some(model) = &self.ask.facts.model
             && let Some(count) = self.host.demand.borrow_mut().count(model)
@@ -228,7 +232,9 @@
     }
 }
 
-/// Sends a request to an upstream, waits for the start of its answer, and notes the result.
+/// Makes one attempt at an upstream: sends the request, waits for the start of its answer, and
+/// records the outcome in the log line and the metrics. `resume_after` is the id of the last event
+/// that the caller got, where an interrupted stream is resumed.
 pub async fn try_upstream<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -251,7 +257,7 @@
     };
     host.platform.address_request(&mut headers, &facts);
     let answer_by = match ask.route.repeat {
-        // A silent upstream must leave time for another one.
+        // If this upstream does not answer, there must be time left for another one.
         Repeat::Idempotent | Repeat::Resumable if tries.runs + 1 < ask.route.attempts => {
             now + Millis(left_ms.0 * 2 / 5)
         }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of an entry host share.
+//! The state that all tasks of an entry host share.
 
 use crate::clock::Clock;
 use crate::desired::RouteTable;
@@ -9,7 +9,7 @@
 use crate::entry::platform::{Platform, StoreCall, StoreError};
 use crate::entry::pool::Pool;
 use crate::entry::settings::EntrySettings;
-use crate::entry::stop::ACCEPT_ON_MS;
+use crate::entry::stop::STOP_ACCEPT_MS;
 use crate::group::parents::{Parents, STALE_MS};
 use crate::group::reading::is_begun_or_large;
 use crate::group::{Member, Members, Tree};
@@ -25,70 +25,73 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// An entry host. Borrows of its cells end before the next wait.
+/// The shared state of an entry host. All tasks run on one thread; a task must not hold a borrow
+/// of one of the cells across an `.await`.
 pub struct Host<P> {
-    /// The settings in effect.
+    /// The settings in effect; replaced when the settings file is read again.
     pub settings: RefCell<Rc<EntrySettings>>,
-    /// The platform.
+    /// The adapter to the platform's store, headers and engines.
     pub platform: P,
-    /// The time.
+    /// The source of the present time.
     pub clock: Clock,
-    /// The incarnation of this process.
+    /// A random number that tells this process from earlier ones of the same host.
     pub incarnation: u64,
     started_at: Millis,
-    /// Counters and latencies.
+    /// Counters and latency histograms.
     pub metrics: EntryMetrics,
-    /// Kept connections to upstreams.
+    /// Idle connections to upstreams.
     pub pool: Pool,
-    /// The desired state in force.
+    /// The routes of the desired state in force; none until the first one was read.
     pub routes: RefCell<Option<Rc<RouteTable>>>,
-    /// The upstreams.
+    /// The upstreams that this host knows, with their health and load.
     pub upstreams: Rc<RefCell<Registry>>,
-    /// How new the platform's tables are here.
+    /// How up to date this host's copies of the platform's tables are.
     pub followed: Followed,
-    /// Whether the list of upstreams was read.
+    /// Whether the list of upstreams has been read since the start.
     pub upstreams_known: Cell<bool>,
-    /// The other hosts and this one, as the group has them.
+    /// The members of the group of hosts, this one included, as last read from the store.
     pub members: RefCell<Members>,
-    /// Which hosts relay between the others and the orderer.
+    /// The tree of hosts that relay messages between the others and the orderer.
     pub tree: RefCell<Tree>,
-    /// Which of them this host asks.
+    /// The relays that this host sends its messages to.
     pub parents: RefCell<Parents>,
-    /// What hosts told this one as their relay.
+    /// The reports that other hosts sent to this one as their relay.
     pub gather: RefCell<Gather>,
-    /// What the orderer says.
+    /// The latest state that the orderer published, as this host received it.
     pub view: RefCell<View>,
-    /// The state of ordering loads.
+    /// The orderer lease as this host knows it, and the state of ordering loads while it holds it.
     pub orders: RefCell<Orders>,
-    /// The certificates of hosts that are accepted.
+    /// The certificate fingerprints that are accepted on connections from other hosts.
     pub known_hosts: Arc<Known>,
-    /// What callers asked of each model since the orderer was told last.
+    /// The demand for each model since this host's last report to the orderer.
     pub demand: RefCell<crate::ordering::demand::Demand>,
-    /// What is known of requests that are sent again.
+    /// The retry budgets, and the quarantine of requests that crash upstreams.
     pub retries: RefCell<Retries>,
-    /// What is left of the limits that all hosts keep together.
+    /// What is left of the rate limits that all hosts enforce together.
     pub limits: RefCell<SharedLimits>,
-    /// How long requests of each service keep a slot, as this host's answers show.
+    /// How long requests of each service occupy an engine slot, averaged over this host's answers.
     pub occupancy: RefCell<IndexMap<Name, Occupancy>>,
-    /// When a planned stop was asked for.
-    pub stop_asked_at: Cell<Option<Millis>>,
-    /// Requests that were read and are not answered.
+    /// When a planned stop was requested.
+    pub stop_requested_at: Cell<Option<Millis>>,
+    /// The number of requests of which the head was read and the answer has not ended.
     pub active_requests: Cell<u32>,
-    /// Bytes of request bodies that are held.
+    /// The bytes of request bodies in memory; see [`MAX_HELD_BODY_BYTES`].
+    ///
+    /// [`MAX_HELD_BODY_BYTES`]: crate::entry::caller::MAX_HELD_BODY_BYTES
     pub held_body_bytes: Cell<u64>,
-    /// Connections of callers that are open.
+    /// The number of open connections of callers.
     pub caller_connections: Cell<usize>,
-    /// Whether a host was refused that the group did not list when it was read last.
+    /// Whether a connection was refused from a host that the last read of the group did not list.
     pub has_unknown_peer: Cell<bool>,
-    has_news: Cell<bool>,
+    is_sync_requested: Cell<bool>,
     changed: Wakeup,
-    wanted: Wakeup,
-    refused: Wakeup,
+    sync_requested: Wakeup,
+    peer_refused: Wakeup,
     stopping: Wakeup,
 }
 
 impl<P: Platform> Host<P> {
-    /// Makes the state of a host that starts.
+    /// Creates the state of a host that starts with these settings.
     pub fn new(
         settings: EntrySettings,
         platform: P,
@@ -123,20 +126,20 @@
             demand: RefCell::default(),
             retries: RefCell::default(),
             occupancy: RefCell::default(),
-            stop_asked_at: Cell::new(None),
+            stop_requested_at: Cell::new(None),
             active_requests: Cell::new(0),
             held_body_bytes: Cell::new(0),
             caller_connections: Cell::new(0),
             has_unknown_peer: Cell::new(false),
-            has_news: Cell::new(false),
+            is_sync_requested: Cell::new(false),
             changed: Wakeup::new(),
-            wanted: Wakeup::new(),
-            refused: Wakeup::new(),
+            sync_requested: Wakeup::new(),
+            peer_refused: Wakeup::new(),
             stopping: Wakeup::new(),
         })
     }
 
-    /// Returns the present time.
+    /// Returns the present time of the host's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
@@ -151,19 +154,19 @@
         self.settings.borrow().clone()
     }
 
-    /// Tells whether a planned stop was asked for.
+    /// Tells whether a planned stop was requested.
     pub fn is_stopping(&self) -> bool {
-        self.stop_asked_at.get().is_some()
+        self.stop_requested_at.get().is_some()
     }
 
-    /// Tells whether a request that arrives now is served. A stopping host takes requests for a while; one that came
-    /// later might not be done before the process is killed.
-    pub fn takes_requests(&self) -> bool {
-        let asked_at = self.stop_asked_at.get();
-        asked_at.is_none_or(|at| self.now() < at + ACCEPT_ON_MS)
+    /// Tells whether a request that arrives now is served. A stopping host still accepts requests
+    /// for a while; one that arrived later might not end before the process is killed.
+    pub fn accepts_requests(&self) -> bool {
+        let requested_at = self.stop_requested_at.get();
+        requested_at.is_none_or(|at| self.now() < at + STOP_ACCEPT_MS)
     }
 
-    /// Makes a call of the platform's store and counts it.
+    /// Awaits a call to the platform's store and counts it by its outcome in the metrics.
     ///
     /// # Errors
     ///
@@ -184,24 +187,25 @@
         result
     }
 
-    /// Tells whether this host orders loads.
+    /// Tells whether this host holds the orderer lease, and so orders engines to load models.
     pub fn is_orderer(&self) -> bool {
         self.orders.borrow().lease.holding().is_some()
     }
 
-    /// Tells whether this host relays between others and the orderer.
+    /// Tells whether this host relays messages between other hosts and the orderer.
     pub fn is_relay(&self) -> bool {
         self.tree.borrow().is_relay(self.incarnation)
     }
 
-    /// Tells whether what this host knows of the orderer is new.
+    /// Tells whether the last answer of the orderer came less than [`STALE_MS`] ago.
     pub fn hears_orderer(&self, now: Millis) -> bool {
         let answered_at = self.view.borrow().answered_at;
         answered_at.is_some_and(|at| now.since(at) < STALE_MS)
     }
 
-    /// Tells whether the others would refuse this host's calls, and those of hundreds like it: the group does not list it yet. A
-    /// host that was listed once is heard on the connections that it has, also after the group dropped it.
+    /// Tells whether other hosts would refuse this host's connections, because the group does not
+    /// list it yet. Hundreds of hosts may be in this state at once. A host that was listed before
+    /// can go on using its open connections, also after the group dropped it.
     pub fn is_unknown_to_others(&self, me: &Member) -> bool {
         let members = self.members.borrow();
         let was_heard = self.view.borrow().answered_at.is_some();
@@ -209,53 +213,59 @@
         members.known_at().is_some() && may_be_many && !members.lists(me) && !was_heard
     }
 
-    /// Tells whether callers do well to come here.
+    /// Tells whether callers should send requests to this host; the answer to the readiness probe.
     pub fn is_ready(&self) -> bool {
         self.routes.borrow().is_some() && self.upstreams_known.get() && !self.is_stopping()
     }
 
-    /// Wakes requests that wait for a change of what this host knows.
+    /// Wakes the requests that wait for a change of this host's state.
     pub fn note_change(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Returns what wakes at the next change. Listen first, then look at the state.
+    /// Returns a listener for the next change of this host's state. To miss no change, create the
+    /// listener before reading the state.
     pub fn next_change(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Wakes the task that speaks with the orderer: there is something that cannot wait for the next turn.
+    /// Wakes the task that exchanges messages with the orderer, for news that cannot wait for its
+    /// next interval.
     pub fn note_want(&self) {
-        self.has_news.set(true);
-        self.wanted.notify(usize::MAX);
+        self.is_sync_requested.set(true);
+        self.sync_requested.notify(usize::MAX);
     }
 
-    /// Waits until something is to be told to the orderer, or for a while. Returns whether there is something.
+    /// Waits until an exchange with the orderer is requested, for `at_most_ms` at the longest.
+    /// Returns whether one was requested, and clears the request.
     pub async fn wait_for_news(&self, at_most_ms: Millis) -> bool {
-        let wanted = self.wanted.listen();
-        if !self.has_news.get() {
-            within(at_most_ms, wanted).await;
+        let requested = self.sync_requested.listen();
+        if !self.is_sync_requested.get() {
+            within(at_most_ms, requested).await;
         }
-        self.has_news.replace(false)
+        self.is_sync_requested.replace(false)
     }
 
-    /// Returns what wakes when a request begins to wait for a model.
+    /// Returns a listener for the next requested exchange with the orderer, for example when a
+    /// request begins to wait for a model.
     pub fn next_want(&self) -> EventListener {
-        self.wanted.listen()
+        self.sync_requested.listen()
     }
 
-    /// Takes note that a host was refused: it may have joined since the group was read.
+    /// Records that a connection from an unlisted host was refused: that host may have joined since
+    /// the group was last read.
     pub fn note_unknown_peer(&self) {
         self.has_unknown_peer.set(true);
-        self.refused.notify(usize::MAX);
+        self.peer_refused.notify(usize::MAX);
     }
 
-    /// Returns what wakes when a host is refused.
+    /// Returns a listener for the next refused connection from an unlisted host.
     pub fn next_unknown_peer(&self) -> EventListener {
-        self.refused.listen()
+        self.peer_refused.listen()
     }
 
-    /// Accepts connections of the members, and of the orderer also before it is listed.
+    /// Accepts connections from the members, and from `orderer` even if the group does not list it
+    /// yet. All other hosts are refused from now on.
     pub fn accept_members(&self, orderer: Option<&Member>) {
         let members = self.members.borrow();
         let listed = members.iter().chain(orderer);
@@ -263,28 +273,29 @@
             .replace(listed.map(|member| member.fingerprint.clone()).collect());
     }
 
-    /// Takes that the list of members changed: accepts their connections and that of the orderer, and works out the relays.
+    /// Applies a changed list of members: rebuilds the tree of relays and accepts connections from
+    /// the members and the orderer.
     pub fn accept_listed(&self) {
         *self.tree.borrow_mut() = Tree::new(self.members.borrow().iter());
         let orderer = self.orders.borrow().holder().cloned();
         self.accept_members(orderer.as_ref());
     }
 
-    /// Begins a planned stop.
-    pub fn ask_stop(&self) {
+    /// Begins a planned stop; further calls have no effect.
+    pub fn begin_stop(&self) {
         if !self.is_stopping() {
-            self.stop_asked_at.set(Some(self.now()));
+            self.stop_requested_at.set(Some(self.now()));
             self.stopping.notify(usize::MAX);
             self.note_change();
         }
     }
 
-    /// Returns what wakes when a planned stop begins.
+    /// Returns a listener for the beginning of a planned stop.
     pub fn next_stop(&self) -> EventListener {
         self.stopping.listen()
     }
 
-    /// Returns how long requests of a service keep a slot.
+    /// Returns how long requests of a service occupy an engine slot, as far as answers have shown.
     pub fn occupancy(&self, service: &Name) -> Occupancy {
         self.occupancy
             .borrow()
@@ -293,20 +304,20 @@
             .unwrap_or_default()
     }
 
-    /// Takes note of how long an answer kept its slot.
+    /// Records for how long a request occupied its engine slot.
     pub fn note_occupied(&self, service: &Name, took_ms: Millis) {
         let mut occupancy = self.occupancy.borrow_mut();
         occupancy.entry(service.clone()).or_default().note(took_ms);
     }
 
-    /// Counts a request for a service in the retry budget.
+    /// Counts a caller's request, which adds to the retry budget of its service.
     pub fn note_request(&self, service: &Name) {
         let now = self.now();
         self.with_budget(service, |budget| budget.note_request(now));
     }
 
-    /// Takes one repeated send from the retry budget of a service.
-    pub fn take_repeat(&self, service: &Name) -> bool {
+    /// Takes one retry from the retry budget of a service. Returns false when it is used up.
+    pub fn take_retry(&self, service: &Name) -> bool {
         let now = self.now();
         let members = self.members.borrow().count();
         self.with_budget(service, |budget| budget.take(now, members))
--- a/src/entry/in_flight.rs
+++ b/src/entry/in_flight.rs
@@ -1,10 +1,11 @@
-//! Counting requests at their upstreams while they are under way.
+//! Counts the requests in flight at each upstream.
 
 use crate::upstreams::{Lifetime, Registry};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Counts a request at its upstream while it is under way.
+/// Counts a request, and until its prompt was read also the prompt's tokens, as in flight at an
+/// upstream; uncounts them when it is dropped.
 pub struct InFlight {
     registry: Rc<RefCell<Registry>>,
     upstream: Lifetime,
@@ -12,7 +13,7 @@
 }
 
 impl InFlight {
-    /// Counts a request at a start of an upstream.
+    /// Counts a request with a prompt of `prompt_tokens` at this lifetime of an upstream.
     pub fn new(registry: Rc<RefCell<Registry>>, upstream: &Lifetime, prompt_tokens: u64) -> Self {
         registry.borrow_mut().begin_request(upstream, prompt_tokens);
         Self {
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Takes note of the first byte of the answer: the prompt was read.
+    /// Records the first byte of the answer, which shows that the engine has read the prompt.
     pub fn note_first_byte(&mut self) {
         let prompt_tokens = std::mem::take(&mut self.prompt_tokens);
         self.registry
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits of organisations on a request's way, and in the messages between hosts.
+//! Enforces the rate limits of organisations, and exchanges their use between hosts.
 
 use crate::desired::{LimitTable, RateLimit};
 use crate::entry::ask::Ask;
@@ -9,10 +9,12 @@
 use crate::rate_limit::limiter::Place;
 use crate::rate_limit::{Decision, Limiter, LimitsNews, Refused, Scope, Usage};
 
-/// How long a request waits for newer levels: a few exchanges with a relay and the orderer.
-const NEWER_LEVELS_MS: Millis = Millis(40);
+/// How long a request waits for newer limit levels from other hosts: the time of a few message
+/// exchanges with a relay and the orderer.
+const NEWER_LEVELS_TIMEOUT_MS: Millis = Millis(40);
 
-/// What one request uses of its organisation's limit. What did not run is given back when it ends, however it ends.
+/// The cost of one request, taken from its organisation's limit. It is refunded when the charge is
+/// dropped and no send may have run the request.
 pub struct Charge<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a Ask,
@@ -20,7 +22,7 @@
 }
 
 impl<'a, P: Platform> Charge<'a, P> {
-    /// Takes a request's cost from the limit, where its organisation has one.
+    /// Takes a request's cost from the limit of its organisation, if that has one.
     ///
     /// # Errors
     ///
@@ -49,7 +51,8 @@
         Ok(Self { host, ask, runs: 0 })
     }
 
-    /// Takes note that the request is being sent: from now on it may run.
+    /// Records that the request is being sent, so that it may run. Each further run costs as much
+    /// as the first.
     pub fn note_send(&mut self) {
         self.runs += 1;
         if self.runs > 1 {
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Takes note that what was sent last did not run.
+    /// Records that the last send did not run the request.
     pub fn note_not_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
         if self.runs > 0 {
@@ -74,7 +77,7 @@
     }
 }
 
-/// Counts one more run of a request.
+/// Takes the cost of one more run of a request from the limit, without deciding on it.
 pub fn note_extra_run<P: Platform>(host: &Host<P>, ask: &Ask) {
     if let Some((organisation, limit, cost)) = cost(ask) {
         with_limiter(host, |limiter, now, _| {
@@ -91,6 +94,7 @@
     }
 }
 
+/// Returns the organisation, its limit and the cost of a request; none without a limit.
 fn cost(ask: &Ask) -> Option<(&Name, &RateLimit, u64)> {
     let organisation = ask.identity.organisation()?;
     let limit = organisation.rate_limit.as_ref()?;
@@ -101,8 +105,10 @@
     ))
 }
 
-/// Decides a request by levels that are as new as a moment's wait makes them, and has its use reported at once where little
-/// is left. What has no limit yet is admitted.
+/// Admits or refuses a request by a limit. Waits shortly for newer levels if `wants_newer_levels`
+/// says so, then calls `decide` with a random number from 0 to 1. If the limit is nearly reached,
+/// the use is reported to the other hosts at once. A request is admitted if `decide` returns none,
+/// which means that no limit is known yet.
 ///
 /// # Errors
 ///
@@ -122,10 +128,10 @@
     decision.admitted
 }
 
-/// Waits a moment for newer levels where little is left: a decision by old ones would refuse what is
-/// allowed, or admit what others have used.
+/// Waits shortly for newer levels when the limit is nearly reached: a decision by old levels would
+/// refuse requests that are allowed, or admit what other hosts have used up.
 async fn wait_for_newer_levels<P: Platform>(host: &Host<P>, wants_newer_levels: impl Fn() -> bool) {
-    let until = host.now() + NEWER_LEVELS_MS;
+    let until = host.now() + NEWER_LEVELS_TIMEOUT_MS;
     loop {
         let change = host.next_change();
         let now = host.now();
@@ -137,29 +143,32 @@
     }
 }
 
-/// Takes the use that another host reports.
+/// Adds the use that another host reports.
 pub fn take_usage<P: Platform>(host: &Host<P>, usage: &[Usage]) {
     with_limiter(host, |limiter, now, table| {
         limiter.take_usage(now, usage, table);
     });
 }
 
-/// Returns the use that this host has to report.
+/// Returns the use since the last report, of this host and of those that report to it, for the next
+/// message to a relay or the orderer.
 pub fn report<P: Platform>(host: &Host<P>) -> Vec<Usage> {
     with_limiter(host, |limiter, now, _| limiter.report(now)).unwrap_or_default()
 }
 
-/// Returns the levels for hosts that report to this one.
+/// Returns the current levels, for this host's reply to hosts that report to it. None before there
+/// is a desired state.
 pub fn news<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
     with_limiter(host, |limiter, now, table| limiter.news(now, table))
 }
 
-/// Takes the answer to a message that reported this host's use.
+/// Applies the reply to a message, sent at `asked_at`, that reported this host's use.
 pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsNews>) {
     with_limiter(host, |limiter, _, _| limiter.take_reply(asked_at, news));
 }
 
-/// Calls the limiter with this host's present place in the site; not before there is a desired state.
+/// Calls `with` on the limiter after telling it this host's present place in the site. Returns none
+/// before there is a desired state.
 fn with_limiter<P: Platform, T>(
     host: &Host<P>,
     with: impl FnOnce(&mut Limiter, Millis, &LimitTable) -> T,
@@ -172,7 +181,8 @@
     Some(with(limiter, now, &table.rate_limits))
 }
 
-/// Returns this host's present place in the site.
+/// Returns the part of the site that this host decides for and how many hosts report to it: the
+/// whole site as the orderer, its own group as a relay, only itself otherwise.
 pub fn place<P: Platform>(host: &Host<P>) -> Place {
     let members = host.members.borrow();
     let known = members.count_serving(host.now());
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstreams.
+//! A pool of idle connections to upstreams.
 
 use crate::http1::Connection;
 use crate::http1::client::open;
@@ -8,21 +8,24 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// How long a connection is kept when the upstream does not say: servers close idle ones after 5 s as a rule.
-const DEFAULT_KEEP_MS: Millis = Millis(3_000);
-/// How much sooner than the upstream says a connection is given up, so that a request does not cross its close.
+/// How long an idle connection is kept if the upstream announces no timeout: most servers close
+/// idle connections after 5 s.
+const DEFAULT_IDLE_TIMEOUT_MS: Millis = Millis(3_000);
+/// How long before the upstream's announced timeout a connection is discarded, so that no request
+/// is sent while the upstream closes it.
 const CLOSE_MARGIN_MS: Millis = Millis(500);
-/// Idle connections kept for each upstream.
-const MAX_IDLE: usize = 8;
+/// Most idle connections that are kept to each upstream.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// A connection to an upstream.
 #[derive(Debug)]
 pub struct UpstreamConnection {
-    /// The connection.
+    /// Reads and writes HTTP/1.1 messages.
     pub io: Connection<TcpStream>,
     /// Whether an earlier request used it.
     pub is_reused: bool,
-    /// Whether it must not be used again, because more than one answer may still come on it.
+    /// Whether it must not be reused, because a request on it is incomplete or further answers may
+    /// arrive on it.
     pub ends_after_answer: bool,
 }
 
@@ -33,14 +36,15 @@
     until: Millis,
 }
 
-/// The kept connections by the upstream's lifetime.
+/// The idle connections, by the id of the upstream's lifetime.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<IndexMap<Name, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// Takes a kept connection that has been idle for no longer than `max_idle_ms`, if there is a sound one.
+    /// Takes an open connection that has been idle for no longer than `max_idle_ms`, if there is
+    /// one. Expired and closed connections that are met on the way are discarded.
     pub async fn take(
         &self,
         now: Millis,
@@ -50,7 +54,8 @@
         loop {
             let mut idle = self.pop(id)?;
             let is_fresh = now < idle.until && now.since(idle.since) <= max_idle_ms;
-            // Bytes or an end before the next request belong to no answer: the connection is given up.
+            // Bytes that arrive while no request is under way belong to no answer, and an end means
+            // that the upstream closed: the connection is discarded in both cases.
             let is_quiet = is_fresh && poll_once(idle.io.read_more()).await.is_none();
             if is_quiet {
                 return Some(UpstreamConnection {
@@ -62,7 +67,7 @@
         }
     }
 
-    /// Opens a connection.
+    /// Opens a new connection to an upstream's address.
     ///
     /// # Errors
     ///
@@ -75,7 +80,8 @@
         })
     }
 
-    /// Keeps a connection after a whole answer. `keep_ms` is how long the upstream says that it stays open.
+    /// Adds a connection to the pool after a complete answer. `keep_ms` is the idle timeout that
+    /// the upstream announced. Beyond [`MAX_IDLE_CONNECTIONS`] the connection is closed.
     pub fn keep(
         &self,
         now: Millis,
@@ -86,10 +92,10 @@
         if connection.io.has_unused_bytes() {
             return;
         }
-        let keep_ms = keep_ms.map_or(DEFAULT_KEEP_MS, |keep_ms| keep_ms - CLOSE_MARGIN_MS);
+        let keep_ms = keep_ms.map_or(DEFAULT_IDLE_TIMEOUT_MS, |keep_ms| keep_ms - CLOSE_MARGIN_MS);
         let mut pool = self.idle.borrow_mut();
         let idle = pool.entry(id.clone()).or_default();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(Idle {
                 io: connection.io,
                 since: now,
@@ -98,12 +104,12 @@
         }
     }
 
-    /// Closes the connections of an upstream.
+    /// Closes all idle connections to an upstream.
     pub fn forget(&self, id: &str) {
         self.idle.borrow_mut().shift_remove(id);
     }
 
-    /// Closes the connections that are kept no longer.
+    /// Closes the connections whose idle timeout has passed.
     pub fn expire(&self, now: Millis) {
         let mut pool = self.idle.borrow_mut();
         for idle in pool.values_mut() {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Starting an entry host and its tasks.
+//! Starts an entry host and its tasks, handles signals, and applies changed settings.
 
 use crate::clock::Clock;
 use crate::entry::directory::{self, Questions};
@@ -23,42 +23,42 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// How often what was kept for a while only is dropped.
+/// How often expired idle connections and expired upstream entries are removed.
 const SWEEP_MS: Millis = Millis(500);
-/// How often the settings file is read again without a signal.
-const SETTINGS_MS: Millis = Millis(5_000);
+/// How often the settings file is read again without SIGHUP.
+const SETTINGS_RELOAD_MS: Millis = Millis(5_000);
 
 /// Why an entry host cannot run.
 #[derive(Debug, Snafu)]
 pub enum EntryError {
-    /// An address cannot be used.
+    /// An address cannot be listened on.
     #[snafu(display("cannot listen on {address} ({key}): {source}"))]
     Listen {
-        /// The settings key.
+        /// The settings key that holds the address.
         key: &'static str,
-        /// The address.
+        /// The address that was tried.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The signals cannot be taken.
-    #[snafu(display("cannot take signals: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The log or the metrics cannot be set up.
     #[snafu(display("cannot set up {what}: {why}"))]
     Setup {
-        /// What.
+        /// The part that failed: `the log` or `metrics`.
         what: &'static str,
-        /// Why.
+        /// The error, as text.
         why: String,
     },
 }
 
 impl EntryError {
-    /// Returns what to do next, in one sentence.
+    /// Returns what the operator should do next, in one sentence.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Listen { .. } => "end the process that uses the address, or change the setting",
@@ -83,11 +83,12 @@
 
 /// Runs an entry host until a planned stop is over.
 ///
-/// `reconnect` is told the settings when the platform's store has another address.
+/// `path` is the settings file, which is read again while the host runs. `reconnect` is called
+/// with the new settings when the address of the platform's store has changed.
 ///
 /// # Errors
 ///
-/// Returns why it cannot start.
+/// Returns why the host cannot start.
 pub fn run<P: Platform + 'static>(
     settings: EntrySettings,
     path: PathBuf,
@@ -103,7 +104,8 @@
         what: "metrics",
         why,
     })?;
-    // Tasks of QUIC may not share state by `Rc`, so they have an executor of their own on the same thread.
+    // QUIC tasks must be `Send` and cannot share state through `Rc`, so they have an executor of
+    // their own on the same thread.
     let shared = Arc::new(Executor::new());
     let peers = Peers::bind(settings.peer_listen, shared.clone())?;
     let host = Host::new(settings, platform, clock, metrics, peers.known.clone());
@@ -185,7 +187,7 @@
     drop((members, lease));
     drop(tasks);
     log::logger().flush();
-    // The thread that writes the log takes the last lines.
+    // Gives the thread that writes the log time for the last lines.
     Timer::after(Millis(20).to_duration()).await;
     Ok(())
 }
@@ -201,8 +203,8 @@
         Timer::after(SWEEP_MS.to_duration()).await;
         let now = host.now();
         host.pool.expire(now);
-        let gone = host.upstreams.borrow_mut().expire(now);
-        for id in &gone {
+        let expired = host.upstreams.borrow_mut().expire(now);
+        for id in &expired {
             host.pool.forget(id);
             table_rows::note_gone(id, "its entry did not come back after an outage");
         }
@@ -218,19 +220,20 @@
     loop {
         let next = async { signals.next().await.and_then(Result::ok) };
         let timer = async {
-            Timer::after(SETTINGS_MS.to_duration()).await;
+            Timer::after(SETTINGS_RELOAD_MS.to_duration()).await;
             Some(Signal::Hup)
         };
         match futures_lite::future::or(next, timer).await {
             Some(Signal::Hup) => reload(&host, &path, &reconnect),
-            Some(_) => host.ask_stop(),
+            Some(_) => host.begin_stop(),
             None => {}
         }
     }
 }
 
-/// Reads the settings again. Bounds and the store's address take effect; addresses that this host listens on
-/// stay until it is started again. A file that cannot be used changes nothing.
+/// Reads the settings file again. Changed bounds and a changed address of the store take effect;
+/// the addresses that this host listens on change only when it is started again. A file that
+/// cannot be read or fails its checks changes nothing and is logged.
 pub fn reload<P: Platform>(host: &Host<P>, path: &Path, reconnect: &impl Fn(&P, &EntrySettings)) {
     let settings = match EntrySettings::read(path) {
         Ok(settings) => settings,
@@ -240,11 +243,11 @@
             return;
         }
     };
-    let former = host.settings();
-    if *former == settings {
+    let previous = host.settings();
+    if *previous == settings {
         return;
     }
-    if former.store != settings.store {
+    if previous.store != settings.store {
         reconnect(&host.platform, &settings);
     }
     lines::write(
@@ -253,13 +256,13 @@
             result: "in effect",
         },
     );
-    let kept = EntrySettings {
-        caller_listen: former.caller_listen,
-        directory_listen: former.directory_listen,
-        ready_listen: former.ready_listen,
-        peer_listen: former.peer_listen,
-        metrics_listen: former.metrics_listen,
+    let applied = EntrySettings {
+        caller_listen: previous.caller_listen,
+        directory_listen: previous.directory_listen,
+        ready_listen: previous.ready_listen,
+        peer_listen: previous.peer_listen,
+        metrics_listen: previous.metrics_listen,
         ..settings
     };
-    *host.settings.borrow_mut() = Rc::new(kept);
+    *host.settings.borrow_mut() = Rc::new(applied);
 }
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, up to the start of its answer.
+//! Sends a request to one upstream and reads the start of its answer.
 
 use crate::desired::Repeat;
 use crate::entry::ask::Ask;
@@ -17,37 +17,41 @@
 use crate::routing::roles::is_long;
 use crate::upstreams::{Lifetime, Upstream};
 
-/// How long opening a connection may take: a round trip takes a few milliseconds, an upstream that is gone or
-/// behind a partition takes for ever.
-const CONNECT_MS: Millis = Millis(400);
-/// How long a connection may have been idle for a request that must not run twice: a connection that the other
-/// side has just closed, or lost track of, leaves it unknown whether the request ran.
-const ONCE_IDLE_MS: Millis = Millis(800);
-/// The same for requests that may be sent again.
-const IDLE_MS: Millis = Millis(4_000);
-/// How long a plain service must not have answered to count as out of reach: ten times its usual answer.
-const SILENT_MS: Millis = Millis(1_000);
+/// The timeout for opening a connection. A round trip takes a few milliseconds; an upstream that is
+/// gone or behind a partition never answers.
+const CONNECT_TIMEOUT_MS: Millis = Millis(400);
+/// How long a connection may have been idle to be reused for a request that must not run twice. If
+/// the upstream has just closed or forgotten the connection, it stays unknown whether the request
+/// ran.
+const MAX_IDLE_ONCE_MS: Millis = Millis(800);
+/// How long a connection may have been idle to be reused for a request that may be sent again.
+const MAX_IDLE_REPEATABLE_MS: Millis = Millis(4_000);
+/// After how long without an answer a plain service counts as unreachable: ten times its usual
+/// response time.
+const UNREACHABLE_MS: Millis = Millis(1_000);
 /// Why a send failed that got no answer within the request's time.
 const NO_ANSWER: &str = "no answer in time";
-/// The statuses that promise a caller that its request has not run. An upstream's own is passed on only with its word.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// How a send ended.
+/// The statuses that tell a caller that its request has not run. Such a status from an upstream is
+/// passed on only if the upstream also says explicitly that it did not run the request.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+
+/// How one send of a request to an upstream ended.
 pub enum Sent {
-    /// No byte left this host.
+    /// No byte of the request was sent.
     NotSent,
     /// The upstream says that it did not run the request.
     NotRun {
-        /// Whether it lacks the model.
+        /// Whether the reason is that the engine does not hold the request's model.
         lacks_model: bool,
     },
-    /// There is no answer, and the upstream may have run the request.
+    /// There is no usable answer, and the upstream may have run the request.
     PerhapsRun,
-    /// The answer began.
+    /// The answer began; its status may be a failure.
     Answered(Box<StartedAnswer>),
 }
 
 impl Sent {
-    /// Returns the result's name for logs and metrics.
+    /// Returns the outcome's name for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -60,19 +64,19 @@
     }
 }
 
-/// An answer of which the head and, where there is a body, its first piece were read.
+/// An answer of which the head was read and, where there is a body, at least its first piece.
 pub struct StartedAnswer {
-    /// The upstream, as it was started when the request was sent.
+    /// The lifetime of the upstream that answers.
     pub upstream: Lifetime,
-    /// Its head.
+    /// The head of the answer.
     pub head: ResponseHead,
-    /// What was read of the body.
+    /// The bytes of the body that were read so far.
     pub begun: Vec<u8>,
-    /// Reads the rest.
+    /// Reads the rest of the body.
     pub reader: BodyReader,
-    /// The connection; it ends with the answer unless the whole answer was read.
+    /// The connection; it can be reused only after the whole answer was read.
     pub connection: UpstreamConnection,
-    /// Counts the request at the upstream until it is dropped.
+    /// Counts the request as in flight at the upstream until it is dropped.
     pub in_flight: InFlight,
 }
 
@@ -89,7 +93,8 @@
     failure_share: f64,
 }
 
-/// Sends a request and waits for the start of its answer.
+/// Sends a request to an upstream and waits for the start of its answer until `answer_by`. Updates
+/// the upstream's health and limits, and logs an attempt that got no answer.
 pub async fn send<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -114,7 +119,7 @@
         began_at: host.now(),
     };
     let Some(mut connection) = connect(host, ask, upstream, answer_by).await else {
-        attempt.note("not_sent", None, Some("cannot connect"));
+        attempt.log("not_sent", None, Some("cannot connect"));
         return Sent::NotSent;
     };
     attempt.reused = connection.is_reused;
@@ -133,15 +138,16 @@
         if unreachable || why != NO_ANSWER {
             note_failure(host, upstream, now, unreachable);
         }
-        attempt.note("perhaps_run", None, Some(why));
+        attempt.log("perhaps_run", None, Some(why));
         Sent::PerhapsRun
     };
     match answer {
         None => {
-            // A short limit of the request's own says nothing of the upstream, but a connection may have gone silent.
+            // A request with a short timeout of its own says nothing about the upstream's health,
+            // but the other connections to it may be dead as well.
             host.pool.forget(&upstream.id);
-            let is_silent = now.since(attempt.began_at) >= SILENT_MS && !ask.at_engine;
-            fail(NO_ANSWER, is_silent)
+            let is_unreachable = now.since(attempt.began_at) >= UNREACHABLE_MS && !ask.at_engine;
+            fail(NO_ANSWER, is_unreachable)
         }
         Some(Err(error)) => fail(&error.to_string(), false),
         Some(Ok(Exchanged {
@@ -154,12 +160,12 @@
             let status = Some(head.status);
             if let Some(other) = &facts.other_lifetime {
                 end_lifetime(host, upstream, other);
-                attempt.note("not_run", status, Some("another lifetime"));
+                attempt.log("not_run", status, Some("another lifetime"));
                 return Sent::NotRun { lacks_model: false };
             }
             if facts.not_run {
                 keep(host, &upstream.id, connection, &head, reader);
-                attempt.note("not_run", status, None);
+                attempt.log("not_run", status, None);
                 if ask.at_engine && !facts.lacks_model {
                     note_full(host, ask, upstream, now);
                 }
@@ -167,7 +173,7 @@
                     lacks_model: facts.lacks_model,
                 };
             }
-            if PROMISES.contains(&head.status) {
+            if NOT_RUN_STATUSES.contains(&head.status) {
                 return fail("a refusal that does not say that it did not run", false);
             }
             if !facts.is_sealed && head.status < 500 {
@@ -189,7 +195,7 @@
     }
 }
 
-/// Where and since when a request is being sent, for the log.
+/// One attempt to send a request, for its log line.
 struct Attempt<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a Ask,
@@ -200,7 +206,7 @@
 
 impl<P: Platform> Attempt<'_, P> {
     /// Writes the log line of an attempt that ended without an answer to the request.
-    fn note(&self, result: &'static str, status: Option<u16>, why: Option<&str>) {
+    fn log(&self, result: &'static str, status: Option<u16>, why: Option<&str>) {
         let now = self.host.now();
         let registry = self.host.upstreams.borrow();
         let line = AttemptLine {
@@ -220,6 +226,7 @@
     }
 }
 
+/// Takes an idle connection to an upstream or opens one. Returns none when it cannot be reached.
 async fn connect<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -228,14 +235,14 @@
 ) -> Option<UpstreamConnection> {
     let now = host.now();
     let max_idle_ms = match ask.route.repeat {
-        Repeat::Once => ONCE_IDLE_MS,
-        Repeat::Idempotent | Repeat::Resumable => IDLE_MS,
+        Repeat::Once => MAX_IDLE_ONCE_MS,
+        Repeat::Idempotent | Repeat::Resumable => MAX_IDLE_REPEATABLE_MS,
     };
-    if let Some(kept) = host.pool.take(now, &upstream.id, max_idle_ms).await {
-        return Some(kept);
+    if let Some(idle) = host.pool.take(now, &upstream.id, max_idle_ms).await {
+        return Some(idle);
     }
     let address = host.upstreams.borrow().get(&upstream.id)?.address();
-    let timeout_ms = CONNECT_MS.min(answer_by.since(now));
+    let timeout_ms = CONNECT_TIMEOUT_MS.min(answer_by.since(now));
     let opened = within(timeout_ms, host.pool.open(address)).await;
     if let Some(Err(error)) = &opened {
         crashes::note_unreachable(host, upstream, error);
@@ -249,7 +256,8 @@
     }
 }
 
-/// Keeps the connection of an answer that was read to its end.
+/// Returns the connection of an answer to the pool if the answer was read to its end and neither
+/// side wants to close; otherwise closes it.
 pub fn keep<P: Platform>(
     host: &Host<P>,
     upstream: &Name,
@@ -265,6 +273,7 @@
     host.pool.keep(host.now(), upstream, connection, keep_ms);
 }
 
+/// Returns the idle timeout that a `Keep-Alive` header announces.
 fn keep_alive_ms(value: &str) -> Option<Millis> {
     value
         .split(',')
@@ -281,8 +290,9 @@
     rests_until_unix_ms: Option<Millis>,
 }
 
+/// Removes an upstream whose address now belongs to another lifetime.
 fn end_lifetime<P: Platform>(host: &Host<P>, upstream: &Lifetime, other: &str) {
-    crashes::note_over(host, upstream);
+    crashes::note_lifetime_ended(host, upstream);
     if host.upstreams.borrow_mut().end_lifetime(upstream) {
         host.pool.forget(&upstream.id);
         let line = UpstreamLine {
@@ -295,22 +305,24 @@
     }
 }
 
-/// Takes note that an engine refused a request as full. Without it the engine looks idle, draws more requests than any
-/// other, and refuses each: one that held a busy model refused 250 a second, and used up the budget of repeated sends.
+/// Records that an engine refused a request because it is full. Without this the engine looks idle,
+/// is chosen more often than any other, and refuses every request: an engine with a busy model
+/// would refuse 250 a second and use up the retry budget.
 fn note_full<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime, now: Millis) {
     let occupancy = host.occupancy(&ask.service);
-    if let Some(view) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
-        view.full_until = now + occupancy.full_ms(view.entry.slots);
+    if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
+        known.full_until = now + occupancy.full_ms(known.entry.slots);
     }
 }
 
 fn note_success<P: Platform>(host: &Host<P>, upstream: &Lifetime, now: Millis) {
-    if let Some(view) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
-        view.health.note_success(now);
+    if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
+        known.health.note_success(now);
     }
 }
 
-/// Takes note of a failure of an upstream.
+/// Records a failure of an upstream in its health. An unreachable upstream gets no requests for a
+/// while, and its idle connections are closed.
 pub fn note_failure<P: Platform>(
     host: &Host<P>,
     upstream: &Lifetime,
@@ -319,15 +331,15 @@
 ) {
     let until = {
         let mut registry = host.upstreams.borrow_mut();
-        let Some(view) = registry.get_lifetime_mut(upstream) else {
+        let Some(known) = registry.get_lifetime_mut(upstream) else {
             return;
         };
         match unreachable {
             false => {
-                view.health.note_failure(now);
+                known.health.note_failure(now);
                 return;
             }
-            true => view.health.note_unreachable(now),
+            true => known.health.note_unreachable(now),
         }
     };
     host.pool.forget(&upstream.id);
--- a/src/entry/tries.rs
+++ b/src/entry/tries.rs
@@ -1,4 +1,4 @@
-//! The tries of one request: which may have run, and whether another one is allowed.
+//! The attempts of one request: which may have run it, and whether another one is allowed.
 
 use crate::desired::Repeat;
 use crate::entry::ask::Ask;
@@ -7,71 +7,73 @@
 use crate::entry::send::StartedAnswer;
 use crate::prelude::*;
 
-/// When to come back after a refusal that has no better estimate.
-pub const COME_BACK_MS: Millis = Millis(500);
-/// When to come back after upstreams were full.
-pub const BUSY_COME_BACK_MS: Millis = Millis(300);
-/// Most sends of one request, whatever refuses it.
+/// The retry time that a refusal names when there is no better estimate.
+pub const RETRY_AFTER_MS: Millis = Millis(500);
+/// The retry time that a refusal names when upstreams, or this host, were full.
+pub const BUSY_RETRY_AFTER_MS: Millis = Millis(300);
+/// Most sends of one request, also where every upstream says that it did not run it.
 const MAX_SENDS: u32 = 4;
 
-/// The tries of one request.
+/// The attempts of one request so far.
 #[derive(Default)]
 pub struct Tries {
-    /// Sends of which at least one byte left.
+    /// The number of sends of which at least one byte was sent.
     pub sends: u32,
-    /// Tries that may have run.
+    /// The number of attempts that may have run the request.
     pub runs: u32,
-    /// Upstreams that are not asked again.
-    pub passed_over: Vec<Name>,
-    /// Whether the request waited for an upstream.
+    /// The upstreams that are not tried again; cleared when the request waits for an upstream.
+    pub excluded: Vec<Name>,
+    /// Whether the request has waited for an upstream.
     pub waited: bool,
-    /// When an upstream that named a limit has room again.
-    pub limited_ms: Option<Millis>,
-    /// A failure that an upstream answered, kept while another one is tried.
+    /// The shortest time after which an upstream with a rate limit accepts a request again.
+    pub limit_retry_after_ms: Option<Millis>,
+    /// A failure that an upstream answered, kept while another upstream is tried.
     pub failure: Option<Box<StartedAnswer>>,
 }
 
 impl Tries {
-    /// Takes note of a try of which no byte left.
-    pub fn pass_over(&mut self, upstream: Name) {
-        self.passed_over.push(upstream);
+    /// Excludes an upstream from further attempts, for example after nothing could be sent to it.
+    pub fn exclude(&mut self, upstream: Name) {
+        self.excluded.push(upstream);
     }
 
-    /// Takes note that an upstream may get no more requests for a while.
+    /// Records that the rate limit of an upstream allows no request for `retry_after_ms`.
     pub fn note_limited(&mut self, upstream: Name, retry_after_ms: Millis) {
-        let soonest = self.limited_ms.unwrap_or(retry_after_ms);
-        self.limited_ms = Some(soonest.min(retry_after_ms));
-        self.pass_over(upstream);
+        let soonest = self.limit_retry_after_ms.unwrap_or(retry_after_ms);
+        self.limit_retry_after_ms = Some(soonest.min(retry_after_ms));
+        self.exclude(upstream);
     }
 
-    /// Takes note of a try that the upstream says it did not run.
+    /// Records an attempt that the upstream says it did not run.
     pub fn note_not_run(&mut self, upstream: Name) {
         self.sends += 1;
-        self.pass_over(upstream);
+        self.exclude(upstream);
     }
 
-    /// Takes note of a try that may have run.
+    /// Records an attempt that may have run the request.
     pub fn note_perhaps_run(&mut self, upstream: Name) {
         self.sends += 1;
         self.runs += 1;
-        self.pass_over(upstream);
+        self.exclude(upstream);
     }
 
-    /// Keeps a failure that an upstream answered.
+    /// Keeps a failure that an upstream answered, to pass it on if no other attempt succeeds.
     pub fn keep_failure(&mut self, answer: Box<StartedAnswer>) {
         self.note_perhaps_run(answer.upstream.id.clone());
         self.failure = Some(answer);
     }
 
-    /// Takes one more send from the budgets, if they allow it.
+    /// Takes a further send from the service's retry budget. Returns false when the budget, the
+    /// route's attempts or [`MAX_SENDS`] allow none.
     pub fn may_repeat<P: Platform>(&self, host: &Host<P>, ask: &Ask) -> bool {
         self.sends < MAX_SENDS
             && self.runs < ask.route.attempts.max(1)
-            && host.take_repeat(&ask.service)
+            && host.take_retry(&ask.service)
     }
 
-    /// Tells whether a failure that an upstream answered is worth another try: another upstream may succeed,
-    /// and the request may run again. The send itself is taken from the budget when it is made.
+    /// Tells whether another upstream should be tried after a failure that an upstream answered:
+    /// the request may run again and has enough time left. The retry budget is charged later, when
+    /// the request is sent again.
     pub fn prefers_another<P: Platform>(
         &self,
         host: &Host<P>,
@@ -84,17 +86,17 @@
         answer.head.status >= 500 && may_run_again && has_time
     }
 
-    /// Returns the refusal when no further try is allowed.
+    /// Returns the refusal for a request that may not be tried again.
     pub fn last_refusal(&self) -> Refusal {
         match self.runs {
             0 => Refusal::new(ErrorKind::Overloaded, "every upstream refused the request")
-                .after(self.limited_ms.unwrap_or(BUSY_COME_BACK_MS)),
+                .after(self.limit_retry_after_ms.unwrap_or(BUSY_RETRY_AFTER_MS)),
             _ => Refusal::new(ErrorKind::OutcomeUnknown, "the upstream's answer is lost"),
         }
     }
 
-    /// Returns the refusal when the request's time is over.
-    pub fn end_of_time(&self) -> Refusal {
+    /// Returns the refusal for a request whose time is over.
+    pub fn deadline_refusal(&self) -> Refusal {
         match self.runs {
             0 => Refusal::new(ErrorKind::DeadlinePassed, "the request's time is over"),
             _ => Refusal::new(
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -1,4 +1,5 @@
-//! Limits that upstreams name: on a request's way, and in the messages between hosts.
+//! Enforces the request rates that upstreams state in their answers, for all hosts together, and
+//! exchanges their use between hosts.
 
 use crate::entry::host::Host;
 use crate::entry::limits;
@@ -17,7 +18,7 @@
     told: bool,
 }
 
-fn note_changed(upstream: &str, per_s: Option<f64>, told: bool) {
+fn log_change(upstream: &str, per_s: Option<f64>, told: bool) {
     let line = LimitLine {
         upstream,
         per_s,
@@ -26,23 +27,24 @@
     lines::write(LogEvent::UpstreamLimited, &line);
 }
 
-/// Takes note of the limit that an answer names, or that it names none.
+/// Records the limit that an answer states, in requests a second, or that it states none.
 pub fn note_answer<P: Platform>(host: &Host<P>, upstream: &Lifetime, per_s: Option<f64>) {
     let now = host.now();
     let mut limits = host.limits.borrow_mut();
     if limits.upstreams.note_answer(now, &upstream.id, per_s) {
-        note_changed(&upstream.id, per_s, false);
+        log_change(&upstream.id, per_s, false);
         host.note_want();
     }
 }
 
-/// Takes one request from what an upstream allows. Where little is left, it waits a moment for newer levels.
+/// Takes one request from an upstream's limit, if it has stated one. Waits shortly for newer levels
+/// when the limit is nearly reached.
 ///
 /// # Errors
 ///
 /// Returns the refusal when the upstream may get no more requests now.
 pub async fn take<P: Platform>(host: &Host<P>, upstream: &Name) -> Result<(), Refused> {
-    // Few upstreams name a limit, and every request comes by here.
+    // A fast path for every request: few upstreams state a limit.
     if host.limits.borrow().upstreams.limit(upstream).is_none() {
         return Ok(());
     }
@@ -52,33 +54,34 @@
     limits::admit(host, wants_newer_levels, decide).await
 }
 
-/// Returns what this host has to report.
+/// Returns the use and the stated limits for this host's next message to a relay or the orderer.
 pub fn report<P: Platform>(host: &Host<P>) -> UpstreamLimitsReport {
     with_limits(host, |limits, now| limits.report(now))
 }
 
-/// Takes what another host reports.
+/// Adds what another host reports.
 pub fn take_report<P: Platform>(host: &Host<P>, report: &UpstreamLimitsReport) {
     take_stated(host, &report.stated);
     with_limits(host, |limits, now| limits.take_usage(now, &report.usage));
 }
 
-/// Returns what a host that reports to this one is to know.
+/// Returns the stated limits and current levels, for this host's reply to hosts that report to it.
 pub fn news<P: Platform>(host: &Host<P>) -> UpstreamLimitsNews {
     with_limits(host, |limits, now| limits.news(now))
 }
 
-/// Takes the answer to a message with this host's report.
+/// Applies the reply to a message, sent at `asked_at`, that carried this host's report.
 pub fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsNews) {
     take_stated(host, &news.stated);
     with_limits(host, |limits, _| limits.take_reply(asked_at, news.levels));
 }
 
+/// Applies limits that upstreams stated to other hosts, and logs those that changed.
 fn take_stated<P: Platform>(host: &Host<P>, stated: &[StatedLimit]) {
     let now = host.now();
     let mut limits = host.limits.borrow_mut();
     for limit in limits.upstreams.take_stated(now, stated) {
-        note_changed(&limit.upstream, limit.per_s, true);
+        log_change(&limit.upstream, limit.per_s, true);
     }
 }
 
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -1,4 +1,5 @@
-//! Waiting for an upstream that may take a request, and for the turn of a long prompt.
+//! Lets requests wait until an upstream can take them, and lets long prompts wait until the engine
+//! reads no other long prompt.
 
 use crate::entry::ask::Ask;
 use crate::entry::choice::choose;
@@ -6,28 +7,36 @@
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::entry::sync;
-use crate::entry::tries::{BUSY_COME_BACK_MS, COME_BACK_MS, Tries};
+use crate::entry::tries::{BUSY_RETRY_AFTER_MS, RETRY_AFTER_MS, Tries};
 use crate::http1::client::within;
 use crate::prelude::*;
 use crate::routing::roles::is_long;
 
-/// How long a request goes on waiting for an upstream when nothing says that one will come: a restart or the
-/// list's lag passes within it.
-const PATIENCE_MS: Millis = Millis(300);
-/// How long the orderer must have been silent to count as lost, and twice the interval at which a host speaks with it: a
-/// second in a site of some 80 hosts.
+/// How long a request waits for an upstream when no model load is announced: long enough for an
+/// upstream's restart and for the delay of the list of upstreams.
+const UPSTREAM_WAIT_MS: Millis = Millis(300);
+/// How long the orderer must not have answered to count as lost. Twice the interval at which a host
+/// sends to it must have passed as well; that interval is a second in a site of some 80 hosts.
 const ORDERER_LOST_MS: Millis = Millis(2_500);
-/// How long after a lost orderer's last word the next one orders: its lease is claimed when it has been silent for 2.3 s,
-/// and the next holder waits out the rest of its right to order and the engines' lease time.
-const NEXT_ORDERER_MS: Millis = Millis(6_000);
-/// How long a long prompt waits for news of other hosts' long prompts; the orderer answers in a few milliseconds.
-const FRESH_MS: Millis = Millis(15);
-/// How often a long prompt looks whether it is its turn: some steps of an engine, so that there is a pause between two.
-const TURN_LOOK_MS: Millis = Millis(30);
-/// What an upstream needs for the first event once it may have the request: a prompt of some thousand tokens.
-const BEGIN_MARGIN_MS: Millis = Millis(300);
+/// How long after the last answer of a lost orderer the next one sends orders: its lease is claimed
+/// after 2.3 s without an answer, and the next holder waits for the rest of the old lease and for
+/// the engines' lease time.
+const ORDERER_TAKEOVER_MS: Millis = Millis(6_000);
+/// How long a long prompt waits for current numbers of other hosts' long prompts; the orderer
+/// answers in a few milliseconds.
+const ORDERER_ANSWER_WAIT_MS: Millis = Millis(15);
+/// How often a long prompt checks whether the engine is free for it: a few steps of an engine, so
+/// that there is a pause between two long prompts.
+const TURN_POLL_MS: Millis = Millis(30);
+/// How long an upstream takes from a request to the first event, for a prompt of some thousand
+/// tokens.
+const FIRST_EVENT_MS: Millis = Millis(300);
 
-/// Waits until an upstream may take the request. Returns a refusal when none can in time.
+/// Waits until an upstream can take the request.
+///
+/// # Errors
+///
+/// Returns the refusal when no upstream can take the request in time.
 pub async fn wait_for_upstream<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -35,7 +44,7 @@
     log: &mut CourseLog<'_, P>,
 ) -> Result<(), Refusal> {
     let began_at = host.now();
-    let has_failed = !tries.passed_over.is_empty();
+    let has_failed = !tries.excluded.is_empty();
     if has_failed && tries.waited {
         return Err(tries.last_refusal());
     }
@@ -51,11 +60,11 @@
     tries: &mut Tries,
     began_at: Millis,
 ) -> Result<(), Refusal> {
-    let until = patient_until(host, ask, began_at)?;
-    let _waiting = Waiting::new(host, ask);
+    let until = wait_deadline(host, ask, began_at)?;
+    let _waiting = WaitingCount::new(host, ask);
     loop {
         let change = host.next_change();
-        tries.passed_over.clear();
+        tries.excluded.clear();
         if choose(host, ask, tries).is_some() {
             return Ok(());
         }
@@ -64,22 +73,25 @@
             let why = "this host stops, and no upstream could take the request at once";
             return Err(Refusal::new(ErrorKind::Stopping, why).after(Millis::ZERO));
         }
-        let until = until.max(patient_until(host, ask, began_at)?);
+        let until = until.max(wait_deadline(host, ask, began_at)?);
         if now >= until {
             return Err(no_upstream(host, ask, now));
         }
-        // Rests of upstreams end without a change, so the state is looked at now and then.
-        let nap_ms = (until - now).min(Millis(50));
-        within(nap_ms, change).await;
+        // No change is notified when an upstream's pause after a failure ends, so the state is also
+        // polled.
+        let poll_ms = (until - now).min(Millis(50));
+        within(poll_ms, change).await;
     }
 }
 
-/// Lets a long prompt wait until no other one is being read at the engine that it goes to, and returns the engine that
-/// is best then.
+/// Lets a long prompt wait until the engine chosen for it reads no other long prompt, and returns
+/// the engine that is the best choice then. Returns none for requests that need not wait.
 ///
-/// An engine reads long prompts in pieces between the steps of its streams. Two that follow each other without a pause
-/// hold every stream there up for longer than the gap that is on time, and are ready no sooner than one after the
-/// other. Hosts know of each other's long prompts through the orderer, which is asked first.
+/// An engine reads long prompts in pieces between the decoding steps of its streams. Two long
+/// prompts without a pause between them delay every stream of the engine for longer than the gap
+/// that counts as on time, and neither is read sooner than if they were read one after the other.
+/// Hosts learn of each other's long prompts from the orderer, so this host first asks the orderer
+/// for current numbers.
 pub async fn wait_for_turn<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -91,48 +103,60 @@
     }
     let began_at = host.now();
     let until = began_at + Millis(ask.route.goal_ms.0 * 2 / 5);
-    let until = until.min(ask.begins_by - BEGIN_MARGIN_MS);
+    let until = until.min(ask.first_byte_deadline - FIRST_EVENT_MS);
     let answers = host.view.borrow().answers;
     host.note_want();
     loop {
         let change = host.next_change();
         let upstream = choose(host, ask, tries)?;
         let now = host.now();
-        // The orderer's answer takes a few milliseconds; without one the choice is by what is known.
-        let is_fresh = host.view.borrow().answers > answers || now.since(began_at) >= FRESH_MS;
+        // If the orderer does not answer in time, the choice is made with what this host knows.
+        let is_fresh =
+            host.view.borrow().answers > answers || now.since(began_at) >= ORDERER_ANSWER_WAIT_MS;
         if (is_fresh && reads_no_long_prompt(host, &upstream)) || now >= until {
             log.course.turn_ms += now.since(began_at);
             return Some(upstream);
         }
-        within(TURN_LOOK_MS, change).await;
+        within(TURN_POLL_MS, change).await;
         if is_fresh {
             host.note_want();
         }
     }
 }
 
+/// Tells whether an engine is reading no long prompt of any host, as far as this host knows.
 fn reads_no_long_prompt<P: Platform>(host: &Host<P>, upstream: &Name) -> bool {
     let upstreams = host.upstreams.borrow();
-    let own = upstreams.get(upstream).map_or(0, |own| own.long_prompts);
+    let own = upstreams
+        .get(upstream)
+        .map_or(0, |known| known.long_prompts);
     own + host.view.borrow().work(upstream).long_prompts == 0
 }
 
-/// Returns the refusal of a request of which the first event would come after its caller has left, by the slots that are
-/// taken at the best engine and how long answers keep one.
-pub fn too_late<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Name) -> Option<Refusal> {
+/// Returns a refusal if the request's first event would come after its caller has given up, as
+/// estimated from the occupied slots of the best engine and the time that answers occupy one.
+pub fn late_start_refusal<P: Platform>(
+    host: &Host<P>,
+    ask: &Ask,
+    upstream: &Name,
+) -> Option<Refusal> {
     if !ask.at_engine {
         return None;
     }
     let now = host.now();
     let wait_ms = slot_wait_ms(host, ask, upstream)?;
-    let left_ms = ask.begins_by.since(now + BEGIN_MARGIN_MS);
+    let left_ms = ask.first_byte_deadline.since(now + FIRST_EVENT_MS);
     if wait_ms <= left_ms {
         return None;
     }
     let why = "the first event would come after the caller has left";
-    Some(Refusal::new(ErrorKind::Overloaded, why).after((wait_ms - left_ms).max(BUSY_COME_BACK_MS)))
+    Some(
+        Refusal::new(ErrorKind::Overloaded, why)
+            .after((wait_ms - left_ms).max(BUSY_RETRY_AFTER_MS)),
+    )
 }
 
+/// Returns how long a further request would wait for a slot of an engine.
 fn slot_wait_ms<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Name) -> Option<Millis> {
     let upstreams = host.upstreams.borrow();
     let engine = upstreams.get(upstream)?;
@@ -143,13 +167,15 @@
     ))
 }
 
-/// Returns until when a request does well to wait for an upstream, or the refusal when it cannot be in time.
-fn patient_until<P: Platform>(
+/// Returns until when a request should wait for an upstream, or the refusal when no upstream can
+/// answer it in time.
+fn wait_deadline<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
     began_at: Millis,
 ) -> Result<Millis, Refusal> {
-    let last = ask.begins_by - BEGIN_MARGIN_MS.min(Millis((ask.begins_by - ask.arrived_at).0 / 4));
+    let last = ask.first_byte_deadline
+        - FIRST_EVENT_MS.min(Millis((ask.first_byte_deadline - ask.arrived_at).0 / 4));
     let ready_at = ask
         .facts
         .model
@@ -161,49 +187,51 @@
             "the model cannot be ready in time",
         )
         .after(ready_at.since(host.now()))),
-        // The expected time is an estimate; the engine's report of it lags.
+        // The expected time is an estimate, and the engine's report of the loaded model is delayed.
         Some(ready_at) => Ok((ready_at + Millis(1_500)).min(last)),
         None => match orderer_lost_ms(host) {
             Some(lost_ms) if ask.facts.model.is_some() => Err(Refusal::new(
                 ErrorKind::ColdStartTooLong,
                 "no upstream holds the model, and no host orders loads now",
             )
-            .after((NEXT_ORDERER_MS - lost_ms).max(COME_BACK_MS))),
-            _ => Ok((began_at + PATIENCE_MS).min(last)),
+            .after((ORDERER_TAKEOVER_MS - lost_ms).max(RETRY_AFTER_MS))),
+            _ => Ok((began_at + UPSTREAM_WAIT_MS).min(last)),
         },
     }
 }
 
-/// Returns for how long the orderer has been silent, when it is lost.
+/// Returns how long ago the orderer last answered, if it counts as lost.
 fn orderer_lost_ms<P: Platform>(host: &Host<P>) -> Option<Millis> {
     let answered_at = host.view.borrow().answered_at?;
     let silent_ms = host.now().since(answered_at);
     let interval_ms = sync::interval_ms(host, false);
-    let bound_ms = ORDERER_LOST_MS.max(interval_ms + interval_ms);
-    (silent_ms >= bound_ms).then_some(silent_ms)
+    let timeout_ms = ORDERER_LOST_MS.max(interval_ms + interval_ms);
+    (silent_ms >= timeout_ms).then_some(silent_ms)
 }
 
+/// Returns the refusal for a request that waited in vain for an upstream.
 fn no_upstream<P: Platform>(host: &Host<P>, ask: &Ask, now: Millis) -> Refusal {
     let upstreams = host.upstreams.borrow();
-    let any = upstreams.usable(&ask.service).next().is_some();
-    match (any, &ask.facts.model) {
+    let has_usable = upstreams.usable(&ask.service).next().is_some();
+    match (has_usable, &ask.facts.model) {
         (true, Some(model)) => {
             let ready_at = host.view.borrow().ready_at(model);
-            let after = ready_at.map_or(COME_BACK_MS, |at| at.since(now).max(BUSY_COME_BACK_MS));
+            let after =
+                ready_at.map_or(RETRY_AFTER_MS, |at| at.since(now).max(BUSY_RETRY_AFTER_MS));
             Refusal::new(ErrorKind::ColdStartTooLong, "no upstream holds the model").after(after)
         }
         _ => Refusal::new(ErrorKind::NoCapacity, "no upstream can take the request")
-            .after(COME_BACK_MS),
+            .after(RETRY_AFTER_MS),
     }
 }
 
-/// Counts a request that waits for its model.
-struct Waiting<'a, P: Platform> {
+/// Counts a request in the demand as waiting for its model until it is dropped.
+struct WaitingCount<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a Ask,
 }
 
-impl<'a, P: Platform> Waiting<'a, P> {
+impl<'a, P: Platform> WaitingCount<'a, P> {
     fn new(host: &'a Host<P>, ask: &'a Ask) -> Self {
         if let Some(model) = &ask.facts.model {
             if let Some(count) = host.demand.borrow_mut().count(model) {
@@ -215,7 +243,7 @@
     }
 }
 
-impl<P: Platform> Drop for Waiting<'_, P> {
+impl<P: Platform> Drop for WaitingCount<'_, P> {
     fn drop(&mut self) {
         if let Some(model) = &self.ask.facts.model
             && let Some(count) = self.host.demand.borrow_mut().count(model)
