--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get when upstreams answer wrongly, twice, late, not at all, or not whole.
+//! What callers get when upstreams answer wrongly, twice, late, incompletely or not at all.
 
 use super::fake_upstream::Step::{Close, Hang, Wait, Write};
 use super::site::{Site, entry, on_site, route};
@@ -14,7 +14,8 @@
 const BUSY: &str = "HTTP/1.1 503 Busy\r\nId: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
 const FAILED: &str = "HTTP/1.1 500 Failed\r\nId: {id}\r\nSeal: s\r\nContent-Length: 3\r\n\r\nbad";
 
-async fn serve_by(site: &Site, repeat: Repeat) {
+/// Puts a route with this repeat rule into force.
+async fn apply_route(site: &Site, repeat: Repeat) {
     site.order(1, vec![route(repeat)]);
     site.until_version(1).await;
 }
@@ -27,9 +28,9 @@
 }
 
 #[test]
-fn a_request_passes_unchanged_but_for_what_hosts_set() {
+fn a_request_is_forwarded_unchanged_except_for_the_headers_that_hosts_set() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
+        apply_route(&site, Repeat::Once).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let answer = site.call(REQUEST).await;
         assert_eq!((answer.head.status, &*answer.body), (200, "ok"));
@@ -47,9 +48,9 @@
 }
 
 #[test]
-fn a_lost_answer_is_unknown_where_the_request_must_not_run_twice() {
+fn a_lost_answer_to_a_request_that_must_not_run_twice_is_reported_as_unknown() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
+        apply_route(&site, Repeat::Once).await;
         let first = site.upstream("u1", vec![vec![Close]]).await;
         let second = site.upstream("u2", vec![vec![Close]]).await;
         let answer = site.call(REQUEST).await;
@@ -60,27 +61,27 @@
 }
 
 #[test]
-fn a_lost_answer_is_tried_elsewhere_where_the_request_may_run_twice() {
+fn an_idempotent_request_whose_answer_is_lost_is_sent_to_another_upstream() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Idempotent).await;
-        let is_sound_known = Rc::new(Cell::new(false));
-        let dead = site
-            .upstream("u1", vec![vec![Wait(is_sound_known.clone()), Close]])
+        apply_route(&site, Repeat::Idempotent).await;
+        let is_healthy_known = Rc::new(Cell::new(false));
+        let broken = site
+            .upstream("u1", vec![vec![Wait(is_healthy_known.clone()), Close]])
             .await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
-        site.until(|_| dead.arrivals.borrow().len() == 1).await;
-        let sound = site.upstream("u2", vec![vec![Write(WHOLE)]]).await;
-        is_sound_known.set(true);
+        site.until(|_| broken.arrivals.borrow().len() == 1).await;
+        let healthy = site.upstream("u2", vec![vec![Write(WHOLE)]]).await;
+        is_healthy_known.set(true);
         assert_eq!(caller.answer().await.head.status, 200);
-        assert_eq!(sound.arrivals.borrow().len(), 1);
+        assert_eq!(healthy.arrivals.borrow().len(), 1);
     });
 }
 
 #[test]
-fn refusals_of_every_upstream_are_not_run_with_a_time_to_come_back() {
+fn a_request_that_every_upstream_refuses_is_refused_as_not_run_with_a_retry_time() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
+        apply_route(&site, Repeat::Once).await;
         let upstream = site.upstream("u1", vec![vec![Write(BUSY)]]).await;
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 503);
@@ -97,9 +98,9 @@
 }
 
 #[test]
-fn a_failure_that_an_upstream_answered_is_passed_on_when_no_other_does_better() {
+fn an_upstreams_failure_is_passed_on_when_every_other_upstream_fails_too() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Idempotent).await;
+        apply_route(&site, Repeat::Idempotent).await;
         let upstreams = [
             site.upstream("u1", vec![vec![Write(FAILED)]]).await,
             site.upstream("u2", vec![vec![Write(FAILED)]]).await,
@@ -116,9 +117,9 @@
 }
 
 #[test]
-fn a_short_answer_that_breaks_off_never_reaches_the_caller() {
+fn no_part_of_a_short_answer_that_breaks_off_reaches_the_caller() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
+        apply_route(&site, Repeat::Once).await;
         let cut = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 20\r\n\r\nhalf";
         site.upstream("u1", vec![vec![Write(cut), Close]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
@@ -126,19 +127,19 @@
 }
 
 #[test]
-fn a_success_without_a_seal_is_no_success() {
+fn a_success_without_the_upstreams_seal_is_not_passed_on() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
-        let bare = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok";
-        site.upstream("u1", vec![vec![Write(bare)]]).await;
+        apply_route(&site, Repeat::Once).await;
+        let unsealed = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok";
+        site.upstream("u1", vec![vec![Write(unsealed)]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
     });
 }
 
 #[test]
-fn an_extra_answer_to_an_earlier_request_reaches_nobody() {
+fn an_extra_answer_to_an_earlier_request_is_discarded() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Idempotent).await;
+        apply_route(&site, Repeat::Idempotent).await;
         let extra = "HTTP/1.1 200 OK\r\nId: other\r\nSeal: s\r\nContent-Length: 5\r\n\r\nwrong";
         let upstream = site.upstream(
             "u1",
@@ -157,9 +158,9 @@
 }
 
 #[test]
-fn a_lifetime_that_lost_its_address_gets_nothing_more() {
+fn a_lifetime_whose_address_belongs_to_another_one_gets_no_more_requests() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
+        apply_route(&site, Repeat::Once).await;
         let moved = "HTTP/1.1 421 Misdirected\r\nId: {id}\r\nNot-Run: 1\r\nLifetime: u9\r\nContent-Length: 0\r\n\r\n";
         let upstream = site.upstream("u1", vec![vec![Write(moved)]]).await;
         let address = upstream.address;
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn a_broken_stream_goes_on_after_its_last_whole_event() {
+fn a_broken_stream_is_resumed_elsewhere_after_its_last_complete_event() {
     on_site(|site| async move {
         site.order(1, vec![stream_route(Repeat::Resumable)]);
         site.until_version(1).await;
@@ -197,26 +198,26 @@
     });
 }
 
-/// An engine that runs out of memory puts a stream back and goes on with it seconds later; another upstream is there.
+/// Guards against resuming a stream elsewhere while its engine only pauses: an engine that runs out
+/// of memory preempts a stream and continues it seconds later.
 #[test]
-fn a_stream_whose_upstream_is_silent_for_seconds_stays_there() {
-    const SILENCE_MS: Millis = Millis(3_000);
+fn a_stream_whose_upstream_pauses_for_seconds_is_not_moved_to_another_upstream() {
+    const PAUSE_MS: Millis = Millis(3_000);
     on_site(|site| async move {
         site.order(1, vec![stream_route(Repeat::Resumable)]);
         site.until_version(1).await;
         let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
         let rest = "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
-        let goes_on = Rc::new(Cell::new(false));
-        let script = vec![Write(begun), Wait(goes_on.clone()), Write(rest)];
+        let may_continue = Rc::new(Cell::new(false));
+        let script = vec![Write(begun), Wait(may_continue.clone()), Write(rest)];
         let first = site.upstream("u1", vec![script]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
         site.until(|_| first.arrivals.borrow().len() == 1).await;
         let second = site.upstream("u2", vec![vec![Hang]]).await;
         let since = site.host.now();
-        site.until(|host| host.now().since(since) >= SILENCE_MS)
-            .await;
-        goes_on.set(true);
+        site.until(|host| host.now().since(since) >= PAUSE_MS).await;
+        may_continue.set(true);
         let answer = caller.answer().await;
         assert!(answer.is_whole);
         assert_eq!(answer.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn a_broken_stream_that_must_not_run_twice_does_not_look_whole() {
+fn a_broken_stream_that_must_not_run_twice_does_not_look_complete_to_the_caller() {
     on_site(|site| async move {
         site.order(1, vec![stream_route(Repeat::Once)]);
         site.until_version(1).await;
@@ -242,9 +243,9 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work_at_the_upstream() {
+fn a_request_whose_caller_disconnects_is_cancelled_at_the_upstream() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
+        apply_route(&site, Repeat::Once).await;
         let upstream = site.upstream("u1", vec![vec![Hang]]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
@@ -256,7 +257,7 @@
 }
 
 #[test]
-fn an_answer_that_does_not_come_is_given_up_at_the_routes_time_limit() {
+fn a_request_without_an_answer_ends_at_the_time_limit_of_its_route() {
     on_site(|site| async move {
         let limited = Route {
             time_limit_ms: Millis(300),
@@ -271,14 +272,14 @@
 }
 
 #[test]
-fn a_refusal_that_does_not_say_not_run_is_no_promise_to_the_caller() {
+fn an_upstreams_refusal_without_the_not_run_header_is_not_passed_on_as_not_run() {
     for refusal in [
         "HTTP/1.1 503 Busy\r\nId: {id}\r\nSeal: s\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 429 Busy\r\nId: {id}\r\nSeal: s\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 408 Busy\r\nId: {id}\r\nContent-Length: 0\r\n\r\n",
     ] {
         on_site(|site| async move {
-            serve_by(&site, Repeat::Once).await;
+            apply_route(&site, Repeat::Once).await;
             let upstream = site.upstream("u1", vec![vec![Write(refusal)]]).await;
             assert_eq!(site.call(REQUEST).await.head.status, 502);
             assert_eq!(upstream.arrivals.borrow().len(), 1);
@@ -287,17 +288,17 @@
 }
 
 #[test]
-fn a_denial_without_a_seal_is_not_passed_on() {
+fn a_client_error_without_the_upstreams_seal_is_not_passed_on() {
     on_site(|site| async move {
-        serve_by(&site, Repeat::Once).await;
-        let denial = "HTTP/1.1 404 Gone\r\nId: {id}\r\nContent-Length: 0\r\n\r\n";
-        site.upstream("u1", vec![vec![Write(denial)]]).await;
+        apply_route(&site, Repeat::Once).await;
+        let not_found = "HTTP/1.1 404 Gone\r\nId: {id}\r\nContent-Length: 0\r\n\r\n";
+        site.upstream("u1", vec![vec![Write(not_found)]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
     });
 }
 
 #[test]
-fn the_upstream_of_a_send_without_a_result_is_in_the_log_line() {
+fn the_log_line_names_the_upstream_of_a_send_that_has_no_outcome_yet() {
     let mut course = Course::default();
     course.note_send(&Name::from("u1"));
     assert_eq!(course.sends, [("u1".into(), "under_way")]);
--- a/src/entry/tests/callers.rs
+++ b/src/entry/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Requests that are malformed, too long, incomplete or pipelined.
+//! Requests that are malformed, too long, pipelined or sent to a host that cannot serve them.
 
 use super::fake_upstream::Step::Write;
 use super::site::{on_site, route};
@@ -8,7 +8,7 @@
 const WHOLE: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 4\r\n\r\n{id}";
 
 #[test]
-fn a_host_without_a_desired_state_refuses_with_a_time_to_come_back() {
+fn a_host_without_a_desired_state_refuses_with_a_retry_time() {
     on_site(|site| async move {
         let answer = site
             .call("GET /a/ HTTP/1.1\r\nHost: x\r\nId: i1\r\nWait-Ms: 900\r\n\r\n")
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn improper_requests_get_their_status_and_reach_no_upstream() {
+fn invalid_requests_get_the_right_status_and_reach_no_upstream() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_chunked_body_reaches_the_upstream_whole() {
+fn a_chunked_request_body_reaches_the_upstream_completely() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_body_beyond_what_a_host_holds_at_once_is_refused_as_not_run() {
+fn a_body_beyond_the_hosts_memory_limit_for_bodies_is_refused_as_not_run() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which engines a request may go to.
+//! Which engines are candidates for a request.
 
 use super::site::entry;
 use crate::entry::choice::{holders, holds};
@@ -16,12 +16,13 @@
     }
 }
 
-/// Guards against engines that are missed because their entries do not list what they were ordered to load.
+/// Guards against missing an engine whose own entry does not list a model that it was ordered to
+/// load.
 #[test]
-fn the_engines_that_are_found_are_those_that_a_walk_over_all_finds() {
+fn holders_finds_the_same_engines_as_a_scan_of_all_upstreams() {
     arbtest::arbtest(|u| {
         let mut upstreams = Registry::default();
-        let mut told = Vec::new();
+        let mut published = Vec::new();
         for n in 0..6 {
             let id: Name = format!("u{n}").into();
             let held = HeldModel {
@@ -36,7 +37,7 @@
             });
             if u.arbitrary()? {
                 let held = ask(u.int_in_range(0..=2u8)?, u.ratio(1, 3)?);
-                told.push(EngineView {
+                published.push(EngineView {
                     engine: Lifetime {
                         id,
                         born_at: Millis::ZERO,
@@ -49,7 +50,7 @@
         view.take_engines(EnginesNews {
             version: (1, 1),
             is_whole: true,
-            engines: told,
+            engines: published,
             gone: Vec::new(),
         });
         let now = Millis(10_000);
@@ -58,13 +59,13 @@
         view.note_lacking(now, &lacking, &asked);
         let found = holders(&upstreams, &view, now, "s", &asked);
         let found: Vec<Name> = found.map(|engine| engine.entry.id.clone()).collect();
-        let walk = upstreams.iter().filter(|upstream| {
+        let scanned = upstreams.iter().filter(|upstream| {
             let entry = &upstream.entry;
             &*entry.service == "s" && !entry.leaving && holds(&view, now, upstream, &asked)
         });
-        let walk: IndexSet<Name> = walk.map(|engine| engine.entry.id.clone()).collect();
-        assert_eq!(found.len(), walk.len(), "each of them once");
-        assert_eq!(found.into_iter().collect::<IndexSet<_>>(), walk);
+        let scanned: IndexSet<Name> = scanned.map(|engine| engine.entry.id.clone()).collect();
+        assert_eq!(found.len(), scanned.len(), "each engine is found once");
+        assert_eq!(found.into_iter().collect::<IndexSet<_>>(), scanned);
         Ok(())
     })
     .size_max(4_096);
--- a/src/entry/tests/crashes.rs
+++ b/src/entry/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams which run them, and others that are only there.
+//! Requests that crash the upstreams that run them, and requests that run there at the same time.
 
 use super::fake_upstream::Step::{Close, Crash, Hang, Wait, Write};
 use super::fake_upstream::{FakeUpstream, Step};
@@ -11,7 +11,7 @@
 
 const WHOLE: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 2\r\n\r\nok";
 
-const BEGUN: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
+const STREAM_START: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
 
 fn stream_route() -> Route {
     Route {
@@ -46,9 +46,10 @@
     arrivals.sum()
 }
 
-/// Each repeat of such a request was served like the first one, and ended one more upstream.
+/// Guards against serving each repeat of a crashing request like the first one, which crashes one
+/// more upstream each time.
 #[test]
-fn a_request_under_which_three_upstreams_ended_is_not_sent_again() {
+fn a_request_that_crashed_three_upstreams_is_not_sent_again() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -57,20 +58,20 @@
             let answer = site.call(&request(id, "crash")).await;
             assert_eq!(answer.head.status, 502);
         }
-        let sound = site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        let healthy = site.upstream("healthy", vec![vec![Write(WHOLE)]]).await;
         for id in 3..10 {
             let answer = site.call(&request(id, "crash")).await;
             assert_eq!(answer.head.status, 503, "{}", answer.body);
             assert!(retry_after_s(&answer) > 1_000.0, "{:?}", answer.head);
         }
         assert_eq!(arrivals(&upstreams), 3);
-        assert!(sound.arrivals.borrow().is_empty());
+        assert!(healthy.arrivals.borrow().is_empty());
     });
 }
 
-/// Repeats from several addresses each counted as another request.
+/// Guards against counting repeats from several addresses as different requests.
 #[test]
-fn repeats_from_other_addresses_are_the_same_request() {
+fn repeats_from_other_addresses_count_as_the_same_request() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -86,13 +87,13 @@
     });
 }
 
-/// Runs on one engine beside the cause, which reads its first request and crashes with the second.
-fn beside_the_cause() -> Vec<Vec<Step>> {
-    vec![vec![Write(BEGUN), Hang], vec![Crash]]
+/// Returns the scripts of an upstream that streams its first request and crashes with the second.
+fn streams_then_crashes() -> Vec<Vec<Step>> {
+    vec![vec![Write(STREAM_START), Hang], vec![Crash]]
 }
 
 #[test]
-fn requests_beside_the_cause_are_still_sent() {
+fn requests_that_run_beside_a_crashing_request_are_not_quarantined() {
     on_site(|site| async move {
         site.order(1, vec![stream_route()]);
         site.until_version(1).await;
@@ -100,25 +101,25 @@
         site.call(&request(0, "crash")).await;
         for n in 1..4 {
             let id = format!("beside-{n}");
-            site.upstream(&id, beside_the_cause()).await;
+            site.upstream(&id, streams_then_crashes()).await;
             let mut beside = site.connect().await;
             beside.send(&request(10 + n, "beside")).await;
             let begun = beside.0.read_response_head(64 << 10, false).await;
             assert_eq!(begun.expect("an answer").status, 200);
             site.call(&request(n, "crash")).await;
         }
-        let sound = site
-            .upstream("sound", vec![vec![Write(BEGUN), Close]])
+        let healthy = site
+            .upstream("healthy", vec![vec![Write(STREAM_START), Close]])
             .await;
         assert_eq!(site.call(&request(20, "crash")).await.head.status, 503);
-        assert!(sound.arrivals.borrow().is_empty());
+        assert!(healthy.arrivals.borrow().is_empty());
         let answer = site.call(&request(21, "beside")).await;
         assert_eq!(answer.head.status, 200, "{answer:?}");
     });
 }
 
 #[test]
-fn an_upstream_that_closes_connections_and_lives_has_not_crashed() {
+fn an_upstream_that_closes_connections_but_still_accepts_new_ones_has_not_crashed() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn an_upstream_that_was_leaving_has_not_crashed() {
+fn an_upstream_that_ends_while_it_is_leaving_has_not_crashed() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -153,13 +154,13 @@
             may_end.set(true);
             assert_eq!(caller.answer().await.head.status, 502);
         }
-        site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        site.upstream("healthy", vec![vec![Write(WHOLE)]]).await;
         assert_eq!(site.call(&request(9, "a")).await.head.status, 200);
     });
 }
 
 #[test]
-fn a_request_that_differs_in_its_body_or_path_is_not_held_back() {
+fn a_request_with_another_body_or_path_than_a_crashing_one_is_not_quarantined() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -167,7 +168,7 @@
         for id in 0..3 {
             site.call(&request(id, "crash")).await;
         }
-        site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        site.upstream("healthy", vec![vec![Write(WHOLE)]]).await;
         assert_eq!(site.call(&request(3, "crash")).await.head.status, 503);
         assert_eq!(site.call(&request(4, "other")).await.head.status, 200);
         let other_path = request(5, "crash").replace("/a/1", "/a/2");
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn a_lookup_that_was_answered_before_is_not_held_back_when_services_are_lost() {
+fn a_request_that_was_answered_before_is_not_quarantined_when_upstreams_crash() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -188,7 +189,7 @@
         for id in 2..6 {
             assert_eq!(site.call(&request(id, "a")).await.head.status, 502);
         }
-        site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        site.upstream("healthy", vec![vec![Write(WHOLE)]]).await;
         assert_eq!(site.call(&request(6, "a")).await.head.status, 200);
     });
 }
--- a/src/entry/tests/fake_upstream.rs
+++ b/src/entry/tests/fake_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer each request by a script and remember what reached them.
+//! Fake upstreams that answer each request by a script and record the requests that reach them.
 
 use crate::clock::Clock;
 use crate::http1::{BodyReader, Connection, RequestHead};
@@ -17,39 +17,40 @@
 pub enum Step {
     /// Writes bytes; `{id}` stands for the request's id.
     Write(&'static str),
-    /// Waits until the test allows it to go on.
+    /// Waits until the test sets the flag.
     Wait(Rc<Cell<bool>>),
     /// Closes the connection.
     Close,
-    /// Ends the upstream: it closes every connection and takes no more.
+    /// Ends the upstream: it closes every connection and accepts no more.
     Crash,
-    /// Says nothing until the caller's side closes.
+    /// Writes nothing until the host closes the connection.
     Hang,
 }
 
 /// A request that reached an upstream.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its head.
+    /// The head, as the host sent it.
     pub head: RequestHead,
-    /// Its body.
+    /// The complete body, without transfer coding.
     pub body: Vec<u8>,
-    /// When it had arrived.
+    /// When the end of the body had been read.
     pub at: Millis,
 }
 
-/// An upstream.
+/// A running fake upstream.
 pub struct FakeUpstream {
-    /// Where it listens.
+    /// The loopback address at which it listens.
     pub address: SocketAddr,
-    /// The requests that reached it.
+    /// The requests that reached it, in the order of their arrival.
     pub arrivals: Rc<RefCell<Vec<Arrival>>>,
-    /// Connections that the other side closed while it said nothing.
+    /// The number of connections that the host closed during a [`Step::Hang`].
     pub left: Rc<RefCell<usize>>,
 }
 
 impl FakeUpstream {
-    /// Starts an upstream. Each request takes the next script; the last one is repeated.
+    /// Starts an upstream. Each request takes the next script; the last script is used again for
+    /// all further requests.
     pub async fn start(executor: &Rc<LocalExecutor<'static>>, scripts: Vec<Vec<Step>>) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0))
             .await
@@ -79,7 +80,7 @@
     }
 }
 
-/// What the connections of an upstream share.
+/// The state that the connections of an upstream share.
 #[derive(Clone)]
 struct Run {
     arrivals: Rc<RefCell<Vec<Arrival>>>,
--- a/src/entry/tests/organisations.rs
+++ b/src/entry/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Requests of organisations: keys, names, keys that are taken away, and rate limits.
+//! Requests of organisations: keys, names, revoked keys, and rate limits.
 
 use super::fake_upstream::Step::Write;
 use super::site::{Site, on_site, route};
@@ -8,7 +8,7 @@
 use crate::test_support::member;
 
 const WHOLE: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 4\r\n\r\n{id}";
-/// A limit that gains nothing worth mentioning during a test.
+/// A limit that does not refill noticeably during a test.
 const LIMIT: RateLimit = RateLimit {
     unit: LimitUnit::Requests,
     per_s: 0.001,
@@ -25,13 +25,14 @@
     })
 }
 
-async fn order(site: &Site, version: u64, organisation: Arc<Organisation>) {
+/// Puts a desired state with one route and this organisation into force.
+async fn apply(site: &Site, version: u64, organisation: Arc<Organisation>) {
     let routes = vec![route(Repeat::Once)];
     site.order_for(version, routes, Some(vec![organisation]));
     site.until_version(version).await;
 }
 
-/// Lets the host know that it is the only one.
+/// Makes the host the only member of its group.
 fn list_host(site: &Site) {
     let host = &site.host;
     let me = member(host.incarnation, "here", 120);
@@ -48,7 +49,7 @@
 #[test]
 fn a_request_without_a_valid_key_is_refused_and_reaches_no_upstream() {
     on_site(|site| async move {
-        order(&site, 1, organisation(&["k1"], None)).await;
+        apply(&site, 1, organisation(&["k1"], None)).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         for headers in ["", "Key: k2\r\n", "Organisation: o\r\n"] {
             let answer = site.call(&request(headers)).await;
@@ -60,9 +61,9 @@
 }
 
 #[test]
-fn an_upstream_learns_the_organisation_and_not_the_key() {
+fn an_upstream_gets_the_callers_organisation_but_not_its_key() {
     on_site(|site| async move {
-        order(&site, 1, organisation(&["k1"], None)).await;
+        apply(&site, 1, organisation(&["k1"], None)).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let forged = request("Key: k1\r\norganisation: other\r\n");
         assert_eq!(site.call(&forged).await.head.status, 200);
@@ -74,9 +75,9 @@
 }
 
 #[test]
-fn a_key_that_is_taken_away_ends_on_open_connections_too() {
+fn a_revoked_key_is_refused_on_open_connections_too() {
     on_site(|site| async move {
-        order(&site, 1, organisation(&["k1", "k2"], None)).await;
+        apply(&site, 1, organisation(&["k1", "k2"], None)).await;
         site.upstream("u1", vec![vec![Write(WHOLE)], vec![Write(WHOLE)]])
             .await;
         let mut caller = site.connect().await;
@@ -85,20 +86,20 @@
             caller.answer().await.head.status
         };
         assert_eq!(status("k1").await, 200);
-        order(&site, 2, organisation(&["k2"], None)).await;
+        apply(&site, 2, organisation(&["k2"], None)).await;
         assert_eq!(status("k1").await, 401);
         assert_eq!(status("k2").await, 200);
-        order(&site, 3, organisation(&["k1", "k2"], None)).await;
+        apply(&site, 3, organisation(&["k1", "k2"], None)).await;
         assert_eq!(status("k1").await, 200);
     });
 }
 
 #[test]
-fn a_request_beyond_the_limit_is_refused_at_once_with_a_time_to_come_back() {
+fn a_request_beyond_the_limit_is_refused_with_a_retry_time() {
     on_site(|site| async move {
         let limited = organisation(&["k1"], Some(LIMIT));
         list_host(&site);
-        order(&site, 1, limited).await;
+        apply(&site, 1, limited).await;
         let scripts = (0..7).map(|_| vec![Write(WHOLE)]).collect();
         let upstream = site.upstream("u1", scripts).await;
         for _ in 0..7 {
@@ -113,11 +114,11 @@
 }
 
 #[test]
-fn a_request_that_did_not_run_costs_nothing() {
+fn a_request_that_did_not_run_uses_nothing_of_the_limit() {
     on_site(|site| async move {
         let limited = organisation(&["k1"], Some(LIMIT));
         list_host(&site);
-        order(&site, 1, limited).await;
+        apply(&site, 1, limited).await;
         let hurried = request("Key: k1\r\n").replace("5000", "100");
         for _ in 0..20 {
             let answer = site.call(&hurried).await;
@@ -127,9 +128,9 @@
 }
 
 #[test]
-fn a_host_that_does_not_know_the_others_admits_nothing_of_a_limit() {
+fn a_host_that_does_not_know_the_members_of_its_group_admits_no_limited_request() {
     on_site(|site| async move {
-        order(&site, 1, organisation(&["k1"], Some(LIMIT))).await;
+        apply(&site, 1, organisation(&["k1"], Some(LIMIT))).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let answer = site.call(&request("Key: k1\r\n")).await;
         assert_eq!(answer.head.status, 429);
--- a/src/entry/tests/upstream_limits.rs
+++ b/src/entry/tests/upstream_limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take from all hosts together.
+//! Upstreams that state how many requests a second they accept from all hosts together.
 
 use super::fake_upstream::Step::Write;
 use super::fake_upstream::{Arrival, FakeUpstream};
@@ -9,14 +9,15 @@
 
 const LIMITED: &str =
     "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nLimit: 2\r\nContent-Length: 2\r\n\r\nok";
-const FREE: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 2\r\n\r\nok";
+const UNLIMITED: &str = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 2\r\n\r\nok";
 
 const WINDOW_MS: Millis = Millis(4_000);
-/// What two requests a second and half as much again allow in a window, and five.
-const ALLOWED: usize = 17;
+/// The requests that may reach the limited upstream in one window of 4 s: half as many again as the
+/// 2 a second that it states, and five more.
+const MAX_IN_WINDOW: usize = 17;
 
-/// Returns the most requests that an upstream got in a window.
-fn most_in_a_window(upstream: &FakeUpstream) -> usize {
+/// Returns the most requests that an upstream got in any window.
+fn max_in_window(upstream: &FakeUpstream) -> usize {
     let arrivals = upstream.arrivals.borrow();
     let in_window = |last: &Arrival| {
         let recent = arrivals.iter().filter(|one| one.at <= last.at);
@@ -33,7 +34,7 @@
     )
 }
 
-/// Lists the host as the only one of its group.
+/// Puts a route into force and makes the host the only member of its group.
 async fn serve(site: &Site) {
     site.order(1, vec![route(Repeat::Once)]);
     site.until_version(1).await;
@@ -44,19 +45,19 @@
     members.note_heard(now);
 }
 
-/// An upstream in need got as many requests as before it named its limit.
+/// Guards against sending an overloaded upstream as many requests as before it stated its limit.
 #[test]
-fn an_upstream_that_names_a_limit_gets_no_more_than_it_allows() {
+fn an_upstream_that_states_a_limit_gets_no_more_requests_than_it_allows() {
     on_site(|site| async move {
         serve(&site).await;
         let limited = site.upstream("limited", vec![vec![Write(LIMITED)]]).await;
         assert_eq!(site.call(&request(0)).await.head.status, 200);
-        let other = site.upstream("other", vec![vec![Write(FREE)]]).await;
+        let other = site.upstream("other", vec![vec![Write(UNLIMITED)]]).await;
         for id in 1..60 {
             assert_eq!(site.call(&request(id)).await.head.status, 200);
         }
-        let most = most_in_a_window(&limited);
-        assert!(most <= ALLOWED, "{most}");
+        let max = max_in_window(&limited);
+        assert!(max <= MAX_IN_WINDOW, "{max}");
         let at_limited = limited.arrivals.borrow().len();
         assert_eq!(at_limited + other.arrivals.borrow().len(), 60);
     });
--- a/src/entry/tests/waiting.rs
+++ b/src/entry/tests/waiting.rs
@@ -7,7 +7,7 @@
 const REQUEST: &str = "GET /a/ HTTP/1.1\r\nHost: x\r\nId: i1\r\nModel: m\r\nWait-Ms: 30000\r\n\r\n";
 
 #[test]
-fn a_model_that_nobody_holds_is_refused_at_once_while_no_host_orders() {
+fn a_request_for_a_model_that_no_engine_holds_is_refused_at_once_while_the_orderer_is_lost() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
@@ -27,13 +27,13 @@
             .unwrap()
             .parse()
             .unwrap();
-        // A new orderer takes six seconds from the last word of the former one.
+        // The next orderer sends orders six seconds after the last answer of the previous one.
         assert!((0.5..=2.0).contains(&come_back_s), "{come_back_s}");
     });
 }
 
 #[test]
-fn a_model_that_nobody_holds_is_waited_for_while_a_host_orders() {
+fn a_request_for_a_model_that_no_engine_holds_waits_while_the_orderer_answers() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
