--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -14,7 +14,7 @@
 const NEWER_LEVELS_TIMEOUT_MS: Millis = Millis(40);
 
 /// The cost of one request, taken from its organisation's limit. It is refunded when the charge is
-/// dropped and no send may have run the request.
+/// dropped, unless a send may have run the request.
 pub struct Charge<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a Ask,
@@ -64,7 +64,7 @@
     pub fn note_not_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
         if self.runs > 0 {
-            give_back(self.host, self.ask);
+            refund(self.host, self.ask);
         }
     }
 }
@@ -72,7 +72,7 @@
 impl<P: Platform> Drop for Charge<'_, P> {
     fn drop(&mut self) {
         if self.runs == 0 {
-            give_back(self.host, self.ask);
+            refund(self.host, self.ask);
         }
     }
 }
@@ -86,7 +86,7 @@
     }
 }
 
-fn give_back<P: Platform>(host: &Host<P>, ask: &Ask) {
+fn refund<P: Platform>(host: &Host<P>, ask: &Ask) {
     if let Some((organisation, limit, cost)) = cost(ask) {
         with_limiter(host, |limiter, now, _| {
             limiter.give_back(now, organisation, limit, cost);
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -29,7 +29,7 @@
 /// After how long without an answer a plain service counts as unreachable: ten times its usual
 /// response time.
 const UNREACHABLE_MS: Millis = Millis(1_000);
-/// Why a send failed that got no answer within the request's time.
+/// The `why` in the log line of a send that got no answer before its deadline.
 const NO_ANSWER: &str = "no answer in time";
 /// The statuses that tell a caller that its request has not run. Such a status from an upstream is
 /// passed on only if the upstream also says explicitly that it did not run the request.
@@ -256,8 +256,8 @@
     }
 }
 
-/// Returns the connection of an answer to the pool if the answer was read to its end and neither
-/// side wants to close; otherwise closes it.
+/// Returns the connection of an answer to the pool if the answer was read to its end and the
+/// connection stays open for further requests; otherwise closes it.
 pub fn keep<P: Platform>(
     host: &Host<P>,
     upstream: &Name,
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -64,6 +64,7 @@
     let _waiting = WaitingCount::new(host, ask);
     loop {
         let change = host.next_change();
+        // The upstreams that were excluded may be able to take the request by now.
         tries.excluded.clear();
         if choose(host, ask, tries).is_some() {
             return Ok(());
