--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -18,6 +18,7 @@
 #[derive(Serialize)]
 struct CrashLine<'a> {
     upstream: &'a str,
+    /// The digests of the requests that the upstream was running when it crashed.
     requests: &'a [RequestDigest],
 }
 
@@ -25,11 +26,12 @@
 struct QuarantineLine<'a> {
     request: Option<&'a str>,
     digest: RequestDigest,
+    /// How long the quarantine still lasts.
     left_ms: Millis,
 }
 
 /// Returns a refusal, and logs it, if a request is quarantined because it crashes the upstreams
-/// that run it. The refused request has not run.
+/// that run it. The refusal states that the request has not run.
 pub fn quarantine<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<Refusal> {
     let left_ms = with_quarantine(host, |quarantine, now| {
         quarantine.quarantined_ms(now, &ask.digest)
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -85,11 +85,13 @@
     request: Option<&'a str>,
     digest: RequestDigest,
     upstream: &'a str,
+    /// Whether the request was sent on a connection that an earlier one had used.
     reused: bool,
     result: &'static str,
     status: Option<u16>,
     why: Option<&'a str>,
     took_ms: Millis,
+    /// The share of this host's recent sends to the upstream that failed, from 0 to 1.
     failure_share: f64,
 }
 
@@ -286,7 +288,9 @@
 struct UpstreamLine<'a> {
     upstream: &'a str,
     why: &'static str,
+    /// The id of the lifetime that has the upstream's address now.
     now_at_address: Option<&'a str>,
+    /// Until when the upstream gets no requests because it was unreachable.
     rests_until_unix_ms: Option<Millis>,
 }
 
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -15,6 +15,7 @@
 struct LimitLine<'a> {
     upstream: &'a str,
     per_s: Option<f64>,
+    /// Whether another host reported the limit, rather than an answer to this host.
     told: bool,
 }
 
