--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::desired::CallerLimits;
 use crate::entry::ask;
-use crate::entry::course::{CourseLog, Ended};
+use crate::entry::course::{AnswerEnd, CourseLog};
 use crate::entry::forward;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
@@ -133,7 +133,7 @@
     };
     let ended = futures_lite::future::or(answered, disconnected).await;
     drop(log);
-    ended == Some(Ended::Whole) && !side.closes
+    ended == Some(AnswerEnd::Complete) && !side.closes
 }
 
 async fn answer<P: Platform>(
@@ -143,24 +143,24 @@
     arrived_at: Millis,
     side: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-) -> Ended {
+) -> AnswerEnd {
     match ask::prepare(host, head, body, arrived_at) {
-        Ok(ask) if !host.accepts_requests() => {
-            log.course.request = ask.facts.id.clone();
+        Ok(request) if !host.accepts_requests() => {
+            log.course.request = request.facts.id.clone();
             let refusal =
                 Refusal::new(ErrorKind::Stopping, "this host is about to end").after(Millis::ZERO);
-            forward::answer_refusal(host, ask.facts.id.as_deref(), side, log, &refusal).await
+            forward::answer_refusal(host, request.facts.id.as_deref(), side, log, &refusal).await
         }
-        Ok(ask) => {
-            log.course.request = ask.facts.id.clone();
-            log.course.digest = Some(ask.digest);
-            log.course.organisation = ask.organisation().cloned();
-            log.course.route = Some(ask.route.name.clone());
-            log.course.version = ask.version;
-            log.course.model = ask.facts.model.clone();
-            log.course.prompt_tokens = ask.facts.prompt_tokens;
-            log.course.wait_ms = ask.facts.wait_ms;
-            forward::serve(host, &ask, side, log).await
+        Ok(request) => {
+            log.course.request = request.facts.id.clone();
+            log.course.digest = Some(request.digest);
+            log.course.organisation = request.organisation().cloned();
+            log.course.route = Some(request.route.name.clone());
+            log.course.version = request.version;
+            log.course.model = request.facts.model.clone();
+            log.course.prompt_tokens = request.facts.prompt_tokens;
+            log.course.wait_ms = request.facts.wait_ms;
+            forward::serve(host, &request, side, log).await
         }
         Err(refused) => {
             let (refusal, facts) = *refused;
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -14,31 +14,32 @@
 
 /// Chooses the upstream for the next attempt: an engine that holds the request's model, or any
 /// usable upstream of a plain service. Returns none when no upstream may get the request now.
-pub fn choose<P: Platform>(host: &Host<P>, ask: &Ask, tries: &Tries) -> Option<Name> {
+pub fn choose<P: Platform>(host: &Host<P>, request: &Ask, attempts: &Tries) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
     let view = host.view.borrow();
-    let cap = connection_cap(host, ask);
+    let cap = connection_cap(host, request);
     let is_candidate = |upstream: &&Upstream| {
-        upstream.in_flight < cap && !tries.excluded.contains(&upstream.entry.id)
+        upstream.in_flight < cap && !attempts.excluded.contains(&upstream.entry.id)
     };
-    let chosen = match (&ask.facts.model, ask.at_engine) {
+    let chosen = match (&request.facts.model, request.at_engine) {
         (Some(model), true) => {
-            let holding = holders(&upstreams, &view, now, &ask.service, model).filter(is_candidate);
+            let holding =
+                holders(&upstreams, &view, now, &request.service, model).filter(is_candidate);
             let with_work = holding.map(|upstream| (upstream, view.work(&upstream.entry.id)));
-            let copies = model_copies(&view, model, fetch_share(host, ask));
+            let copies = model_copies(&view, model, fetch_share(host, request));
             pick::engine(
                 now,
                 &copies,
                 with_work,
-                prompt_shape(&ask.facts),
-                host.occupancy(&ask.service),
+                prompt_shape(&request.facts),
+                host.occupancy(&request.service),
                 &mut fastrand::Rng::new(),
             )
         }
         _ => {
             let data_centre = host.settings().data_centre.clone();
-            let candidates = upstreams.usable(&ask.service).filter(is_candidate);
+            let candidates = upstreams.usable(&request.service).filter(is_candidate);
             pick::service(now, candidates, &data_centre, fastrand::f64())
         }
     };
@@ -55,10 +56,10 @@
 
 /// Returns the time that an engine takes to fetch the shared prefix of a prompt from another
 /// engine, as a fraction of the time to compute it. None where engines must not fetch it.
-fn fetch_share<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<f64> {
+fn fetch_share<P: Platform>(host: &Host<P>, request: &Ask) -> Option<f64> {
     let routes = host.routes.borrow();
-    let service = routes.as_ref()?.services.get(&ask.service)?;
-    let shared_tokens = prompt_shape(&ask.facts).shared_tokens;
+    let service = routes.as_ref()?.services.get(&request.service)?;
+    let shared_tokens = prompt_shape(&request.facts).shared_tokens;
     prefix::fetch_share(service.engine.as_ref()?, pick::TOKENS_PER_MS, shared_tokens)
 }
 
@@ -66,19 +67,19 @@
 /// prompt; none when it should compute the prefix itself.
 pub fn prefix_source<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     upstream: &Name,
 ) -> Option<SocketAddr> {
-    let model = ask.facts.model.as_ref()?;
-    let fetch_share = fetch_share(host, ask)?;
+    let model = request.facts.model.as_ref()?;
+    let fetch_share = fetch_share(host, request)?;
     let now = host.now();
     let upstreams = host.upstreams.borrow();
     let view = host.view.borrow();
-    let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &ask.service, model)
+    let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &request.service, model)
         .filter(|other| !other.health.is_resting(now))
         .collect();
     let copies = model_copies(&view, model, Some(fetch_share));
-    let shape = prompt_shape(&ask.facts);
+    let shape = prompt_shape(&request.facts);
     let source = pick::prefix_source(&copies, holding.into_iter(), shape, upstream)?;
     Some(source.address())
 }
@@ -115,11 +116,11 @@
 
 /// Returns how many requests this host may have in flight at one upstream, so that all hosts
 /// together do not exceed the connections that the upstream accepts.
-fn connection_cap<P: Platform>(host: &Host<P>, ask: &Ask) -> u32 {
+fn connection_cap<P: Platform>(host: &Host<P>, request: &Ask) -> u32 {
     let routes = host.routes.borrow();
     let service = routes
         .as_ref()
-        .and_then(|table| table.services.get(&ask.service));
+        .and_then(|table| table.services.get(&request.service));
     let members = host.members.borrow().count() as u32;
     match service.map_or(0, |service| service.max_connections) {
         0 => u32::MAX,
--- a/src/entry/course.rs
+++ b/src/entry/course.rs
@@ -8,9 +8,9 @@
 
 /// How the answer to a caller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AnswerEnd {
     /// The answer is complete; the caller's connection can be used again.
-    Whole,
+    Complete,
     /// The answer broke off; the caller's connection must be closed.
     Broken,
 }
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -32,13 +32,13 @@
 
 /// Returns a refusal, and logs it, if a request is quarantined because it crashes the upstreams
 /// that run it. The refusal states that the request has not run.
-pub fn quarantine<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<Refusal> {
+pub fn quarantine<P: Platform>(host: &Host<P>, request: &Ask) -> Option<Refusal> {
     let left_ms = with_quarantine(host, |quarantine, now| {
-        quarantine.quarantined_ms(now, &ask.digest)
+        quarantine.quarantined_ms(now, &request.digest)
     })?;
     let line = QuarantineLine {
-        request: ask.facts.id.as_deref(),
-        digest: ask.digest,
+        request: request.facts.id.as_deref(),
+        digest: request.digest,
         left_ms,
     };
     lines::write(LogEvent::RequestQuarantined, &line);
@@ -48,12 +48,12 @@
 
 /// Records that the connection to an upstream ended while it ran a request. Checks whether the
 /// upstream crashed, unless that is known already or the upstream was leaving.
-pub async fn note_broken_run<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime) {
+pub async fn note_broken_run<P: Platform>(host: &Host<P>, request: &Ask, upstream: &Lifetime) {
     let Some(address) = address_if_staying(host, upstream) else {
         return;
     };
     let is_known_crash = with_quarantine(host, |quarantine, now| {
-        quarantine.note_broken(now, upstream, ask.digest)
+        quarantine.note_broken(now, upstream, request.digest)
     });
     if is_known_crash {
         host.note_want();
@@ -103,9 +103,9 @@
 
 /// Records that an upstream answered a request completely, which is evidence that the request does
 /// not crash upstreams.
-pub fn note_completed<P: Platform>(host: &Host<P>, ask: &Ask) {
+pub fn note_completed<P: Platform>(host: &Host<P>, request: &Ask) {
     with_quarantine(host, |quarantine, now| {
-        quarantine.note_completed(now, ask.digest);
+        quarantine.note_completed(now, request.digest);
     });
 }
 
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -34,26 +34,26 @@
 /// Returns why the connection gave no answer to this request.
 pub async fn exchange<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     connection: &mut UpstreamConnection,
     headers: Headers,
     in_flight: &mut InFlight,
 ) -> Result<Exchanged, ReadError> {
-    let bytes = request_bytes(ask, &headers);
+    let bytes = request_bytes(request, &headers);
     write_request(connection, &bytes).await?;
-    let head = read_matching_head(host, ask, connection).await?;
+    let head = read_matching_head(host, request, connection).await?;
     let mut reader = BodyReader::new(head.framing);
     let mut begun = Vec::new();
     if let Some(piece) = reader.next(&mut connection.io).await? {
         begun.extend_from_slice(&piece);
     }
     in_flight.note_first_byte();
-    if is_long(ask.facts.prompt_tokens) {
+    if is_long(request.facts.prompt_tokens) {
         host.note_want();
     }
     let is_short =
         matches!(head.framing, Framing::Length(length) if length <= BUFFERED_ANSWER_BYTES);
-    if !ask.route.streams || is_short || head.status != 200 {
+    if !request.route.streams || is_short || head.status != 200 {
         read_buffered(&mut reader, connection, &mut begun).await?;
     }
     Ok(Exchanged {
@@ -78,17 +78,21 @@
     Ok(())
 }
 
-fn request_bytes(ask: &Ask, headers: &Headers) -> Vec<u8> {
+fn request_bytes(request: &Ask, headers: &Headers) -> Vec<u8> {
     let mut headers = headers.clone();
     headers.remove("content-length");
     headers.remove("expect");
-    let mut bytes = format!("{} {} HTTP/1.1\r\n", ask.head.method, ask.head.target).into_bytes();
+    let mut bytes = format!(
+        "{} {} HTTP/1.1\r\n",
+        request.head.method, request.head.target
+    )
+    .into_bytes();
     headers.write(&mut bytes);
-    if !ask.body.is_empty() || ask.head.framing != Framing::Empty {
-        bytes.extend_from_slice(format!("Content-Length: {}\r\n", ask.body.len()).as_bytes());
+    if !request.body.is_empty() || request.head.framing != Framing::Empty {
+        bytes.extend_from_slice(format!("Content-Length: {}\r\n", request.body.len()).as_bytes());
     }
     bytes.extend_from_slice(b"\r\n");
-    bytes.extend_from_slice(&ask.body);
+    bytes.extend_from_slice(&request.body);
     bytes
 }
 
@@ -121,10 +125,10 @@
 /// earlier requests on the connection are read and discarded.
 async fn read_matching_head<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     connection: &mut UpstreamConnection,
 ) -> Result<ResponseHead, ReadError> {
-    let is_head_request = &*ask.head.method == "HEAD";
+    let is_head_request = &*request.head.method == "HEAD";
     for _ in 0..MAX_FOREIGN_ANSWERS {
         let head = connection
             .io
@@ -134,7 +138,7 @@
             continue;
         }
         let facts = host.platform.read_answer(&head, "");
-        let is_own = facts.request_id.is_none() || facts.request_id == ask.facts.id;
+        let is_own = facts.request_id.is_none() || facts.request_id == request.facts.id;
         if is_own {
             return Ok(head);
         }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -8,7 +8,7 @@
 use crate::entry::ask::Ask;
 use crate::entry::caller::CallerSide;
 use crate::entry::choice::{choose, prefix_source};
-use crate::entry::course::{CourseLog, Ended};
+use crate::entry::course::{AnswerEnd, CourseLog};
 use crate::entry::crashes;
 use crate::entry::host::Host;
 use crate::entry::limits::Charge;
@@ -31,129 +31,129 @@
 /// the final answer to the caller.
 pub async fn serve<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-) -> Ended {
-    let mut charge = match Charge::take(host, ask).await {
+) -> AnswerEnd {
+    let mut charge = match Charge::take(host, request).await {
         Ok(charge) => charge,
-        Err(refusal) => return refuse(host, ask, out, log, refusal).await,
+        Err(refusal) => return refuse(host, request, out, log, refusal).await,
     };
-    host.note_request(&ask.service);
-    let _in_demand = DemandCount::new(host, ask);
-    let mut tries = Tries::default();
+    host.note_request(&request.service);
+    let _in_demand = DemandCount::new(host, request);
+    let mut attempts = Tries::default();
     loop {
         let now = host.now();
-        if now + ANSWER_MARGIN_MS >= ask.ends_at {
-            return match tries.failure {
-                Some(_) => give_up(host, ask, out, log, tries).await,
-                None => refuse(host, ask, out, log, tries.deadline_refusal()).await,
+        if now + ANSWER_MARGIN_MS >= request.ends_at {
+            return match attempts.failure {
+                Some(_) => end(host, request, out, log, attempts).await,
+                None => refuse(host, request, out, log, attempts.deadline_refusal()).await,
             };
         }
-        if let Some(refusal) = crashes::quarantine(host, ask) {
-            return match tries.runs {
-                0 => answer_refusal(host, ask.facts.id.as_deref(), out, log, &refusal).await,
-                _ => give_up(host, ask, out, log, tries).await,
+        if let Some(refusal) = crashes::quarantine(host, request) {
+            return match attempts.runs {
+                0 => answer_refusal(host, request.facts.id.as_deref(), out, log, &refusal).await,
+                _ => end(host, request, out, log, attempts).await,
             };
         }
-        let Some(upstream) = choose(host, ask, &tries) else {
-            match wait_for_upstream(host, ask, &mut tries, log).await {
+        let Some(upstream) = choose(host, request, &attempts) else {
+            match wait_for_upstream(host, request, &mut attempts, log).await {
                 Ok(()) => continue,
-                Err(_) if tries.runs > 0 => return give_up(host, ask, out, log, tries).await,
-                Err(refusal) => return refuse(host, ask, out, log, refusal).await,
+                Err(_) if attempts.runs > 0 => return end(host, request, out, log, attempts).await,
+                Err(refusal) => return refuse(host, request, out, log, refusal).await,
             }
         };
-        if tries.runs == 0
-            && let Some(refusal) = late_start_refusal(host, ask, &upstream)
+        if attempts.runs == 0
+            && let Some(refusal) = late_start_refusal(host, request, &upstream)
         {
-            return refuse(host, ask, out, log, refusal).await;
+            return refuse(host, request, out, log, refusal).await;
         }
-        let upstream = match wait_for_turn(host, ask, &tries, log).await {
+        let upstream = match wait_for_turn(host, request, &attempts, log).await {
             Some(upstream) => upstream,
             None => upstream,
         };
         if let Err(refused) = upstream_limits::take(host, &upstream).await {
-            tries.note_limited(upstream, refused.retry_after_ms);
+            attempts.note_limited(upstream, refused.retry_after_ms);
             continue;
         }
-        if tries.sends > 0 && !tries.may_repeat(host, ask) {
-            return give_up(host, ask, out, log, tries).await;
+        if attempts.sends > 0 && !attempts.may_repeat(host, request) {
+            return end(host, request, out, log, attempts).await;
         }
         charge.note_send();
-        let sent = try_upstream(host, ask, &upstream, &tries, log, None).await;
+        let sent = try_upstream(host, request, &upstream, &attempts, log, None).await;
         if matches!(sent, Sent::NotSent | Sent::NotRun { .. }) {
             charge.note_not_run();
         }
         match sent {
-            Sent::Answered(answer) if tries.prefers_another(host, ask, &answer) => {
-                tries.keep_failure(answer);
+            Sent::Answered(answer) if attempts.prefers_another(host, request, &answer) => {
+                attempts.keep_failure(answer);
             }
             Sent::Answered(answer) => {
-                if let Some(ended) = finish(host, ask, out, log, &mut tries, answer).await {
+                if let Some(ended) = finish(host, request, out, log, &mut attempts, answer).await {
                     return ended;
                 }
-                tries.note_perhaps_run(upstream);
+                attempts.note_perhaps_run(upstream);
             }
-            Sent::NotSent => tries.exclude(upstream),
+            Sent::NotSent => attempts.exclude(upstream),
             Sent::NotRun { lacks_model, .. } => {
-                if let (true, Some(model)) = (lacks_model, &ask.facts.model) {
+                if let (true, Some(model)) = (lacks_model, &request.facts.model) {
                     let mut view = host.view.borrow_mut();
                     view.note_lacking(host.now(), &upstream, model);
                 }
-                tries.note_not_run(upstream);
+                attempts.note_not_run(upstream);
             }
             Sent::PerhapsRun => {
-                tries.note_perhaps_run(upstream);
+                attempts.note_perhaps_run(upstream);
             }
         }
-        let may_not_run_again = ask.route.repeat == Repeat::Once && tries.runs > 0;
-        if may_not_run_again || tries.runs >= ask.route.attempts.max(1) {
-            return give_up(host, ask, out, log, tries).await;
+        let may_not_run_again = request.route.repeat == Repeat::Once && attempts.runs > 0;
+        if may_not_run_again || attempts.runs >= request.route.attempts.max(1) {
+            return end(host, request, out, log, attempts).await;
         }
     }
 }
 
 /// Ends a request that may not be tried again: with the failure that an upstream answered, where
 /// there is one, else with a refusal of the host's own.
-async fn give_up<P: Platform>(
+async fn end<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-    mut tries: Tries,
-) -> Ended {
-    if let Some(answer) = tries.failure.take()
-        && let Some(ended) = finish(host, ask, out, log, &mut tries, answer).await
+    mut attempts: Tries,
+) -> AnswerEnd {
+    if let Some(answer) = attempts.failure.take()
+        && let Some(ended) = finish(host, request, out, log, &mut attempts, answer).await
     {
         return ended;
     }
-    refuse(host, ask, out, log, tries.last_refusal()).await
+    refuse(host, request, out, log, attempts.last_refusal()).await
 }
 
 /// Passes an upstream's answer on to the caller. Returns none when the answer broke off before the
 /// caller got any of it; then another attempt is possible.
 async fn finish<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-    tries: &mut Tries,
+    attempts: &mut Tries,
     answer: Box<StartedAnswer>,
-) -> Option<Ended> {
+) -> Option<AnswerEnd> {
     log.course.status = answer.head.status;
-    let relayed = relay::relay(host, ask, out, log, tries, answer).await;
+    let relayed = relay::relay(host, request, out, log, attempts, answer).await;
     match relayed {
         Relayed::Whole => {
             if log.course.status < 500 {
-                crashes::note_completed(host, ask);
+                crashes::note_completed(host, request);
             }
             log.outcome = Some("answered");
-            Some(Ended::Whole)
+            Some(AnswerEnd::Complete)
         }
         Relayed::Broken(why) => {
             log.outcome = Some("broken");
             log.course.why = Some(why);
-            Some(Ended::Broken)
+            Some(AnswerEnd::Broken)
         }
         Relayed::NotBegun(why) => {
             log.course.why = Some(why);
@@ -165,18 +165,18 @@
 /// Refuses a request, with a retry time that fits into the request's remaining time.
 async fn refuse<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     refusal: Refusal,
-) -> Ended {
-    let left_ms = ask.ends_at.since(host.now());
+) -> AnswerEnd {
+    let left_ms = request.ends_at.since(host.now());
     let max_ms = Millis(left_ms.0 / RETRY_AFTER_DIVISOR);
     let refusal = Refusal {
         retry_after_ms: refusal.retry_after_ms.map(|after| after.min(max_ms)),
         ..refusal
     };
-    answer_refusal(host, ask.facts.id.as_deref(), out, log, &refusal).await
+    answer_refusal(host, request.facts.id.as_deref(), out, log, &refusal).await
 }
 
 /// Writes a refusal to the caller and records it in the request's log line.
@@ -186,7 +186,7 @@
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     refusal: &Refusal,
-) -> Ended {
+) -> AnswerEnd {
     let line = refusal.kind.answer();
     log.course.status = line.status;
     log.course.why = Some(refusal.kind.name());
@@ -197,34 +197,34 @@
     });
     let headers = host.platform.own_answer(request_id);
     match out.write_refusal(refusal, headers).await {
-        Ok(()) => Ended::Whole,
-        Err(_) => Ended::Broken,
+        Ok(()) => AnswerEnd::Complete,
+        Err(_) => AnswerEnd::Broken,
     }
 }
 
 /// Counts a request in the demand for its model until it is dropped.
 struct DemandCount<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    request: &'a Ask,
 }
 
 impl<'a, P: Platform> DemandCount<'a, P> {
-    fn new(host: &'a Host<P>, ask: &'a Ask) -> Self {
-        if let Some(model) = &ask.facts.model
+    fn new(host: &'a Host<P>, request: &'a Ask) -> Self {
+        if let Some(model) = &request.facts.model
             && let Some(count) = host.demand.borrow_mut().count(model)
         {
             count.asked += 1;
             count.running += 1;
-            count.tokens += ask.facts.prompt_tokens;
-            count.long += u32::from(is_long(ask.facts.prompt_tokens));
+            count.tokens += request.facts.prompt_tokens;
+            count.long += u32::from(is_long(request.facts.prompt_tokens));
         }
-        Self { host, ask }
+        Self { host, request }
     }
 }
 
 impl<P: Platform> Drop for DemandCount<'_, P> {
     fn drop(&mut self) {
-        if let Some(model) = &self.ask.facts.model
+        if let Some(model) = &self.request.facts.model
             && let Some(count) = self.host.demand.borrow_mut().count(model)
         {
             count.running = count.running.saturating_sub(1);
@@ -237,33 +237,33 @@
 /// that the caller got, where an interrupted stream is resumed.
 pub async fn try_upstream<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     upstream: &Name,
-    tries: &Tries,
+    attempts: &Tries,
     log: &mut CourseLog<'_, P>,
     resume_after: Option<&str>,
 ) -> Sent {
     log.course.note_send(upstream);
     let now = host.now();
-    let left_ms = ask.ends_at.since(now);
-    let mut headers = ask.head.headers.clone();
+    let left_ms = request.ends_at.since(now);
+    let mut headers = request.head.headers.clone();
     headers.remove_hop_by_hop();
     let facts = SendFacts {
         left_ms,
         upstream,
-        identity: &ask.identity,
-        fetch_prefix_from: prefix_source(host, ask, upstream),
+        identity: &request.identity,
+        fetch_prefix_from: prefix_source(host, request, upstream),
         resume_after,
     };
     host.platform.address_request(&mut headers, &facts);
-    let answer_by = match ask.route.repeat {
+    let answer_by = match request.route.repeat {
         // If this upstream does not answer, there must be time left for another one.
-        Repeat::Idempotent | Repeat::Resumable if tries.runs + 1 < ask.route.attempts => {
+        Repeat::Idempotent | Repeat::Resumable if attempts.runs + 1 < request.route.attempts => {
             now + Millis(left_ms.0 * 2 / 5)
         }
-        _ => ask.ends_at - ANSWER_MARGIN_MS,
+        _ => request.ends_at - ANSWER_MARGIN_MS,
     };
-    let sent = send::send(host, ask, upstream, headers, answer_by).await;
+    let sent = send::send(host, request, upstream, headers, answer_by).await;
     log.course.note_result(sent.name());
     host.metrics.count_send(sent.name());
     sent
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -17,7 +17,7 @@
 /// dropped, unless a send may have run the request.
 pub struct Charge<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    request: &'a Ask,
     runs: u32,
 }
 
@@ -27,8 +27,8 @@
     /// # Errors
     ///
     /// Returns the refusal when the limit is reached.
-    pub async fn take(host: &'a Host<P>, ask: &'a Ask) -> Result<Self, Refusal> {
-        if let Some((organisation, limit, cost)) = cost(ask) {
+    pub async fn take(host: &'a Host<P>, request: &'a Ask) -> Result<Self, Refusal> {
+        if let Some((organisation, limit, cost)) = cost(request) {
             let wants_newer_levels = || {
                 let wants = with_limiter(host, |limiter, now, _| {
                     limiter.wants_newer_levels(now, organisation, limit)
@@ -48,7 +48,11 @@
                 return Err(Refusal::new(ErrorKind::RateLimited, why).after(refused.retry_after_ms));
             }
         }
-        Ok(Self { host, ask, runs: 0 })
+        Ok(Self {
+            host,
+            request,
+            runs: 0,
+        })
     }
 
     /// Records that the request is being sent, so that it may run. Each further run costs as much
@@ -56,7 +60,7 @@
     pub fn note_send(&mut self) {
         self.runs += 1;
         if self.runs > 1 {
-            note_extra_run(self.host, self.ask);
+            note_extra_run(self.host, self.request);
         }
     }
 
@@ -64,7 +68,7 @@
     pub fn note_not_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
         if self.runs > 0 {
-            refund(self.host, self.ask);
+            refund(self.host, self.request);
         }
     }
 }
@@ -72,22 +76,22 @@
 impl<P: Platform> Drop for Charge<'_, P> {
     fn drop(&mut self) {
         if self.runs == 0 {
-            refund(self.host, self.ask);
+            refund(self.host, self.request);
         }
     }
 }
 
 /// Takes the cost of one more run of a request from the limit, without deciding on it.
-pub fn note_extra_run<P: Platform>(host: &Host<P>, ask: &Ask) {
-    if let Some((organisation, limit, cost)) = cost(ask) {
+pub fn note_extra_run<P: Platform>(host: &Host<P>, request: &Ask) {
+    if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
             limiter.note_run(now, organisation, limit, cost);
         });
     }
 }
 
-fn refund<P: Platform>(host: &Host<P>, ask: &Ask) {
-    if let Some((organisation, limit, cost)) = cost(ask) {
+fn refund<P: Platform>(host: &Host<P>, request: &Ask) {
+    if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
             limiter.give_back(now, organisation, limit, cost);
         });
@@ -95,13 +99,13 @@
 }
 
 /// Returns the organisation, its limit and the cost of a request; none without a limit.
-fn cost(ask: &Ask) -> Option<(&Name, &RateLimit, u64)> {
-    let organisation = ask.identity.organisation()?;
+fn cost(request: &Ask) -> Option<(&Name, &RateLimit, u64)> {
+    let organisation = request.identity.organisation()?;
     let limit = organisation.rate_limit.as_ref()?;
     Some((
         &organisation.name,
         limit,
-        limit.cost(ask.facts.counted_tokens),
+        limit.cost(request.facts.counted_tokens),
     ))
 }
 
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -99,7 +99,7 @@
 /// the upstream's health and limits, and logs an attempt that got no answer.
 pub async fn send<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     upstream: &Name,
     headers: Headers,
     answer_by: Millis,
@@ -115,25 +115,29 @@
     let upstream = &lifetime;
     let mut attempt = Attempt {
         host,
-        ask,
+        request,
         upstream,
         reused: false,
         began_at: host.now(),
     };
-    let Some(mut connection) = connect(host, ask, upstream, answer_by).await else {
+    let Some(mut connection) = connect(host, request, upstream, answer_by).await else {
         attempt.log("not_sent", None, Some("cannot connect"));
         return Sent::NotSent;
     };
     attempt.reused = connection.is_reused;
-    let mut in_flight = InFlight::new(host.upstreams.clone(), upstream, ask.facts.prompt_tokens);
-    if is_long(ask.facts.prompt_tokens) {
+    let mut in_flight = InFlight::new(
+        host.upstreams.clone(),
+        upstream,
+        request.facts.prompt_tokens,
+    );
+    if is_long(request.facts.prompt_tokens) {
         host.note_want();
     }
-    let exchange = exchange(host, ask, &mut connection, headers, &mut in_flight);
+    let exchange = exchange(host, request, &mut connection, headers, &mut in_flight);
     let left_ms = answer_by.since(host.now());
     let answer = within(left_ms, exchange).await;
     if let Some(Err(ReadError::Ended | ReadError::Broken { .. })) = &answer {
-        crashes::note_broken_run(host, ask, upstream).await;
+        crashes::note_broken_run(host, request, upstream).await;
     }
     let now = host.now();
     let fail = |why: &str, unreachable: bool| {
@@ -148,7 +152,8 @@
             // A request with a short timeout of its own says nothing about the upstream's health,
             // but the other connections to it may be dead as well.
             host.pool.forget(&upstream.id);
-            let is_unreachable = now.since(attempt.began_at) >= UNREACHABLE_MS && !ask.at_engine;
+            let is_unreachable =
+                now.since(attempt.began_at) >= UNREACHABLE_MS && !request.at_engine;
             fail(NO_ANSWER, is_unreachable)
         }
         Some(Err(error)) => fail(&error.to_string(), false),
@@ -168,8 +173,8 @@
             if facts.not_run {
                 keep(host, &upstream.id, connection, &head, reader);
                 attempt.log("not_run", status, None);
-                if ask.at_engine && !facts.lacks_model {
-                    note_full(host, ask, upstream, now);
+                if request.at_engine && !facts.lacks_model {
+                    note_full(host, request, upstream, now);
                 }
                 return Sent::NotRun {
                     lacks_model: facts.lacks_model,
@@ -200,7 +205,7 @@
 /// One attempt to send a request, for its log line.
 struct Attempt<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    request: &'a Ask,
     upstream: &'a Lifetime,
     reused: bool,
     began_at: Millis,
@@ -212,8 +217,8 @@
         let now = self.host.now();
         let registry = self.host.upstreams.borrow();
         let line = AttemptLine {
-            request: self.ask.facts.id.as_deref(),
-            digest: self.ask.digest,
+            request: self.request.facts.id.as_deref(),
+            digest: self.request.digest,
             upstream: &self.upstream.id,
             reused: self.reused,
             result,
@@ -231,12 +236,12 @@
 /// Takes an idle connection to an upstream or opens one. Returns none when it cannot be reached.
 async fn connect<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     upstream: &Lifetime,
     answer_by: Millis,
 ) -> Option<UpstreamConnection> {
     let now = host.now();
-    let max_idle_ms = match ask.route.repeat {
+    let max_idle_ms = match request.route.repeat {
         Repeat::Once => MAX_IDLE_ONCE_MS,
         Repeat::Idempotent | Repeat::Resumable => MAX_IDLE_REPEATABLE_MS,
     };
@@ -312,8 +317,8 @@
 /// Records that an engine refused a request because it is full. Without this the engine looks idle,
 /// is chosen more often than any other, and refuses every request: an engine with a busy model
 /// would refuse 250 a second and use up the retry budget.
-fn note_full<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime, now: Millis) {
-    let occupancy = host.occupancy(&ask.service);
+fn note_full<P: Platform>(host: &Host<P>, request: &Ask, upstream: &Lifetime, now: Millis) {
+    let occupancy = host.occupancy(&request.service);
     if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
         known.full_until = now + occupancy.full_ms(known.entry.slots);
     }
--- a/src/entry/tries.rs
+++ b/src/entry/tries.rs
@@ -65,10 +65,10 @@
 
     /// Takes a further send from the service's retry budget. Returns false when the budget, the
     /// route's attempts or [`MAX_SENDS`] allow none.
-    pub fn may_repeat<P: Platform>(&self, host: &Host<P>, ask: &Ask) -> bool {
+    pub fn may_repeat<P: Platform>(&self, host: &Host<P>, request: &Ask) -> bool {
         self.sends < MAX_SENDS
-            && self.runs < ask.route.attempts.max(1)
-            && host.take_retry(&ask.service)
+            && self.runs < request.route.attempts.max(1)
+            && host.take_retry(&request.service)
     }
 
     /// Tells whether another upstream should be tried after a failure that an upstream answered:
@@ -77,12 +77,12 @@
     pub fn prefers_another<P: Platform>(
         &self,
         host: &Host<P>,
-        ask: &Ask,
+        request: &Ask,
         answer: &StartedAnswer,
     ) -> bool {
         let may_run_again =
-            ask.route.repeat == Repeat::Idempotent && self.runs + 1 < ask.route.attempts;
-        let has_time = host.now() + ask.route.goal_ms < ask.ends_at;
+            request.route.repeat == Repeat::Idempotent && self.runs + 1 < request.route.attempts;
+        let has_time = host.now() + request.route.goal_ms < request.ends_at;
         answer.head.status >= 500 && may_run_again && has_time
     }
 
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -39,34 +39,34 @@
 /// Returns the refusal when no upstream can take the request in time.
 pub async fn wait_for_upstream<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
-    tries: &mut Tries,
+    request: &Ask,
+    attempts: &mut Tries,
     log: &mut CourseLog<'_, P>,
 ) -> Result<(), Refusal> {
     let began_at = host.now();
-    let has_failed = !tries.excluded.is_empty();
-    if has_failed && tries.waited {
-        return Err(tries.last_refusal());
+    let has_failed = !attempts.excluded.is_empty();
+    if has_failed && attempts.waited {
+        return Err(attempts.last_refusal());
     }
-    tries.waited = true;
-    let waited = wait(host, ask, tries, began_at).await;
+    attempts.waited = true;
+    let waited = wait(host, request, attempts, began_at).await;
     log.course.waited_ms += host.now().since(began_at);
     waited
 }
 
 async fn wait<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
-    tries: &mut Tries,
+    request: &Ask,
+    attempts: &mut Tries,
     began_at: Millis,
 ) -> Result<(), Refusal> {
-    let until = wait_deadline(host, ask, began_at)?;
-    let _waiting = WaitingCount::new(host, ask);
+    let until = wait_deadline(host, request, began_at)?;
+    let _waiting = WaitingCount::new(host, request);
     loop {
         let change = host.next_change();
         // The upstreams that were excluded may be able to take the request by now.
-        tries.excluded.clear();
-        if choose(host, ask, tries).is_some() {
+        attempts.excluded.clear();
+        if choose(host, request, attempts).is_some() {
             return Ok(());
         }
         let now = host.now();
@@ -74,9 +74,9 @@
             let why = "this host stops, and no upstream could take the request at once";
             return Err(Refusal::new(ErrorKind::Stopping, why).after(Millis::ZERO));
         }
-        let until = until.max(wait_deadline(host, ask, began_at)?);
+        let until = until.max(wait_deadline(host, request, began_at)?);
         if now >= until {
-            return Err(no_upstream(host, ask, now));
+            return Err(no_upstream(host, request, now));
         }
         // No change is notified when an upstream's pause after a failure ends, so the state is also
         // polled.
@@ -95,21 +95,21 @@
 /// for current numbers.
 pub async fn wait_for_turn<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
-    tries: &Tries,
+    request: &Ask,
+    attempts: &Tries,
     log: &mut CourseLog<'_, P>,
 ) -> Option<Name> {
-    if !ask.at_engine || !is_long(ask.facts.prompt_tokens) || tries.sends > 0 {
+    if !request.at_engine || !is_long(request.facts.prompt_tokens) || attempts.sends > 0 {
         return None;
     }
     let began_at = host.now();
-    let until = began_at + Millis(ask.route.goal_ms.0 * 2 / 5);
-    let until = until.min(ask.first_byte_deadline - FIRST_EVENT_MS);
+    let until = began_at + Millis(request.route.goal_ms.0 * 2 / 5);
+    let until = until.min(request.first_byte_deadline - FIRST_EVENT_MS);
     let answers = host.view.borrow().answers;
     host.note_want();
     loop {
         let change = host.next_change();
-        let upstream = choose(host, ask, tries)?;
+        let upstream = choose(host, request, attempts)?;
         let now = host.now();
         // If the orderer does not answer in time, the choice is made with what this host knows.
         let is_fresh =
@@ -138,15 +138,15 @@
 /// estimated from the occupied slots of the best engine and the time that answers occupy one.
 pub fn late_start_refusal<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     upstream: &Name,
 ) -> Option<Refusal> {
-    if !ask.at_engine {
+    if !request.at_engine {
         return None;
     }
     let now = host.now();
-    let wait_ms = slot_wait_ms(host, ask, upstream)?;
-    let left_ms = ask.first_byte_deadline.since(now + FIRST_EVENT_MS);
+    let wait_ms = slot_wait_ms(host, request, upstream)?;
+    let left_ms = request.first_byte_deadline.since(now + FIRST_EVENT_MS);
     if wait_ms <= left_ms {
         return None;
     }
@@ -158,11 +158,11 @@
 }
 
 /// Returns how long a further request would wait for a slot of an engine.
-fn slot_wait_ms<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Name) -> Option<Millis> {
+fn slot_wait_ms<P: Platform>(host: &Host<P>, request: &Ask, upstream: &Name) -> Option<Millis> {
     let upstreams = host.upstreams.borrow();
     let engine = upstreams.get(upstream)?;
     let under_way = host.view.borrow().work(upstream).under_way(engine);
-    let occupancy = host.occupancy(&ask.service);
+    let occupancy = host.occupancy(&request.service);
     Some(Millis(
         occupancy.wait_ms(engine.entry.slots, under_way) as u64
     ))
@@ -172,12 +172,14 @@
 /// answer it in time.
 fn wait_deadline<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &Ask,
     began_at: Millis,
 ) -> Result<Millis, Refusal> {
-    let last = ask.first_byte_deadline
-        - FIRST_EVENT_MS.min(Millis((ask.first_byte_deadline - ask.arrived_at).0 / 4));
-    let ready_at = ask
+    let last = request.first_byte_deadline
+        - FIRST_EVENT_MS.min(Millis(
+            (request.first_byte_deadline - request.arrived_at).0 / 4,
+        ));
+    let ready_at = request
         .facts
         .model
         .as_ref()
@@ -191,7 +193,7 @@
         // The expected time is an estimate, and the engine's report of the loaded model is delayed.
         Some(ready_at) => Ok((ready_at + Millis(1_500)).min(last)),
         None => match orderer_lost_ms(host) {
-            Some(lost_ms) if ask.facts.model.is_some() => Err(Refusal::new(
+            Some(lost_ms) if request.facts.model.is_some() => Err(Refusal::new(
                 ErrorKind::ColdStartTooLong,
                 "no upstream holds the model, and no host orders loads now",
             )
@@ -211,10 +213,10 @@
 }
 
 /// Returns the refusal for a request that waited in vain for an upstream.
-fn no_upstream<P: Platform>(host: &Host<P>, ask: &Ask, now: Millis) -> Refusal {
+fn no_upstream<P: Platform>(host: &Host<P>, request: &Ask, now: Millis) -> Refusal {
     let upstreams = host.upstreams.borrow();
-    let has_usable = upstreams.usable(&ask.service).next().is_some();
-    match (has_usable, &ask.facts.model) {
+    let has_usable = upstreams.usable(&request.service).next().is_some();
+    match (has_usable, &request.facts.model) {
         (true, Some(model)) => {
             let ready_at = host.view.borrow().ready_at(model);
             let after =
@@ -229,24 +231,24 @@
 /// Counts a request in the demand as waiting for its model until it is dropped.
 struct WaitingCount<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    request: &'a Ask,
 }
 
 impl<'a, P: Platform> WaitingCount<'a, P> {
-    fn new(host: &'a Host<P>, ask: &'a Ask) -> Self {
-        if let Some(model) = &ask.facts.model {
+    fn new(host: &'a Host<P>, request: &'a Ask) -> Self {
+        if let Some(model) = &request.facts.model {
             if let Some(count) = host.demand.borrow_mut().count(model) {
                 count.waiting += 1;
             }
             host.note_want();
         }
-        Self { host, ask }
+        Self { host, request }
     }
 }
 
 impl<P: Platform> Drop for WaitingCount<'_, P> {
     fn drop(&mut self) {
-        if let Some(model) = &self.ask.facts.model
+        if let Some(model) = &self.request.facts.model
             && let Some(count) = self.host.demand.borrow_mut().count(model)
         {
             count.waiting = count.waiting.saturating_sub(1);
