--- a/src/entry/budgeted_log.rs
+++ b/src/entry/budgeted_log.rs
@@ -29,6 +29,7 @@
 
 struct LogState {
     clock: Clock,
+    /// By event number, the present second and how many lines were requested in it so far.
     budgets: Mutex<HashMap<u16, (u64, u32)>>,
     dropped: AtomicU64,
 }
