--- a/src/entry/ask.rs
+++ b/src/entry/active_request.rs
@@ -17,7 +17,7 @@
 const FIRST_EVENT_TIMEOUT_GAPS: u64 = 8;
 
 /// A caller's request that is being served.
-pub struct Ask {
+pub struct ActiveRequest {
     /// The head, as the caller sent it.
     pub head: RequestHead,
     /// The complete body, without transfer coding.
@@ -44,7 +44,7 @@
     pub version: u64,
 }
 
-impl Ask {
+impl ActiveRequest {
     /// Returns the name of the organisation that sent the request, if it sent a key of one.
     pub fn organisation(&self) -> Option<&Name> {
         self.identity
@@ -63,7 +63,7 @@
     head: RequestHead,
     body: Vec<u8>,
     arrived_at: Millis,
-) -> Result<Ask, Box<(Refusal, RequestFacts)>> {
+) -> Result<ActiveRequest, Box<(Refusal, RequestFacts)>> {
     let facts = host.platform.read_request(&head.headers);
     let table = host.routes.borrow().clone();
     let found = match find_service(table, &head, &facts) {
@@ -86,7 +86,7 @@
     );
     let wait_ms = facts.wait_ms.unwrap_or(Millis::NEVER);
     let ends_at = arrived_at + wait_ms.min(route.time_limit_ms);
-    Ok(Ask {
+    Ok(ActiveRequest {
         at_engine: table
             .services
             .get(&service)
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,7 +1,7 @@
 //! Connections of callers: reads requests, writes answers, and detects callers that disconnect.
 
 use crate::desired::CallerLimits;
-use crate::entry::ask;
+use crate::entry::active_request;
 use crate::entry::course::{AnswerEnd, CourseLog};
 use crate::entry::forward;
 use crate::entry::host::Host;
@@ -144,7 +144,7 @@
     side: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
 ) -> AnswerEnd {
-    match ask::prepare(host, head, body, arrived_at) {
+    match active_request::prepare(host, head, body, arrived_at) {
         Ok(request) if !host.accepts_requests() => {
             log.course.request = request.facts.id.clone();
             let refusal =
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,6 +1,6 @@
 //! Chooses the upstream for a request's next attempt, from this host's view of the upstreams.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::platform::{ModelAsk, Platform, RequestFacts};
 use crate::entry::tries::Tries;
@@ -14,7 +14,11 @@
 
 /// Chooses the upstream for the next attempt: an engine that holds the request's model, or any
 /// usable upstream of a plain service. Returns none when no upstream may get the request now.
-pub fn choose<P: Platform>(host: &Host<P>, request: &Ask, attempts: &Tries) -> Option<Name> {
+pub fn choose<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    attempts: &Tries,
+) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
     let view = host.view.borrow();
@@ -56,7 +60,7 @@
 
 /// Returns the time that an engine takes to fetch the shared prefix of a prompt from another
 /// engine, as a fraction of the time to compute it. None where engines must not fetch it.
-fn fetch_share<P: Platform>(host: &Host<P>, request: &Ask) -> Option<f64> {
+fn fetch_share<P: Platform>(host: &Host<P>, request: &ActiveRequest) -> Option<f64> {
     let routes = host.routes.borrow();
     let service = routes.as_ref()?.services.get(&request.service)?;
     let shared_tokens = prompt_shape(&request.facts).shared_tokens;
@@ -67,7 +71,7 @@
 /// prompt; none when it should compute the prefix itself.
 pub fn prefix_source<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     upstream: &Name,
 ) -> Option<SocketAddr> {
     let model = request.facts.model.as_ref()?;
@@ -116,7 +120,7 @@
 
 /// Returns how many requests this host may have in flight at one upstream, so that all hosts
 /// together do not exceed the connections that the upstream accepts.
-fn connection_cap<P: Platform>(host: &Host<P>, request: &Ask) -> u32 {
+fn connection_cap<P: Platform>(host: &Host<P>, request: &ActiveRequest) -> u32 {
     let routes = host.routes.borrow();
     let service = routes
         .as_ref()
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -1,6 +1,6 @@
 //! Detects requests that crash upstreams, refuses them, and exchanges the evidence between hosts.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::lines;
 use crate::entry::platform::Platform;
@@ -32,7 +32,7 @@
 
 /// Returns a refusal, and logs it, if a request is quarantined because it crashes the upstreams
 /// that run it. The refusal states that the request has not run.
-pub fn quarantine<P: Platform>(host: &Host<P>, request: &Ask) -> Option<Refusal> {
+pub fn quarantine<P: Platform>(host: &Host<P>, request: &ActiveRequest) -> Option<Refusal> {
     let left_ms = with_quarantine(host, |quarantine, now| {
         quarantine.quarantined_ms(now, &request.digest)
     })?;
@@ -48,7 +48,11 @@
 
 /// Records that the connection to an upstream ended while it ran a request. Checks whether the
 /// upstream crashed, unless that is known already or the upstream was leaving.
-pub async fn note_broken_run<P: Platform>(host: &Host<P>, request: &Ask, upstream: &Lifetime) {
+pub async fn note_broken_run<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    upstream: &Lifetime,
+) {
     let Some(address) = address_if_staying(host, upstream) else {
         return;
     };
@@ -103,7 +107,7 @@
 
 /// Records that an upstream answered a request completely, which is evidence that the request does
 /// not crash upstreams.
-pub fn note_completed<P: Platform>(host: &Host<P>, request: &Ask) {
+pub fn note_completed<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
     with_quarantine(host, |quarantine, now| {
         quarantine.note_completed(now, request.digest);
     });
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -1,6 +1,6 @@
 //! Writes one request to an upstream's connection and reads its answer up to the start of the body.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::in_flight::InFlight;
 use crate::entry::platform::Platform;
@@ -34,7 +34,7 @@
 /// Returns why the connection gave no answer to this request.
 pub async fn exchange<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     connection: &mut UpstreamConnection,
     headers: Headers,
     in_flight: &mut InFlight,
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-fn request_bytes(request: &Ask, headers: &Headers) -> Vec<u8> {
+fn request_bytes(request: &ActiveRequest, headers: &Headers) -> Vec<u8> {
     let mut headers = headers.clone();
     headers.remove("content-length");
     headers.remove("expect");
@@ -125,7 +125,7 @@
 /// earlier requests on the connection are read and discarded.
 async fn read_matching_head<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     connection: &mut UpstreamConnection,
 ) -> Result<ResponseHead, ReadError> {
     let is_head_request = &*request.head.method == "HEAD";
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -5,7 +5,7 @@
 //! not run twice is not sent again after an attempt that may have run it.
 
 use crate::desired::Repeat;
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::caller::CallerSide;
 use crate::entry::choice::{choose, prefix_source};
 use crate::entry::course::{AnswerEnd, CourseLog};
@@ -31,7 +31,7 @@
 /// the final answer to the caller.
 pub async fn serve<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
 ) -> AnswerEnd {
@@ -117,7 +117,7 @@
 /// there is one, else with a refusal of the host's own.
 async fn end<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     mut attempts: Tries,
@@ -134,7 +134,7 @@
 /// caller got any of it; then another attempt is possible.
 async fn finish<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     attempts: &mut Tries,
@@ -165,7 +165,7 @@
 /// Refuses a request, with a retry time that fits into the request's remaining time.
 async fn refuse<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     refusal: Refusal,
@@ -205,11 +205,11 @@
 /// Counts a request in the demand for its model until it is dropped.
 struct DemandCount<'a, P: Platform> {
     host: &'a Host<P>,
-    request: &'a Ask,
+    request: &'a ActiveRequest,
 }
 
 impl<'a, P: Platform> DemandCount<'a, P> {
-    fn new(host: &'a Host<P>, request: &'a Ask) -> Self {
+    fn new(host: &'a Host<P>, request: &'a ActiveRequest) -> Self {
         if let Some(model) = &request.facts.model
             && let Some(count) = host.demand.borrow_mut().count(model)
         {
@@ -237,7 +237,7 @@
 /// that the caller got, where an interrupted stream is resumed.
 pub async fn try_upstream<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     upstream: &Name,
     attempts: &Tries,
     log: &mut CourseLog<'_, P>,
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,7 +1,7 @@
 //! Enforces the rate limits of organisations, and exchanges their use between hosts.
 
 use crate::desired::{LimitTable, RateLimit};
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::http1::client::within;
@@ -17,7 +17,7 @@
 /// dropped, unless a send may have run the request.
 pub struct Charge<'a, P: Platform> {
     host: &'a Host<P>,
-    request: &'a Ask,
+    request: &'a ActiveRequest,
     runs: u32,
 }
 
@@ -27,7 +27,7 @@
     /// # Errors
     ///
     /// Returns the refusal when the limit is reached.
-    pub async fn take(host: &'a Host<P>, request: &'a Ask) -> Result<Self, Refusal> {
+    pub async fn take(host: &'a Host<P>, request: &'a ActiveRequest) -> Result<Self, Refusal> {
         if let Some((organisation, limit, cost)) = cost(request) {
             let wants_newer_levels = || {
                 let wants = with_limiter(host, |limiter, now, _| {
@@ -82,7 +82,7 @@
 }
 
 /// Takes the cost of one more run of a request from the limit, without deciding on it.
-pub fn note_extra_run<P: Platform>(host: &Host<P>, request: &Ask) {
+pub fn note_extra_run<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
     if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
             limiter.note_run(now, organisation, limit, cost);
@@ -90,7 +90,7 @@
     }
 }
 
-fn refund<P: Platform>(host: &Host<P>, request: &Ask) {
+fn refund<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
     if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
             limiter.give_back(now, organisation, limit, cost);
@@ -99,7 +99,7 @@
 }
 
 /// Returns the organisation, its limit and the cost of a request; none without a limit.
-fn cost(request: &Ask) -> Option<(&Name, &RateLimit, u64)> {
+fn cost(request: &ActiveRequest) -> Option<(&Name, &RateLimit, u64)> {
     let organisation = request.identity.organisation()?;
     let limit = organisation.rate_limit.as_ref()?;
     Some((
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -4,7 +4,7 @@
 //! One thread runs all tasks of a process; shared state is in [`host::Host`], and nothing holds a borrow of it
 //! across a wait. What the platform calls things is behind [`platform::Platform`].
 
-pub mod ask;
+pub mod active_request;
 pub mod budgeted_log;
 pub mod caller;
 pub mod choice;
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,7 +1,7 @@
 //! Passing an answer on to its caller, piece by piece, so that one that ends early never looks complete.
 
 use crate::desired::Repeat;
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::caller::{BodyForm, CallerSide};
 use crate::entry::choice::choose;
 use crate::entry::course::CourseLog;
@@ -38,7 +38,7 @@
 /// Passes an answer on.
 pub async fn relay<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    ask: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     tries: &mut Tries,
@@ -67,7 +67,7 @@
 
 async fn relay_whole<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    ask: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     answer: Box<StartedAnswer>,
@@ -97,7 +97,7 @@
 /// Passes a long answer that is no stream of events on as it comes.
 async fn relay_pieces<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    ask: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     mut answer: Box<StartedAnswer>,
@@ -145,7 +145,7 @@
     }
 }
 
-fn note_first_byte<P: Platform>(host: &Host<P>, ask: &Ask, log: &mut CourseLog<'_, P>) {
+fn note_first_byte<P: Platform>(host: &Host<P>, ask: &ActiveRequest, log: &mut CourseLog<'_, P>) {
     let took_ms = host.now().since(ask.arrived_at);
     log.course.first_byte_ms.get_or_insert(took_ms);
 }
@@ -154,7 +154,7 @@
 /// the last one.
 struct EventRelay<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    ask: &'a ActiveRequest,
     tries: &'a mut Tries,
     buffer: Vec<u8>,
     last_event_id: Option<String>,
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -1,7 +1,7 @@
 //! Sends a request to one upstream and reads the start of its answer.
 
 use crate::desired::Repeat;
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::crashes;
 use crate::entry::exchange::{Exchanged, exchange};
 use crate::entry::host::Host;
@@ -99,7 +99,7 @@
 /// the upstream's health and limits, and logs an attempt that got no answer.
 pub async fn send<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     upstream: &Name,
     headers: Headers,
     answer_by: Millis,
@@ -205,7 +205,7 @@
 /// One attempt to send a request, for its log line.
 struct Attempt<'a, P: Platform> {
     host: &'a Host<P>,
-    request: &'a Ask,
+    request: &'a ActiveRequest,
     upstream: &'a Lifetime,
     reused: bool,
     began_at: Millis,
@@ -236,7 +236,7 @@
 /// Takes an idle connection to an upstream or opens one. Returns none when it cannot be reached.
 async fn connect<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     upstream: &Lifetime,
     answer_by: Millis,
 ) -> Option<UpstreamConnection> {
@@ -317,7 +317,12 @@
 /// Records that an engine refused a request because it is full. Without this the engine looks idle,
 /// is chosen more often than any other, and refuses every request: an engine with a busy model
 /// would refuse 250 a second and use up the retry budget.
-fn note_full<P: Platform>(host: &Host<P>, request: &Ask, upstream: &Lifetime, now: Millis) {
+fn note_full<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    upstream: &Lifetime,
+    now: Millis,
+) {
     let occupancy = host.occupancy(&request.service);
     if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
         known.full_until = now + occupancy.full_ms(known.entry.slots);
--- a/src/entry/tries.rs
+++ b/src/entry/tries.rs
@@ -1,7 +1,7 @@
 //! The attempts of one request: which may have run it, and whether another one is allowed.
 
 use crate::desired::Repeat;
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::entry::send::StartedAnswer;
@@ -65,7 +65,7 @@
 
     /// Takes a further send from the service's retry budget. Returns false when the budget, the
     /// route's attempts or [`MAX_SENDS`] allow none.
-    pub fn may_repeat<P: Platform>(&self, host: &Host<P>, request: &Ask) -> bool {
+    pub fn may_repeat<P: Platform>(&self, host: &Host<P>, request: &ActiveRequest) -> bool {
         self.sends < MAX_SENDS
             && self.runs < request.route.attempts.max(1)
             && host.take_retry(&request.service)
@@ -77,7 +77,7 @@
     pub fn prefers_another<P: Platform>(
         &self,
         host: &Host<P>,
-        request: &Ask,
+        request: &ActiveRequest,
         answer: &StartedAnswer,
     ) -> bool {
         let may_run_again =
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -1,7 +1,7 @@
 //! Lets requests wait until an upstream can take them, and lets long prompts wait until the engine
 //! reads no other long prompt.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::choice::choose;
 use crate::entry::course::CourseLog;
 use crate::entry::host::Host;
@@ -39,7 +39,7 @@
 /// Returns the refusal when no upstream can take the request in time.
 pub async fn wait_for_upstream<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     attempts: &mut Tries,
     log: &mut CourseLog<'_, P>,
 ) -> Result<(), Refusal> {
@@ -56,7 +56,7 @@
 
 async fn wait<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     attempts: &mut Tries,
     began_at: Millis,
 ) -> Result<(), Refusal> {
@@ -95,7 +95,7 @@
 /// for current numbers.
 pub async fn wait_for_turn<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     attempts: &Tries,
     log: &mut CourseLog<'_, P>,
 ) -> Option<Name> {
@@ -138,7 +138,7 @@
 /// estimated from the occupied slots of the best engine and the time that answers occupy one.
 pub fn late_start_refusal<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     upstream: &Name,
 ) -> Option<Refusal> {
     if !request.at_engine {
@@ -158,7 +158,11 @@
 }
 
 /// Returns how long a further request would wait for a slot of an engine.
-fn slot_wait_ms<P: Platform>(host: &Host<P>, request: &Ask, upstream: &Name) -> Option<Millis> {
+fn slot_wait_ms<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    upstream: &Name,
+) -> Option<Millis> {
     let upstreams = host.upstreams.borrow();
     let engine = upstreams.get(upstream)?;
     let under_way = host.view.borrow().work(upstream).under_way(engine);
@@ -172,7 +176,7 @@
 /// answer it in time.
 fn wait_deadline<P: Platform>(
     host: &Host<P>,
-    request: &Ask,
+    request: &ActiveRequest,
     began_at: Millis,
 ) -> Result<Millis, Refusal> {
     let last = request.first_byte_deadline
@@ -213,7 +217,7 @@
 }
 
 /// Returns the refusal for a request that waited in vain for an upstream.
-fn no_upstream<P: Platform>(host: &Host<P>, request: &Ask, now: Millis) -> Refusal {
+fn no_upstream<P: Platform>(host: &Host<P>, request: &ActiveRequest, now: Millis) -> Refusal {
     let upstreams = host.upstreams.borrow();
     let has_usable = upstreams.usable(&request.service).next().is_some();
     match (has_usable, &request.facts.model) {
@@ -231,11 +235,11 @@
 /// Counts a request in the demand as waiting for its model until it is dropped.
 struct WaitingCount<'a, P: Platform> {
     host: &'a Host<P>,
-    request: &'a Ask,
+    request: &'a ActiveRequest,
 }
 
 impl<'a, P: Platform> WaitingCount<'a, P> {
-    fn new(host: &'a Host<P>, request: &'a Ask) -> Self {
+    fn new(host: &'a Host<P>, request: &'a ActiveRequest) -> Self {
         if let Some(model) = &request.facts.model {
             if let Some(count) = host.demand.borrow_mut().count(model) {
                 count.waiting += 1;
