--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -4,7 +4,7 @@
 use crate::fleet::world::{World, model};
 use mangovale::entry::followed::{TableEnd, TablesWord};
 use mangovale::entry::peers;
-use mangovale::entry::platform::ModelAsk;
+use mangovale::entry::platform::ModelRef;
 use mangovale::entry::sync::SYNC_MS;
 use mangovale::group::{Member, Members};
 use mangovale::ordering::ledger::EngineChanges;
@@ -134,12 +134,12 @@
 
 /// Returns what an orderer publishes that has read all engines and ordered some.
 fn published(world: &World) -> PublishedEngines {
-    let changed = ModelAsk {
+    let changed = ModelRef {
         model: model(0),
         adapter: None,
     };
     let views = world.upstreams.iter().enumerate().map(|(n, engine)| {
-        let listed = engine.entry.models.iter().map(|held| ModelAsk {
+        let listed = engine.entry.models.iter().map(|held| ModelRef {
             model: held.name.clone(),
             adapter: None,
         });
--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -1,7 +1,7 @@
 //! What the orderer's plan looks at, and how long it takes.
 
 use crate::fleet::world::{SERVICE, World, engine_id, model};
-use mangovale::entry::platform::ModelAsk;
+use mangovale::entry::platform::ModelRef;
 use mangovale::ordering::book::Book;
 use mangovale::ordering::ceiling::Ceiling;
 use mangovale::ordering::copy::LoadTime;
@@ -123,7 +123,7 @@
             let holders = census.and_then(|census| census.model(model));
             holders.is_none_or(|holders| holders.copies() == 0)
         });
-        let asks = lost.map(|model| ModelAsk {
+        let asks = lost.map(|model| ModelRef {
             model,
             adapter: None,
         });
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
-use crate::entry::platform::{ModelAsk, Platform, RequestFacts};
+use crate::entry::platform::{ModelRef, Platform, RequestFacts};
 use crate::entry::tries::Tries;
 use crate::ordering::view::View;
 use crate::prelude::*;
@@ -50,7 +50,7 @@
     chosen.map(|upstream| upstream.entry.id.clone())
 }
 
-fn model_copies<'a>(view: &View, model: &'a ModelAsk, fetch_share: Option<f64>) -> ModelCopies<'a> {
+fn model_copies<'a>(view: &View, model: &'a ModelRef, fetch_share: Option<f64>) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
         are_separate: view.is_separate(&model.model),
@@ -95,7 +95,7 @@
     view: &'a View,
     now: Millis,
     service: &'a str,
-    model: &'a ModelAsk,
+    model: &'a ModelRef,
 ) -> impl Iterator<Item = &'a Upstream> {
     let listing = upstreams.listing(&model.model);
     let published = view.holders(model);
@@ -109,7 +109,7 @@
 
 /// Tells whether an engine holds a model, as far as this host knows. An engine that recently
 /// refused a request because it lacks the model does not hold it.
-pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelAsk) -> bool {
+pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelRef) -> bool {
     let id = &upstream.entry.id;
     if view.is_lacking(now, id, model) {
         return false;
--- a/src/entry/course.rs
+++ b/src/entry/course.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::host::Host;
 use crate::entry::lines;
-use crate::entry::platform::{ModelAsk, Platform};
+use crate::entry::platform::{ModelRef, Platform};
 use crate::prelude::*;
 use crate::retry::RequestDigest;
 
@@ -29,7 +29,7 @@
     /// The version of the desired state that the request was served under.
     pub version: u64,
     /// The model and adapter that the request asks for.
-    pub model: Option<ModelAsk>,
+    pub model: Option<ModelRef>,
     /// The tokens of the prompt.
     pub prompt_tokens: u64,
     /// The upstreams that the request was sent to, with the outcome of each send. The outcome is
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -3,7 +3,7 @@
 use crate::desired::{EngineSpec, RouteTable};
 use crate::entry::host::Host;
 use crate::entry::lines;
-use crate::entry::platform::{ModelAsk, Platform};
+use crate::entry::platform::{ModelRef, Platform};
 use crate::entry::table_rows;
 use crate::group::Member;
 use crate::http1::client::within;
@@ -49,7 +49,7 @@
     told_holder: Option<Member>,
     reports_under_way: usize,
     /// When what callers wait for will be ready, as the last plan had it.
-    pub ready_at: Vec<(ModelAsk, Millis)>,
+    pub ready_at: Vec<(ModelRef, Millis)>,
     /// The models whose copies are kept apart for long and for short prompts.
     pub separate: Vec<Name>,
     /// The load on the weight store, while this host orders.
@@ -196,7 +196,7 @@
     table: &RouteTable,
     unusable: &IndexSet<Name>,
     now: Millis,
-) -> Vec<(ModelAsk, Millis)> {
+) -> Vec<(ModelRef, Millis)> {
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
     let pace = Pace {
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -18,7 +18,7 @@
     /// How long the caller waits for the end of the answer.
     pub wait_ms: Option<Millis>,
     /// The model that the request asks for.
-    pub model: Option<ModelAsk>,
+    pub model: Option<ModelRef>,
     /// The tokens of the prompt; 0 if the request does not state them.
     pub prompt_tokens: u64,
     /// The tokens that count towards a rate limit: those of the prompt and the most that the answer
@@ -32,7 +32,7 @@
 
 /// A model, with an adapter where one is named.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ModelAsk {
+pub struct ModelRef {
     /// The name of the base model.
     pub model: Name,
     /// The name of the adapter; none for the base model itself.
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -2,15 +2,15 @@
 
 use super::site::entry;
 use crate::entry::choice::{holders, holds};
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::published::{EngineView, EnginesNews};
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
 use std::net::SocketAddr;
 
-fn ask(model: u8, has_adapter: bool) -> ModelAsk {
-    ModelAsk {
+fn ask(model: u8, has_adapter: bool) -> ModelRef {
+    ModelRef {
         model: format!("m{model}").into(),
         adapter: has_adapter.then(|| "a".into()),
     }
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -119,7 +119,7 @@
         RequestFacts {
             id: headers.text("Id").map(Name::from),
             wait_ms: headers.number("Wait-Ms").map(Millis),
-            model: headers.text("Model").map(|model| ModelAsk {
+            model: headers.text("Model").map(|model| ModelRef {
                 model: model.into(),
                 adapter: None,
             }),
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -5,7 +5,7 @@
 use crate::desired::{LimitUnit, Organisation, RateLimit};
 use crate::entry::host::Host;
 use crate::entry::limits;
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::entry::sync::answer;
 use crate::group::Member;
 use crate::ordering::demand::AskCount;
@@ -48,7 +48,7 @@
 
 /// Lets a relay know what the orderer said a while ago.
 fn tell(host: &Host<FakePlatform>, age_ms: Millis) {
-    let held = ModelAsk {
+    let held = ModelRef {
         model: "m".into(),
         adapter: None,
     };
@@ -153,7 +153,7 @@
             waiting: 1,
             ..AskCount::default()
         };
-        let model = ModelAsk {
+        let model = ModelRef {
             model: "m".into(),
             adapter: None,
         };
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -3,7 +3,7 @@
 //! Answers the pattern of many adapters of a few busy models: an engine has places for some, brings one in a few
 //! milliseconds, and callers wait for it; but only an orderer brings it, and a site may lack one for seconds.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::census::ServiceCensus;
 use crate::ordering::message::Action;
 use crate::ordering::planner::{Planned, Planner};
@@ -18,11 +18,11 @@
 
 /// On how many engines that are not to be used each adapter is.
 #[derive(Default)]
-struct UnusedAdapters<'a>(IndexMap<&'a ModelAsk, usize>);
+struct UnusedAdapters<'a>(IndexMap<&'a ModelRef, usize>);
 
 impl UnusedAdapters<'_> {
     /// Tells whether an engine that is to be used has an adapter, or is bringing it.
-    fn is_held_elsewhere(&self, census: &ServiceCensus, ask: &ModelAsk) -> bool {
+    fn is_held_elsewhere(&self, census: &ServiceCensus, ask: &ModelRef) -> bool {
         let unused = self.0.get(ask).copied().unwrap_or_default();
         census.adapter(ask) > unused
     }
@@ -64,7 +64,7 @@
     fn place_adapter(
         &self,
         census: &ServiceCensus,
-        ask: &ModelAsk,
+        ask: &ModelRef,
         separate: &[Name],
     ) -> Option<Planned> {
         let spec = self.spec.models.get(&ask.model)?;
@@ -117,13 +117,13 @@
     pub(super) fn adapter_ahead(&self, census: &ServiceCensus) -> Option<Planned> {
         let models = self.spec.models.iter();
         let missing = models.flat_map(|(model, spec)| {
-            spec.adapters.iter().map(|adapter| ModelAsk {
+            spec.adapters.iter().map(|adapter| ModelRef {
                 model: model.clone(),
                 adapter: Some(adapter.clone()),
             })
         });
         let unused = self.unused_adapters();
-        let mut missing: Vec<(f64, ModelAsk)> = missing
+        let mut missing: Vec<(f64, ModelRef)> = missing
             .filter(|ask| !unused.is_held_elsewhere(census, ask))
             .map(|ask| (self.book.asked(&ask).per_s(self.now), ask))
             .collect();
@@ -143,7 +143,7 @@
             .find_map(|(_, ask)| self.place_ahead(census, ask))
     }
 
-    fn place_ahead(&self, census: &ServiceCensus, ask: ModelAsk) -> Option<Planned> {
+    fn place_ahead(&self, census: &ServiceCensus, ask: ModelRef) -> Option<Planned> {
         let adapter_mb = self.spec.models.get(&ask.model)?.adapter_mb;
         let places = (self.spec.adapter_slots as usize).saturating_sub(PLACES_KEPT_FREE);
         let engine = self
--- a/src/ordering/book.rs
+++ b/src/ordering/book.rs
@@ -1,6 +1,6 @@
 //! The demand of all hosts, as the orderer adds it up.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::demand::AskCount;
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
@@ -67,7 +67,7 @@
 /// The demand of all hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    asked: IndexMap<ModelAsk, Asked>,
+    asked: IndexMap<ModelRef, Asked>,
     hosts: HostReports,
 }
 
@@ -92,7 +92,7 @@
     }
 
     /// Returns the demand for a model or adapter.
-    pub fn asked(&self, ask: &ModelAsk) -> Asked {
+    pub fn asked(&self, ask: &ModelRef) -> Asked {
         self.asked.get(ask).copied().unwrap_or_default()
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Returns all that was asked for.
-    pub fn iter(&self) -> impl Iterator<Item = (&ModelAsk, &Asked)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&ModelRef, &Asked)> {
         self.asked.iter()
     }
 
--- a/src/ordering/census.rs
+++ b/src/ordering/census.rs
@@ -3,7 +3,7 @@
 //! Answers the pattern of thousands of engines of which a few change a second: the next order is asked for many times a
 //! second, and counting anew what all engines hold takes longer than everything else that it needs.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::copy::Copy;
 use crate::ordering::engine::Engine;
 use crate::prelude::*;
@@ -51,7 +51,7 @@
     engines: usize,
     unknown: usize,
     models: IndexMap<Name, Holders>,
-    adapters: IndexMap<ModelAsk, usize>,
+    adapters: IndexMap<ModelRef, usize>,
 }
 
 impl ServiceCensus {
@@ -71,7 +71,7 @@
     }
 
     /// Returns how many engines have an adapter, or are bringing it.
-    pub fn adapter(&self, ask: &ModelAsk) -> usize {
+    pub fn adapter(&self, ask: &ModelRef) -> usize {
         self.adapters.get(ask).copied().unwrap_or_default()
     }
 
--- a/src/ordering/demand.rs
+++ b/src/ordering/demand.rs
@@ -1,6 +1,6 @@
 //! What callers ask of each model.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::prelude::*;
 
 /// Most models and adapters that one host counts between two messages to the orderer; more are asked for again
@@ -40,12 +40,12 @@
 /// The demand at one host.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    counts: IndexMap<ModelAsk, AskCount>,
+    counts: IndexMap<ModelRef, AskCount>,
 }
 
 impl Demand {
     /// Returns the counts of a model or adapter for change; nothing when too many are counted.
-    pub fn count(&mut self, ask: &ModelAsk) -> Option<&mut AskCount> {
+    pub fn count(&mut self, ask: &ModelRef) -> Option<&mut AskCount> {
         if self.counts.len() >= MAX_ASKS && !self.counts.contains_key(ask) {
             return None;
         }
@@ -53,7 +53,7 @@
     }
 
     /// Returns the counts and begins to count the next span; what waits or runs stays.
-    pub fn take(&mut self) -> Vec<(ModelAsk, AskCount)> {
+    pub fn take(&mut self) -> Vec<(ModelRef, AskCount)> {
         let counts = self.counts.iter().map(|(ask, count)| (ask.clone(), *count));
         let counts = counts.collect();
         self.counts
--- a/src/ordering/engine.rs
+++ b/src/ordering/engine.rs
@@ -1,7 +1,7 @@
 //! One engine as the orderer knows it: what it holds, what is on its way, the order under way.
 
 use crate::desired::EngineSpec;
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::copy::{Copy, Loaded};
 use crate::ordering::message::{Action, EngineReport, Order};
 use crate::ordering::published::EngineView;
@@ -41,7 +41,7 @@
     /// The models on it.
     pub copies: IndexMap<Name, Copy>,
     /// The adapters on it, with the time from which each can run.
-    pub adapters: IndexMap<ModelAsk, Millis>,
+    pub adapters: IndexMap<ModelRef, Millis>,
     /// When models were loaded by this host's orders.
     pub loaded_at: IndexMap<Name, Millis>,
     /// Models whose weights it has at hand.
@@ -158,7 +158,7 @@
     /// Returns the memory in use, with what is on its way and what an unanswered order may bring.
     pub fn used_mb(&self, now: Millis, spec: &EngineSpec) -> f64 {
         let mb = |model: &str| spec.models.get(model).map_or(0.0, |model| model.weights_mb);
-        let adapter_mb = |ask: &ModelAsk| {
+        let adapter_mb = |ask: &ModelRef| {
             let model = spec.models.get(&ask.model);
             model.map_or(0.0, |model| model.adapter_mb)
         };
@@ -172,7 +172,7 @@
     }
 
     /// Returns what an order to a former start may still bring.
-    pub fn void_load(&self, now: Millis) -> Option<&ModelAsk> {
+    pub fn void_load(&self, now: Millis) -> Option<&ModelRef> {
         let (order, until) = self.void.as_ref()?;
         let may_bring = order.action == Action::Load && now < *until;
         may_bring.then_some(&order.ask)
@@ -186,7 +186,7 @@
     }
 
     /// Returns the adapters of a model.
-    pub fn adapters_of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a ModelAsk> {
+    pub fn adapters_of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a ModelRef> {
         self.adapters.keys().filter(move |ask| &*ask.model == model)
     }
 
@@ -317,12 +317,12 @@
         loaded
     }
 
-    fn take_models(&mut self, models: Vec<HeldModel>, coming: Vec<ModelAsk>) {
+    fn take_models(&mut self, models: Vec<HeldModel>, coming: Vec<ModelRef>) {
         let former = std::mem::take(&mut self.adapters);
         self.copies.clear();
         for held in models {
             for adapter in held.adapters {
-                let ask = ModelAsk {
+                let ask = ModelRef {
                     model: held.name.clone(),
                     adapter: Some(adapter),
                 };
@@ -342,7 +342,7 @@
         let held = self.copies.iter();
         let models = held
             .filter(|(_, copy)| copy.should_run(now))
-            .map(|(model, _)| ModelAsk {
+            .map(|(model, _)| ModelRef {
                 model: model.clone(),
                 adapter: None,
             });
--- a/src/ordering/engine_orders.rs
+++ b/src/ordering/engine_orders.rs
@@ -1,6 +1,6 @@
 //! Orders to one engine: what they reserve, and what their answers change.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::copy::{Copy, LoadTime};
 use crate::ordering::engine::{BUSY_REPORT_MS, Engine, Pending, REST_MS};
 use crate::ordering::ledger::INTENDED_MS;
@@ -18,7 +18,7 @@
 
 impl Engine {
     /// Returns the order for an action, to be sent now.
-    pub(super) fn order(&self, action: Action, ask: ModelAsk) -> Order {
+    pub(super) fn order(&self, action: Action, ask: ModelRef) -> Order {
         Order {
             action,
             ask,
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -4,7 +4,7 @@
 //! refused at once and told when to come back, so the time must count the turn at the weight store, loads that slow each
 //! other, and loads that take longer than stated.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::census::ServiceCensus;
 use crate::ordering::copy::Copy;
 use crate::ordering::engine::Engine;
@@ -35,7 +35,7 @@
 
 impl Planner<'_> {
     /// Returns how long until what callers wait for is ready, as far as that can be told.
-    pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelAsk, Millis)> {
+    pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelRef, Millis)> {
         let Some(census) = self.ledger.census(self.service) else {
             return Vec::new();
         };
@@ -63,7 +63,7 @@
     fn ready_in(
         &self,
         census: &ServiceCensus,
-        ask: &ModelAsk,
+        ask: &ModelRef,
         pace: Pace,
         row: &Row<'_>,
     ) -> Option<Millis> {
--- a/src/ordering/gather.rs
+++ b/src/ordering/gather.rs
@@ -1,6 +1,6 @@
 //! What a relay tells the orderer of the hosts that speak through it.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::demand::{AskCount, MAX_ASKS};
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Gather {
     /// What was asked since the orderer was told last.
-    asked: IndexMap<ModelAsk, AskCount>,
+    asked: IndexMap<ModelRef, AskCount>,
     hosts: HostReports,
 }
 
@@ -30,8 +30,8 @@
     pub fn take_demand(
         &mut self,
         now: Millis,
-        own: Vec<(ModelAsk, AskCount)>,
-    ) -> Vec<(ModelAsk, AskCount)> {
+        own: Vec<(ModelRef, AskCount)>,
+    ) -> Vec<(ModelRef, AskCount)> {
         self.hosts.expire(now);
         let mut sum = std::mem::take(&mut self.asked);
         for (ask, count) in own {
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -1,6 +1,6 @@
 //! The last message of each host that speaks with this one.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::demand::AskCount;
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -16,7 +16,7 @@
     /// How many other hosts speak through it.
     pub through: u32,
     /// What its callers asked since its last message, and what waits or runs.
-    pub demand: Vec<(ModelAsk, AskCount)>,
+    pub demand: Vec<(ModelRef, AskCount)>,
     /// Its own work at each engine.
     pub work: Vec<(Name, Work)>,
 }
@@ -27,7 +27,7 @@
     at: Millis,
     through: u32,
     /// Requests that wait or run, by what they ask for.
-    present: Vec<(ModelAsk, AskCount)>,
+    present: Vec<(ModelRef, AskCount)>,
     work: IndexMap<Name, Work>,
 }
 
@@ -69,7 +69,7 @@
     }
 
     /// Returns the requests of all hosts that wait or run.
-    pub fn present(&self) -> impl Iterator<Item = &(ModelAsk, AskCount)> {
+    pub fn present(&self) -> impl Iterator<Item = &(ModelRef, AskCount)> {
         self.hosts.values().flat_map(|report| &report.present)
     }
 
--- a/src/ordering/ledger.rs
+++ b/src/ordering/ledger.rs
@@ -4,7 +4,7 @@
 //! same number at most one takes effect, and an order without an answer is sent again unchanged: until the engine's
 //! report shows a higher number, its model counts as held, and no other order to that engine is made.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::census::{Census, ServiceCensus};
 use crate::ordering::copy::{Copy, LoadTime, Loaded};
 use crate::ordering::engine::Engine;
@@ -204,7 +204,7 @@
         now: Millis,
         id: &str,
         action: Action,
-        ask: ModelAsk,
+        ask: ModelRef,
         makes_way_for: Option<Name>,
     ) -> Option<Order> {
         self.change(id, |engine| {
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -3,7 +3,7 @@
 use crate::entry::desired_copy::DesiredCopy;
 use crate::entry::followed::TablesWord;
 use crate::entry::list_copy::{ListAsk, ListPart};
-use crate::entry::platform::{AppendOutcome, ModelAsk};
+use crate::entry::platform::{AppendOutcome, ModelRef};
 use crate::group::Member;
 use crate::group::members::MembersNews;
 use crate::ordering::demand::AskCount;
@@ -32,7 +32,7 @@
     /// What to do.
     pub action: Action,
     /// With which model or adapter.
-    pub ask: ModelAsk,
+    pub ask: ModelRef,
     /// How many orders the engine has accepted; it refuses the order when there are more.
     pub after_orders: u64,
     /// The start of the engine that the order is for; one of the same name that started later has other counts.
@@ -73,7 +73,7 @@
     /// The models and adapters that it holds.
     pub models: Vec<HeldModel>,
     /// Adapters on their way to it.
-    pub coming: Vec<ModelAsk>,
+    pub coming: Vec<ModelRef>,
     /// Models whose weights it has on disk or in memory, where it says so.
     pub at_hand: Option<Vec<Name>>,
 }
@@ -92,7 +92,7 @@
     /// The generation of its list of hosts.
     pub members_generation: u64,
     /// What its callers asked since the last message.
-    pub demand: Vec<(ModelAsk, AskCount)>,
+    pub demand: Vec<(ModelRef, AskCount)>,
     /// Its own work at each engine.
     pub work: Vec<(Name, Work)>,
     /// From where it wants rows of the list of upstreams.
@@ -132,7 +132,7 @@
     /// The other hosts' work at each engine.
     pub work: Vec<(Name, Work)>,
     /// How long until models are expected to be ready.
-    pub ready_in_ms: Vec<(ModelAsk, Millis)>,
+    pub ready_in_ms: Vec<(ModelRef, Millis)>,
     /// The models whose copies are kept apart for long and for short prompts.
     pub separate: Vec<Name>,
     /// How new the platform's tables are.
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -7,7 +7,7 @@
 //! for least.
 
 use crate::desired::{EngineSpec, ModelSpec};
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::book::{Book, ModelDemand};
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::census::{Holders, ServiceCensus};
@@ -60,7 +60,7 @@
     /// What to do.
     pub action: Action,
     /// With what.
-    pub ask: ModelAsk,
+    pub ask: ModelRef,
     /// The model that is to be loaded next in the memory that an unload frees.
     pub makes_way_for: Option<Name>,
     /// Why, for the log.
@@ -304,7 +304,7 @@
                 Some((cost, engine, victims))
             });
         let (_, engine, victims) = places.min_by(|(a, ..), (b, ..)| a.total_cmp(b))?;
-        let model = |model: &Name| ModelAsk {
+        let model = |model: &Name| ModelRef {
             model: model.clone(),
             adapter: None,
         };
@@ -411,7 +411,7 @@
 }
 
 /// Returns how long the load of a model on an engine takes.
-pub fn load_time(spec: &EngineSpec, ledger: &Ledger, engine: &str, ask: &ModelAsk) -> LoadTime {
+pub fn load_time(spec: &EngineSpec, ledger: &Ledger, engine: &str, ask: &ModelRef) -> LoadTime {
     let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
         return LoadTime::default();
     };
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -4,7 +4,7 @@
 //! and hundreds of hosts that are to know it within half a second. The whole takes some 30 KB: told each time, it
 //! filled a link of 20 Mbit/s at the orderer of 195 hosts; the changes take a few hundred bytes.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::ledger::EngineChanges;
 use crate::prelude::*;
 use crate::upstreams::Lifetime;
@@ -20,7 +20,7 @@
     /// The start of the engine that this is known of.
     pub engine: Lifetime,
     /// What it holds: models by themselves, and adapters.
-    pub held: Vec<ModelAsk>,
+    pub held: Vec<ModelRef>,
 }
 
 /// The fence of the orderer, and its count of changes.
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug)]
 struct Published {
     changed_at: u64,
-    held: IndexSet<ModelAsk>,
+    held: IndexSet<ModelRef>,
 }
 
 impl Published {
-    fn is(&self, held: &[ModelAsk]) -> bool {
+    fn is(&self, held: &[ModelRef]) -> bool {
         held.len() == self.held.len() && held.iter().all(|ask| self.held.contains(ask))
     }
 }
@@ -68,12 +68,12 @@
     }
 
     /// Returns what an engine holds; nothing when this start of it is not known.
-    pub fn held(&self, engine: &Lifetime) -> Option<&IndexSet<ModelAsk>> {
+    pub fn held(&self, engine: &Lifetime) -> Option<&IndexSet<ModelRef>> {
         Some(&self.engines.get(engine)?.held)
     }
 
     /// Returns the engines that hold a model or adapter, of those that are told of.
-    pub fn holders<'a>(&'a self, ask: &'a ModelAsk) -> impl Iterator<Item = &'a Lifetime> {
+    pub fn holders<'a>(&'a self, ask: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
         let holding = self.engines.iter();
         let holding = holding.filter(|(_, published)| published.held.contains(ask));
         holding.map(|(engine, _)| engine)
--- a/src/ordering/spare.rs
+++ b/src/ordering/spare.rs
@@ -1,6 +1,6 @@
 //! What memory that is free is used for, before anyone asks.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::census::ServiceCensus;
 use crate::ordering::message::Action;
@@ -47,7 +47,7 @@
             return Some(Planned {
                 engine: engine.id.clone(),
                 action: Action::Load,
-                ask: ModelAsk {
+                ask: ModelRef {
                     model: model.clone(),
                     adapter: None,
                 },
@@ -97,7 +97,7 @@
         Some(Planned {
             engine: engine.id.clone(),
             action: Action::Load,
-            ask: ModelAsk {
+            ask: ModelRef {
                 model: need.model.clone(),
                 adapter: None,
             },
--- a/src/ordering/tests/fake_engine.rs
+++ b/src/ordering/tests/fake_engine.rs
@@ -2,7 +2,7 @@
 //! to hold more than it can.
 
 use crate::desired::{EngineSpec, ModelSpec};
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime};
@@ -47,7 +47,7 @@
     pub born_at: Millis,
     count: u64,
     models: IndexSet<Name>,
-    adapters: IndexSet<ModelAsk>,
+    adapters: IndexSet<ModelRef>,
     changing: Option<(Order, Millis)>,
     /// Loads of models that it began.
     pub loads: usize,
--- a/src/ordering/tests/gather.rs
+++ b/src/ordering/tests/gather.rs
@@ -1,6 +1,6 @@
 //! The orderer hears the same through a relay as from each host itself.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::demand::AskCount;
 use crate::ordering::gather::Gather;
 use crate::ordering::host_reports::HostReport;
@@ -9,10 +9,10 @@
 use crate::test_support::seeded;
 use arbtest::arbitrary::{Result, Unstructured};
 
-fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelAsk, AskCount)>> {
-    let mut demand: IndexMap<ModelAsk, AskCount> = IndexMap::new();
+fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelRef, AskCount)>> {
+    let mut demand: IndexMap<ModelRef, AskCount> = IndexMap::new();
     for _ in 0..u.int_in_range(0..=4u8)? {
-        let ask = ModelAsk {
+        let ask = ModelRef {
             model: format!("m{}", u.int_in_range(0..=3u8)?).into(),
             adapter: None,
         };
@@ -28,7 +28,7 @@
     Ok(demand.into_iter().collect())
 }
 
-fn sum_of(demands: &[Vec<(ModelAsk, AskCount)>], of: impl Fn(&AskCount) -> u64) -> u64 {
+fn sum_of(demands: &[Vec<(ModelRef, AskCount)>], of: impl Fn(&AskCount) -> u64) -> u64 {
     demands.iter().flatten().map(|(_, count)| of(count)).sum()
 }
 
@@ -37,7 +37,7 @@
     seeded(200, |u| {
         let mut relay = Gather::default();
         let (mut given, mut told) = (Vec::new(), Vec::new());
-        let mut newest: IndexMap<u64, Vec<(ModelAsk, AskCount)>> = IndexMap::new();
+        let mut newest: IndexMap<u64, Vec<(ModelRef, AskCount)>> = IndexMap::new();
         let mut now = Millis(1_000);
         for _ in 0..30 {
             now += Millis(u.int_in_range(0..=40u64)?);
--- a/src/ordering/tests/ledger.rs
+++ b/src/ordering/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! Memory and adapter places are never exceeded, whatever answers are lost and whatever orders take effect late.
 
 use super::fake_engine::{FakeEngine, spec};
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::census::Census;
@@ -18,10 +18,10 @@
 const SIZES_MB: [f64; 6] = [100.0, 100.0, 60.0, 60.0, 40.0, 40.0];
 const CAPACITY_MB: f64 = 170.0;
 
-fn ask(u: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<ModelAsk> {
+fn ask(u: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<ModelRef> {
     let model = u.choose_index(SIZES_MB.len())?;
     let adapter = u.int_in_range(0..=8u8)?;
-    Ok(ModelAsk {
+    Ok(ModelRef {
         model: format!("m{model}").into(),
         adapter: (adapter > 3).then(|| format!("a{adapter}").into()),
     })
@@ -38,7 +38,7 @@
     /// Orders that were sent and have not arrived; each may also have been given up by its sender.
     flights: Vec<(Name, Order, bool)>,
     /// What hosts were told of the engines by changes alone.
-    told: IndexMap<Lifetime, IndexSet<ModelAsk>>,
+    told: IndexMap<Lifetime, IndexSet<ModelRef>>,
 }
 
 impl World {
@@ -85,7 +85,7 @@
         }
         let known = self.ledger.iter().filter(|engine| engine.is_known);
         let views = known.map(|engine| engine.view(self.now));
-        let held: IndexMap<Lifetime, IndexSet<ModelAsk>> = views
+        let held: IndexMap<Lifetime, IndexSet<ModelRef>> = views
             .map(|view| (view.engine, view.held.into_iter().collect()))
             .collect();
         assert_eq!(self.told, held);
@@ -309,7 +309,7 @@
     }
     let later = now + Millis(5_000);
     assert!(ledger.due_reports(later, engines).is_empty());
-    let ask = ModelAsk {
+    let ask = ModelRef {
         model: "m0".into(),
         adapter: None,
     };
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -102,7 +102,7 @@
     let held: Vec<&[&str]> = std::iter::repeat_n(busy, 31).chain([seldom]).collect();
     let mut site = Site::new(spec(100.0, &[100.0, 100.0]), &held);
     let planned = site.plan_all();
-    let unloaded: Vec<&ModelAsk> = planned
+    let unloaded: Vec<&ModelRef> = planned
         .iter()
         .filter(|planned| planned.action == Action::Unload)
         .map(|planned| &planned.ask)
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -7,7 +7,7 @@
 
 use super::fake_engine::{only_start, spec};
 use crate::desired::EngineSpec;
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::LoadTime;
@@ -28,15 +28,15 @@
     orders_in_ms: Millis::ZERO,
 };
 
-fn model(name: &str) -> ModelAsk {
-    ModelAsk {
+fn model(name: &str) -> ModelRef {
+    ModelRef {
         model: name.into(),
         adapter: None,
     }
 }
 
-fn adapter(name: &str, adapter: &str) -> ModelAsk {
-    ModelAsk {
+fn adapter(name: &str, adapter: &str) -> ModelRef {
+    ModelRef {
         model: name.into(),
         adapter: Some(adapter.into()),
     }
@@ -91,7 +91,7 @@
         &mut self,
         host: u64,
         at: Millis,
-        demand: Vec<(ModelAsk, AskCount)>,
+        demand: Vec<(ModelRef, AskCount)>,
         work: Vec<(Name, Work)>,
     ) {
         let report = HostReport {
@@ -102,7 +102,7 @@
         self.book.take(at, host, report);
     }
 
-    fn ask(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, AskCount)]) {
+    fn ask(&mut self, host: u64, at: Millis, asks: &[(ModelRef, AskCount)]) {
         self.tell(host, at, asks.to_vec(), Vec::new());
     }
 
@@ -112,7 +112,7 @@
         planner.next(&mut self.ceiling)
     }
 
-    fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelAsk, Millis)> {
+    fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelRef, Millis)> {
         let unusable = IndexSet::new();
         planner(now, &self.spec, &self.ledger, &self.book, &unusable).ready_in_ms(pace)
     }
--- a/src/ordering/tests/published.rs
+++ b/src/ordering/tests/published.rs
@@ -1,6 +1,6 @@
 //! What hosts know of the engines is always one state that the orderer had, whichever relays they heard it through.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::ledger::EngineChanges;
 use crate::ordering::published::{EngineView, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
@@ -8,7 +8,7 @@
 use crate::upstreams::Lifetime;
 use arbtest::arbitrary::{Result, Unstructured};
 
-type State = Vec<(Lifetime, Vec<ModelAsk>)>;
+type State = Vec<(Lifetime, Vec<ModelRef>)>;
 
 fn engine(n: u8) -> Lifetime {
     Lifetime {
@@ -20,7 +20,7 @@
 fn view(n: u8, model: &str) -> EngineView {
     EngineView {
         engine: engine(n),
-        held: vec![ModelAsk {
+        held: vec![ModelRef {
             model: model.into(),
             adapter: None,
         }],
--- a/src/ordering/tests/view.rs
+++ b/src/ordering/tests/view.rs
@@ -1,13 +1,13 @@
 //! What a host believes of engines when the orderer's word and the engines' own differ.
 
 use super::fake_engine::only_start;
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::published::{EngineView, EnginesNews, EnginesVersion};
 use crate::ordering::view::View;
 use crate::prelude::*;
 
-fn ask(model: &str) -> ModelAsk {
-    ModelAsk {
+fn ask(model: &str) -> ModelRef {
+    ModelRef {
         model: model.into(),
         adapter: None,
     }
--- a/src/ordering/view.rs
+++ b/src/ordering/view.rs
@@ -1,6 +1,6 @@
 //! What the orderer tells every host.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::published::{EnginesNews, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -23,9 +23,9 @@
     pub answers: u64,
     engines: PublishedEngines,
     work: IndexMap<Name, Work>,
-    ready_at: IndexMap<ModelAsk, Millis>,
+    ready_at: IndexMap<ModelRef, Millis>,
     separate: IndexSet<Name>,
-    lacking: IndexMap<(Name, ModelAsk), Lacking>,
+    lacking: IndexMap<(Name, ModelRef), Lacking>,
 }
 
 /// When an engine said that it lacks a model, and the version of the word that had it there.
@@ -72,7 +72,7 @@
     }
 
     /// Takes when models are expected to be ready.
-    pub fn take_ready(&mut self, now: Millis, ready_in_ms: Vec<(ModelAsk, Millis)>) {
+    pub fn take_ready(&mut self, now: Millis, ready_in_ms: Vec<(ModelRef, Millis)>) {
         self.ready_at = ready_in_ms
             .into_iter()
             .map(|(ask, in_ms)| (ask, now + in_ms))
@@ -80,7 +80,7 @@
     }
 
     /// Takes note that an engine said it lacks a model.
-    pub fn note_lacking(&mut self, now: Millis, upstream: &Name, ask: &ModelAsk) {
+    pub fn note_lacking(&mut self, now: Millis, upstream: &Name, ask: &ModelRef) {
         self.lacking
             .retain(|_, lacking| now.since(lacking.at) < LACKING_BY_OLD_WORD_MS);
         let lacking = Lacking {
@@ -93,17 +93,17 @@
 
     /// Tells whether an engine holds a model, by the orderer's word; nothing when the orderer does not know this start of
     /// the engine.
-    pub fn holds(&self, upstream: &Lifetime, ask: &ModelAsk) -> Option<bool> {
+    pub fn holds(&self, upstream: &Lifetime, ask: &ModelRef) -> Option<bool> {
         Some(self.engines.held(upstream)?.contains(ask))
     }
 
     /// Returns the engines that hold a model by the orderer's word.
-    pub fn holders<'a>(&'a self, ask: &'a ModelAsk) -> impl Iterator<Item = &'a Lifetime> {
+    pub fn holders<'a>(&'a self, ask: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
         self.engines.holders(ask)
     }
 
     /// Tells whether an engine said that it lacks a model, a moment ago or since a word of the orderer that is old.
-    pub fn is_lacking(&self, now: Millis, upstream: &Name, ask: &ModelAsk) -> bool {
+    pub fn is_lacking(&self, now: Millis, upstream: &Name, ask: &ModelRef) -> bool {
         let key = (upstream.clone(), ask.clone());
         let Some(lacking) = self.lacking.get(&key) else {
             return false;
@@ -129,7 +129,7 @@
     }
 
     /// Returns how long until models are expected to be ready.
-    pub fn ready_in_ms(&self, now: Millis) -> Vec<(ModelAsk, Millis)> {
+    pub fn ready_in_ms(&self, now: Millis) -> Vec<(ModelRef, Millis)> {
         let ready_at = self.ready_at.iter();
         ready_at
             .map(|(ask, at)| (ask.clone(), at.since(now)))
@@ -142,7 +142,7 @@
     }
 
     /// Returns when a model is expected to be ready.
-    pub fn ready_at(&self, ask: &ModelAsk) -> Option<Millis> {
+    pub fn ready_at(&self, ask: &ModelRef) -> Option<Millis> {
         self.ready_at.get(ask).copied()
     }
 }
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -1,6 +1,6 @@
 //! The list of upstreams with its changes, outages and lifetimes.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::prelude::*;
 use crate::routing::roles::is_long;
 use crate::upstreams::index::ListIndex;
@@ -76,10 +76,10 @@
     }
 
     /// Tells whether its entry says that the engine holds these models and adapters, and no others.
-    pub fn holds_just(&self, asks: &[ModelAsk]) -> bool {
+    pub fn holds_just(&self, asks: &[ModelRef]) -> bool {
         let models = self.entry.models.iter();
         let listed: usize = models.map(|held| 1 + held.adapters.len()).sum();
-        let holds = |ask: &ModelAsk| self.holds(&ask.model, ask.adapter.as_deref());
+        let holds = |ask: &ModelRef| self.holds(&ask.model, ask.adapter.as_deref());
         listed == asks.len() && asks.iter().all(holds)
     }
 }
