--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -8,7 +8,7 @@
 use crate::entry::lines;
 use crate::entry::list_copy::{self, ListCopy};
 use crate::entry::platform::{
-    ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
+    ChangesQuery, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
 use crate::entry::sources::{Sources, is_source};
 use crate::entry::table_rows::{
@@ -457,7 +457,7 @@
     size: PageSize,
 ) -> Result<bool, StoreError> {
     let asked_at = host.now();
-    let ask = ChangesAsk {
+    let ask = ChangesQuery {
         from,
         wait_ms: next_wait_ms(host, cursor),
         answer_ms: ANSWER_MS,
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -155,7 +155,7 @@
 
 /// The parameters of one read of a table's changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ChangesAsk {
+pub struct ChangesQuery {
     /// The offset of the first change to return.
     pub from: Offset,
     /// How long the store waits for a change at the table's end.
@@ -291,7 +291,7 @@
     fn follow_table(
         &self,
         table: Table,
-        ask: ChangesAsk,
+        ask: ChangesQuery,
     ) -> impl Future<Output = Result<TablePage, StoreError>>;
 
     /// Joins the group of hosts, or renews this host's membership. The group drops a member that
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -206,7 +206,7 @@
         })
     }
 
-    async fn follow_table(&self, table: Table, ask: ChangesAsk) -> Result<TablePage, StoreError> {
+    async fn follow_table(&self, table: Table, ask: ChangesQuery) -> Result<TablePage, StoreError> {
         let from = ask.from;
         let most = match ask.size {
             PageSize::Full => usize::MAX,
