--- a/src/entry/tries.rs
+++ b/src/entry/attempts.rs
@@ -16,7 +16,7 @@
 
 /// The attempts of one request so far.
 #[derive(Default)]
-pub struct Tries {
+pub struct Attempts {
     /// The number of sends of which at least one byte was sent.
     pub sends: u32,
     /// The number of attempts that may have run the request.
@@ -31,7 +31,7 @@
     pub failure: Option<Box<StartedAnswer>>,
 }
 
-impl Tries {
+impl Attempts {
     /// Excludes an upstream from further attempts, for example after nothing could be sent to it.
     pub fn exclude(&mut self, upstream: Name) {
         self.excluded.push(upstream);
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -2,11 +2,11 @@
 
 use crate::desired::CallerLimits;
 use crate::entry::active_request;
+use crate::entry::attempts::BUSY_RETRY_AFTER_MS;
 use crate::entry::course::{AnswerEnd, CourseLog};
 use crate::entry::forward;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
-use crate::entry::tries::BUSY_RETRY_AFTER_MS;
 use crate::http1::client::{prepare, within};
 use crate::http1::{
     BodyReader, Connection, HeadError, Headers, ReadError, RequestHead, ResponseHead,
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,9 +1,9 @@
 //! Chooses the upstream for a request's next attempt, from this host's view of the upstreams.
 
 use crate::entry::active_request::ActiveRequest;
+use crate::entry::attempts::Attempts;
 use crate::entry::host::Host;
 use crate::entry::platform::{ModelRef, Platform, RequestFacts};
-use crate::entry::tries::Tries;
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::routing::pick::{self, ModelCopies, PromptShape};
@@ -17,7 +17,7 @@
 pub fn choose<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    attempts: &Tries,
+    attempts: &Attempts,
 ) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -6,6 +6,7 @@
 
 use crate::desired::Repeat;
 use crate::entry::active_request::ActiveRequest;
+use crate::entry::attempts::Attempts;
 use crate::entry::caller::CallerSide;
 use crate::entry::choice::{choose, prefix_source};
 use crate::entry::course::{AnswerEnd, CourseLog};
@@ -15,7 +16,6 @@
 use crate::entry::platform::{Platform, SendFacts};
 use crate::entry::relay::{self, Relayed};
 use crate::entry::send::{self, Sent, StartedAnswer};
-use crate::entry::tries::Tries;
 use crate::entry::upstream_limits;
 use crate::entry::waiting::{late_start_refusal, wait_for_turn, wait_for_upstream};
 use crate::prelude::*;
@@ -41,7 +41,7 @@
     };
     host.note_request(&request.service);
     let _in_demand = DemandCount::new(host, request);
-    let mut attempts = Tries::default();
+    let mut attempts = Attempts::default();
     loop {
         let now = host.now();
         if now + ANSWER_MARGIN_MS >= request.ends_at {
@@ -120,7 +120,7 @@
     request: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-    mut attempts: Tries,
+    mut attempts: Attempts,
 ) -> AnswerEnd {
     if let Some(answer) = attempts.failure.take()
         && let Some(ended) = finish(host, request, out, log, &mut attempts, answer).await
@@ -137,7 +137,7 @@
     request: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-    attempts: &mut Tries,
+    attempts: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> Option<AnswerEnd> {
     log.course.status = answer.head.status;
@@ -239,7 +239,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     upstream: &Name,
-    attempts: &Tries,
+    attempts: &Attempts,
     log: &mut CourseLog<'_, P>,
     resume_after: Option<&str>,
 ) -> Sent {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -5,6 +5,7 @@
 //! across a wait. What the platform calls things is behind [`platform::Platform`].
 
 pub mod active_request;
+pub mod attempts;
 pub mod budgeted_log;
 pub mod caller;
 pub mod choice;
@@ -36,7 +37,6 @@
 pub mod stop;
 pub mod sync;
 pub mod table_rows;
-pub mod tries;
 pub mod upstream_limits;
 pub mod waiting;
 
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -2,6 +2,7 @@
 
 use crate::desired::Repeat;
 use crate::entry::active_request::ActiveRequest;
+use crate::entry::attempts::Attempts;
 use crate::entry::caller::{BodyForm, CallerSide};
 use crate::entry::choice::choose;
 use crate::entry::course::CourseLog;
@@ -12,7 +13,6 @@
 use crate::entry::lines;
 use crate::entry::platform::Platform;
 use crate::entry::send::{Sent, StartedAnswer, keep, note_failure};
-use crate::entry::tries::Tries;
 use crate::entry::upstream_limits;
 use crate::http1::client::within;
 use crate::http1::{Framing, ReadError};
@@ -41,7 +41,7 @@
     ask: &ActiveRequest,
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
-    tries: &mut Tries,
+    tries: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> Relayed {
     if answer.reader.is_done() {
@@ -155,7 +155,7 @@
 struct EventRelay<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a ActiveRequest,
-    tries: &'a mut Tries,
+    tries: &'a mut Attempts,
     buffer: Vec<u8>,
     last_event_id: Option<String>,
     begun: bool,
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -2,12 +2,12 @@
 //! reads no other long prompt.
 
 use crate::entry::active_request::ActiveRequest;
+use crate::entry::attempts::{Attempts, BUSY_RETRY_AFTER_MS, RETRY_AFTER_MS};
 use crate::entry::choice::choose;
 use crate::entry::course::CourseLog;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::entry::sync;
-use crate::entry::tries::{BUSY_RETRY_AFTER_MS, RETRY_AFTER_MS, Tries};
 use crate::http1::client::within;
 use crate::prelude::*;
 use crate::routing::roles::is_long;
@@ -40,7 +40,7 @@
 pub async fn wait_for_upstream<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    attempts: &mut Tries,
+    attempts: &mut Attempts,
     log: &mut CourseLog<'_, P>,
 ) -> Result<(), Refusal> {
     let began_at = host.now();
@@ -57,7 +57,7 @@
 async fn wait<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    attempts: &mut Tries,
+    attempts: &mut Attempts,
     began_at: Millis,
 ) -> Result<(), Refusal> {
     let until = wait_deadline(host, request, began_at)?;
@@ -96,7 +96,7 @@
 pub async fn wait_for_turn<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    attempts: &Tries,
+    attempts: &Attempts,
     log: &mut CourseLog<'_, P>,
 ) -> Option<Name> {
     if !request.at_engine || !is_long(request.facts.prompt_tokens) || attempts.sends > 0 {
