--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -15,7 +15,7 @@
 use crate::entry::limits::Charge;
 use crate::entry::platform::{Platform, SendFacts};
 use crate::entry::relay::{self, Relayed};
-use crate::entry::send::{self, Sent, StartedAnswer};
+use crate::entry::send::{self, SendOutcome, StartedAnswer};
 use crate::entry::upstream_limits;
 use crate::entry::waiting::{late_start_refusal, wait_for_turn, wait_for_upstream};
 use crate::prelude::*;
@@ -81,28 +81,28 @@
         }
         charge.note_send();
         let sent = try_upstream(host, request, &upstream, &attempts, log, None).await;
-        if matches!(sent, Sent::NotSent | Sent::NotRun { .. }) {
+        if matches!(sent, SendOutcome::NotSent | SendOutcome::NotRun { .. }) {
             charge.note_not_run();
         }
         match sent {
-            Sent::Answered(answer) if attempts.prefers_another(host, request, &answer) => {
+            SendOutcome::Answered(answer) if attempts.prefers_another(host, request, &answer) => {
                 attempts.keep_failure(answer);
             }
-            Sent::Answered(answer) => {
+            SendOutcome::Answered(answer) => {
                 if let Some(ended) = finish(host, request, out, log, &mut attempts, answer).await {
                     return ended;
                 }
                 attempts.note_perhaps_run(upstream);
             }
-            Sent::NotSent => attempts.exclude(upstream),
-            Sent::NotRun { lacks_model, .. } => {
+            SendOutcome::NotSent => attempts.exclude(upstream),
+            SendOutcome::NotRun { lacks_model, .. } => {
                 if let (true, Some(model)) = (lacks_model, &request.facts.model) {
                     let mut view = host.view.borrow_mut();
                     view.note_lacking(host.now(), &upstream, model);
                 }
                 attempts.note_not_run(upstream);
             }
-            Sent::PerhapsRun => {
+            SendOutcome::PerhapsRun => {
                 attempts.note_perhaps_run(upstream);
             }
         }
@@ -242,7 +242,7 @@
     attempts: &Attempts,
     log: &mut CourseLog<'_, P>,
     resume_after: Option<&str>,
-) -> Sent {
+) -> SendOutcome {
     log.course.note_send(upstream);
     let now = host.now();
     let left_ms = request.ends_at.since(now);
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -12,7 +12,7 @@
 use crate::entry::limits;
 use crate::entry::lines;
 use crate::entry::platform::Platform;
-use crate::entry::send::{Sent, StartedAnswer, keep, note_failure};
+use crate::entry::send::{SendOutcome, StartedAnswer, keep, note_failure};
 use crate::entry::upstream_limits;
 use crate::http1::client::within;
 use crate::http1::{Framing, ReadError};
@@ -350,15 +350,17 @@
             let (host, ask, after) = (self.host, self.ask, Some(&*after));
             limits::note_extra_run(host, ask);
             match try_upstream(host, ask, &upstream, self.tries, log, after).await {
-                Sent::Answered(answer) if answer.head.status == 200 => {
+                SendOutcome::Answered(answer) if answer.head.status == 200 => {
                     resumed = Some(answer);
                     break;
                 }
-                Sent::Answered(_) | Sent::PerhapsRun => {
+                SendOutcome::Answered(_) | SendOutcome::PerhapsRun => {
                     self.tries.note_perhaps_run(upstream);
                     break;
                 }
-                Sent::NotRun { .. } | Sent::NotSent => self.tries.note_not_run(upstream),
+                SendOutcome::NotRun { .. } | SendOutcome::NotSent => {
+                    self.tries.note_not_run(upstream)
+                }
             }
         }
         let line = ResumeLine {
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -36,7 +36,7 @@
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// How one send of a request to an upstream ended.
-pub enum Sent {
+pub enum SendOutcome {
     /// No byte of the request was sent.
     NotSent,
     /// The upstream says that it did not run the request.
@@ -50,7 +50,7 @@
     Answered(Box<StartedAnswer>),
 }
 
-impl Sent {
+impl SendOutcome {
     /// Returns the outcome's name for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
@@ -103,14 +103,14 @@
     upstream: &Name,
     headers: Headers,
     answer_by: Millis,
-) -> Sent {
+) -> SendOutcome {
     let known = host
         .upstreams
         .borrow()
         .get(upstream)
         .map(Upstream::lifetime);
     let Some(lifetime) = known else {
-        return Sent::NotSent;
+        return SendOutcome::NotSent;
     };
     let upstream = &lifetime;
     let mut attempt = Attempt {
@@ -122,7 +122,7 @@
     };
     let Some(mut connection) = connect(host, request, upstream, answer_by).await else {
         attempt.log("not_sent", None, Some("cannot connect"));
-        return Sent::NotSent;
+        return SendOutcome::NotSent;
     };
     attempt.reused = connection.is_reused;
     let mut in_flight = InFlight::new(
@@ -145,7 +145,7 @@
             note_failure(host, upstream, now, unreachable);
         }
         attempt.log("perhaps_run", None, Some(why));
-        Sent::PerhapsRun
+        SendOutcome::PerhapsRun
     };
     match answer {
         None => {
@@ -168,7 +168,7 @@
             if let Some(other) = &facts.other_lifetime {
                 end_lifetime(host, upstream, other);
                 attempt.log("not_run", status, Some("another lifetime"));
-                return Sent::NotRun { lacks_model: false };
+                return SendOutcome::NotRun { lacks_model: false };
             }
             if facts.not_run {
                 keep(host, &upstream.id, connection, &head, reader);
@@ -176,7 +176,7 @@
                 if request.at_engine && !facts.lacks_model {
                     note_full(host, request, upstream, now);
                 }
-                return Sent::NotRun {
+                return SendOutcome::NotRun {
                     lacks_model: facts.lacks_model,
                 };
             }
@@ -190,7 +190,7 @@
                 true => note_failure(host, upstream, now, false),
                 false => note_success(host, upstream, now),
             }
-            Sent::Answered(Box::new(StartedAnswer {
+            SendOutcome::Answered(Box::new(StartedAnswer {
                 upstream: upstream.clone(),
                 head,
                 begun,
