--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -102,7 +102,7 @@
                 }
                 attempts.note_not_run(upstream);
             }
-            SendOutcome::PerhapsRun => {
+            SendOutcome::MayHaveRun => {
                 attempts.note_perhaps_run(upstream);
             }
         }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -354,7 +354,7 @@
                     resumed = Some(answer);
                     break;
                 }
-                SendOutcome::Answered(_) | SendOutcome::PerhapsRun => {
+                SendOutcome::Answered(_) | SendOutcome::MayHaveRun => {
                     self.tries.note_perhaps_run(upstream);
                     break;
                 }
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -45,7 +45,7 @@
         lacks_model: bool,
     },
     /// There is no usable answer, and the upstream may have run the request.
-    PerhapsRun,
+    MayHaveRun,
     /// The answer began; its status may be a failure.
     Answered(Box<StartedAnswer>),
 }
@@ -57,7 +57,7 @@
             Self::NotSent => "not_sent",
             Self::NotRun { lacks_model: true } => "lacks_model",
             Self::NotRun { lacks_model: false } => "not_run",
-            Self::PerhapsRun => "perhaps_run",
+            Self::MayHaveRun => "perhaps_run",
             Self::Answered(answer) if answer.head.status >= 500 => "failed",
             Self::Answered(_) => "answered",
         }
@@ -145,7 +145,7 @@
             note_failure(host, upstream, now, unreachable);
         }
         attempt.log("perhaps_run", None, Some(why));
-        SendOutcome::PerhapsRun
+        SendOutcome::MayHaveRun
     };
     match answer {
         None => {
