--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -3,10 +3,10 @@
 use crate::desired::CallerLimits;
 use crate::entry::active_request;
 use crate::entry::attempts::BUSY_RETRY_AFTER_MS;
-use crate::entry::course::{AnswerEnd, CourseLog};
 use crate::entry::forward;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
+use crate::entry::request_log::{AnswerEnd, RequestLog};
 use crate::http1::client::{prepare, within};
 use crate::http1::{
     BodyReader, Connection, HeadError, Headers, ReadError, RequestHead, ResponseHead,
@@ -108,7 +108,7 @@
         return false;
     };
     let arrived_at = host.now();
-    let mut log = CourseLog::new(host, arrived_at);
+    let mut log = RequestLog::new(host, arrived_at);
     let mut held = HeldBody::new(host);
     let read = match read {
         Ok(head) => read_body(connection, side, &head, limits, &mut held)
@@ -142,7 +142,7 @@
     body: Vec<u8>,
     arrived_at: Millis,
     side: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
 ) -> AnswerEnd {
     match active_request::prepare(host, head, body, arrived_at) {
         Ok(request) if !host.accepts_requests() => {
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -9,12 +9,12 @@
 use crate::entry::attempts::Attempts;
 use crate::entry::caller::CallerSide;
 use crate::entry::choice::{choose, prefix_source};
-use crate::entry::course::{AnswerEnd, CourseLog};
 use crate::entry::crashes;
 use crate::entry::host::Host;
 use crate::entry::limits::Charge;
 use crate::entry::platform::{Platform, SendFacts};
 use crate::entry::relay::{self, Relayed};
+use crate::entry::request_log::{AnswerEnd, RequestLog};
 use crate::entry::send::{self, SendOutcome, StartedAnswer};
 use crate::entry::upstream_limits;
 use crate::entry::waiting::{late_start_refusal, wait_for_turn, wait_for_upstream};
@@ -33,7 +33,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
 ) -> AnswerEnd {
     let mut charge = match Charge::take(host, request).await {
         Ok(charge) => charge,
@@ -119,7 +119,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     mut attempts: Attempts,
 ) -> AnswerEnd {
     if let Some(answer) = attempts.failure.take()
@@ -136,7 +136,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     attempts: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> Option<AnswerEnd> {
@@ -167,7 +167,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     refusal: Refusal,
 ) -> AnswerEnd {
     let left_ms = request.ends_at.since(host.now());
@@ -184,7 +184,7 @@
     host: &Host<P>,
     request_id: Option<&str>,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     refusal: &Refusal,
 ) -> AnswerEnd {
     let line = refusal.kind.answer();
@@ -240,7 +240,7 @@
     request: &ActiveRequest,
     upstream: &Name,
     attempts: &Attempts,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     resume_after: Option<&str>,
 ) -> SendOutcome {
     log.course.note_send(upstream);
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -5,13 +5,13 @@
 use crate::entry::attempts::Attempts;
 use crate::entry::caller::{BodyForm, CallerSide};
 use crate::entry::choice::choose;
-use crate::entry::course::CourseLog;
 use crate::entry::crashes;
 use crate::entry::forward::try_upstream;
 use crate::entry::host::Host;
 use crate::entry::limits;
 use crate::entry::lines;
 use crate::entry::platform::Platform;
+use crate::entry::request_log::RequestLog;
 use crate::entry::send::{SendOutcome, StartedAnswer, keep, note_failure};
 use crate::entry::upstream_limits;
 use crate::http1::client::within;
@@ -40,7 +40,7 @@
     host: &Host<P>,
     ask: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     tries: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> Relayed {
@@ -69,7 +69,7 @@
     host: &Host<P>,
     ask: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     answer: Box<StartedAnswer>,
 ) -> Relayed {
     let StartedAnswer {
@@ -99,7 +99,7 @@
     host: &Host<P>,
     ask: &ActiveRequest,
     out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
     mut answer: Box<StartedAnswer>,
 ) -> Relayed {
     let form = match answer.head.framing {
@@ -145,7 +145,7 @@
     }
 }
 
-fn note_first_byte<P: Platform>(host: &Host<P>, ask: &ActiveRequest, log: &mut CourseLog<'_, P>) {
+fn note_first_byte<P: Platform>(host: &Host<P>, ask: &ActiveRequest, log: &mut RequestLog<'_, P>) {
     let took_ms = host.now().since(ask.arrived_at);
     log.course.first_byte_ms.get_or_insert(took_ms);
 }
@@ -183,7 +183,7 @@
     async fn run(
         mut self,
         out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        log: &mut RequestLog<'_, P>,
         mut answer: Box<StartedAnswer>,
     ) -> Relayed {
         self.buffer = std::mem::take(&mut answer.begun);
@@ -235,7 +235,7 @@
     async fn write_events(
         &mut self,
         out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        log: &mut RequestLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
         let Some(end) = end_of_events(&self.buffer) else {
@@ -258,7 +258,7 @@
     async fn begin(
         &mut self,
         out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        log: &mut RequestLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
         if std::mem::replace(&mut self.begun, true) {
@@ -277,7 +277,7 @@
     async fn finish(
         mut self,
         out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        log: &mut RequestLog<'_, P>,
         answer: Box<StartedAnswer>,
     ) -> Relayed {
         let rest = std::mem::take(&mut self.buffer);
@@ -325,7 +325,7 @@
         &mut self,
         from: &Name,
         why: &'static str,
-        log: &mut CourseLog<'_, P>,
+        log: &mut RequestLog<'_, P>,
     ) -> Option<Box<StartedAnswer>> {
         if !self.may_resume() {
             return None;
--- a/src/entry/course.rs
+++ b/src/entry/request_log.rs
@@ -17,7 +17,7 @@
 
 /// The fields of a request's log line, filled in while the request is served.
 #[derive(Debug, Default, Serialize)]
-pub struct Course {
+pub struct RequestSummary {
     /// The request's id.
     pub request: Option<Name>,
     /// The digest that is equal for repeats of the request.
@@ -59,29 +59,29 @@
 
 /// Writes a request's log line and counts it in the metrics when it is dropped, however the request
 /// ended.
-pub struct CourseLog<'a, P: Platform> {
+pub struct RequestLog<'a, P: Platform> {
     host: &'a Host<P>,
     arrived_at: Millis,
     /// The fields of the log line.
-    pub course: Course,
+    pub course: RequestSummary,
     /// How the request ended; none if the caller disconnected before.
     pub outcome: Option<&'static str>,
 }
 
-impl<'a, P: Platform> CourseLog<'a, P> {
+impl<'a, P: Platform> RequestLog<'a, P> {
     /// Counts a request that arrived at `arrived_at` as active, until this is dropped.
     pub fn new(host: &'a Host<P>, arrived_at: Millis) -> Self {
         host.active_requests.set(host.active_requests.get() + 1);
         Self {
             host,
             arrived_at,
-            course: Course::default(),
+            course: RequestSummary::default(),
             outcome: None,
         }
     }
 }
 
-impl Course {
+impl RequestSummary {
     /// Adds a send to an upstream that begins, with the outcome `under_way`.
     pub fn note_send(&mut self, upstream: &Name) {
         self.sends.push((upstream.clone(), "under_way"));
@@ -95,13 +95,13 @@
     }
 }
 
-impl<P: Platform> Drop for CourseLog<'_, P> {
+impl<P: Platform> Drop for RequestLog<'_, P> {
     fn drop(&mut self) {
         let host = self.host;
         host.active_requests.set(host.active_requests.get() - 1);
         self.course.whole_ms = host.now().since(self.arrived_at);
         let outcome = self.outcome.unwrap_or("caller_gone");
-        let Course {
+        let RequestSummary {
             first_byte_ms,
             whole_ms,
             ..
--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -3,7 +3,7 @@
 use super::fake_upstream::Step::{Close, Hang, Wait, Write};
 use super::site::{Site, entry, on_site, route};
 use crate::desired::{Repeat, Route};
-use crate::entry::course::Course;
+use crate::entry::request_log::RequestSummary;
 use crate::prelude::*;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -299,7 +299,7 @@
 
 #[test]
 fn the_log_line_names_the_upstream_of_a_send_that_has_no_outcome_yet() {
-    let mut course = Course::default();
+    let mut course = RequestSummary::default();
     course.note_send(&Name::from("u1"));
     assert_eq!(course.sends, [("u1".into(), "under_way")]);
     course.note_result("answered");
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -4,9 +4,9 @@
 use crate::entry::active_request::ActiveRequest;
 use crate::entry::attempts::{Attempts, BUSY_RETRY_AFTER_MS, RETRY_AFTER_MS};
 use crate::entry::choice::choose;
-use crate::entry::course::CourseLog;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
+use crate::entry::request_log::RequestLog;
 use crate::entry::sync;
 use crate::http1::client::within;
 use crate::prelude::*;
@@ -41,7 +41,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     attempts: &mut Attempts,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
 ) -> Result<(), Refusal> {
     let began_at = host.now();
     let has_failed = !attempts.excluded.is_empty();
@@ -97,7 +97,7 @@
     host: &Host<P>,
     request: &ActiveRequest,
     attempts: &Attempts,
-    log: &mut CourseLog<'_, P>,
+    log: &mut RequestLog<'_, P>,
 ) -> Option<Name> {
     if !request.at_engine || !is_long(request.facts.prompt_tokens) || attempts.sends > 0 {
         return None;
