--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -146,25 +146,25 @@
 ) -> AnswerEnd {
     match active_request::prepare(host, head, body, arrived_at) {
         Ok(request) if !host.accepts_requests() => {
-            log.course.request = request.facts.id.clone();
+            log.summary.request = request.facts.id.clone();
             let refusal =
                 Refusal::new(ErrorKind::Stopping, "this host is about to end").after(Millis::ZERO);
             forward::answer_refusal(host, request.facts.id.as_deref(), side, log, &refusal).await
         }
         Ok(request) => {
-            log.course.request = request.facts.id.clone();
-            log.course.digest = Some(request.digest);
-            log.course.organisation = request.organisation().cloned();
-            log.course.route = Some(request.route.name.clone());
-            log.course.version = request.version;
-            log.course.model = request.facts.model.clone();
-            log.course.prompt_tokens = request.facts.prompt_tokens;
-            log.course.wait_ms = request.facts.wait_ms;
+            log.summary.request = request.facts.id.clone();
+            log.summary.digest = Some(request.digest);
+            log.summary.organisation = request.organisation().cloned();
+            log.summary.route = Some(request.route.name.clone());
+            log.summary.version = request.version;
+            log.summary.model = request.facts.model.clone();
+            log.summary.prompt_tokens = request.facts.prompt_tokens;
+            log.summary.wait_ms = request.facts.wait_ms;
             forward::serve(host, &request, side, log).await
         }
         Err(refused) => {
             let (refusal, facts) = *refused;
-            log.course.request = facts.id.clone();
+            log.summary.request = facts.id.clone();
             forward::answer_refusal(host, facts.id.as_deref(), side, log, &refusal).await
         }
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -140,11 +140,11 @@
     attempts: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> Option<AnswerEnd> {
-    log.course.status = answer.head.status;
+    log.summary.status = answer.head.status;
     let relayed = relay::relay(host, request, out, log, attempts, answer).await;
     match relayed {
         Relayed::Whole => {
-            if log.course.status < 500 {
+            if log.summary.status < 500 {
                 crashes::note_completed(host, request);
             }
             log.outcome = Some("answered");
@@ -152,11 +152,11 @@
         }
         Relayed::Broken(why) => {
             log.outcome = Some("broken");
-            log.course.why = Some(why);
+            log.summary.why = Some(why);
             Some(AnswerEnd::Broken)
         }
         Relayed::NotBegun(why) => {
-            log.course.why = Some(why);
+            log.summary.why = Some(why);
             None
         }
     }
@@ -188,9 +188,9 @@
     refusal: &Refusal,
 ) -> AnswerEnd {
     let line = refusal.kind.answer();
-    log.course.status = line.status;
-    log.course.why = Some(refusal.kind.name());
-    log.course.come_back_ms = refusal.retry_after_ms;
+    log.summary.status = line.status;
+    log.summary.why = Some(refusal.kind.name());
+    log.summary.come_back_ms = refusal.retry_after_ms;
     log.outcome = Some(match refusal.ran {
         crate::error::Ran::NotRun => "refused",
         crate::error::Ran::Unknown => "failed",
@@ -243,7 +243,7 @@
     log: &mut RequestLog<'_, P>,
     resume_after: Option<&str>,
 ) -> SendOutcome {
-    log.course.note_send(upstream);
+    log.summary.note_send(upstream);
     let now = host.now();
     let left_ms = request.ends_at.since(now);
     let mut headers = request.head.headers.clone();
@@ -264,7 +264,7 @@
         _ => request.ends_at - ANSWER_MARGIN_MS,
     };
     let sent = send::send(host, request, upstream, headers, answer_by).await;
-    log.course.note_result(sent.name());
+    log.summary.note_result(sent.name());
     host.metrics.count_send(sent.name());
     sent
 }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -147,7 +147,7 @@
 
 fn note_first_byte<P: Platform>(host: &Host<P>, ask: &ActiveRequest, log: &mut RequestLog<'_, P>) {
     let took_ms = host.now().since(ask.arrived_at);
-    log.course.first_byte_ms.get_or_insert(took_ms);
+    log.summary.first_byte_ms.get_or_insert(took_ms);
 }
 
 /// Passes a stream of events on. Only whole events are written, so that a resumed stream can go on after
@@ -247,10 +247,10 @@
             self.last_event_id = Some(id);
         }
         self.begin(out, log, answer).await?;
-        log.course.events += count_events(&events);
+        log.summary.events += count_events(&events);
         let now = self.host.now();
         let gap_ms = now.since(self.last_piece_at);
-        log.course.longest_gap_ms = log.course.longest_gap_ms.max(gap_ms);
+        log.summary.longest_gap_ms = log.summary.longest_gap_ms.max(gap_ms);
         self.last_piece_at = now;
         out.piece(&events).await
     }
--- a/src/entry/request_log.rs
+++ b/src/entry/request_log.rs
@@ -63,7 +63,7 @@
     host: &'a Host<P>,
     arrived_at: Millis,
     /// The fields of the log line.
-    pub course: RequestSummary,
+    pub summary: RequestSummary,
     /// How the request ended; none if the caller disconnected before.
     pub outcome: Option<&'static str>,
 }
@@ -75,7 +75,7 @@
         Self {
             host,
             arrived_at,
-            course: RequestSummary::default(),
+            summary: RequestSummary::default(),
             outcome: None,
         }
     }
@@ -99,13 +99,13 @@
     fn drop(&mut self) {
         let host = self.host;
         host.active_requests.set(host.active_requests.get() - 1);
-        self.course.whole_ms = host.now().since(self.arrived_at);
+        self.summary.whole_ms = host.now().since(self.arrived_at);
         let outcome = self.outcome.unwrap_or("caller_gone");
         let RequestSummary {
             first_byte_ms,
             whole_ms,
             ..
-        } = self.course;
+        } = self.summary;
         host.metrics.count_request(outcome, first_byte_ms, whole_ms);
         let event = match outcome {
             "answered" => LogEvent::RequestAnswered,
@@ -113,6 +113,6 @@
             "caller_gone" => LogEvent::CallerGone,
             _ => LogEvent::RequestFailed,
         };
-        lines::write(event, &self.course);
+        lines::write(event, &self.summary);
     }
 }
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -50,7 +50,7 @@
     }
     attempts.waited = true;
     let waited = wait(host, request, attempts, began_at).await;
-    log.course.waited_ms += host.now().since(began_at);
+    log.summary.waited_ms += host.now().since(began_at);
     waited
 }
 
@@ -115,7 +115,7 @@
         let is_fresh =
             host.view.borrow().answers > answers || now.since(began_at) >= ORDERER_ANSWER_WAIT_MS;
         if (is_fresh && reads_no_long_prompt(host, &upstream)) || now >= until {
-            log.course.turn_ms += now.since(began_at);
+            log.summary.turn_ms += now.since(began_at);
             return Some(upstream);
         }
         within(TURN_POLL_MS, change).await;
