--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -60,7 +60,7 @@
         quarantine.note_broken(now, upstream, request.digest)
     });
     if is_known_crash {
-        host.note_want();
+        host.request_sync();
         return;
     }
     match within(CRASH_CHECK_TIMEOUT_MS, host.pool.open(address)).await {
@@ -102,7 +102,7 @@
         requests: &requests,
     };
     lines::write(LogEvent::UpstreamCrashed, &line);
-    host.note_want();
+    host.request_sync();
 }
 
 /// Records that an upstream answered a request completely, which is evidence that the request does
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -49,7 +49,7 @@
     }
     in_flight.note_first_byte();
     if is_long(request.facts.prompt_tokens) {
-        host.note_want();
+        host.request_sync();
     }
     let is_short =
         matches!(head.framing, Framing::Length(length) if length <= BUFFERED_ANSWER_BYTES);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -231,7 +231,7 @@
 
     /// Wakes the task that exchanges messages with the orderer, for news that cannot wait for its
     /// next interval.
-    pub fn note_want(&self) {
+    pub fn request_sync(&self) {
         self.is_sync_requested.set(true);
         self.sync_requested.notify(usize::MAX);
     }
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -127,7 +127,7 @@
         return Ok(());
     };
     if decision.is_scarce {
-        host.note_want();
+        host.request_sync();
     }
     decision.admitted
 }
@@ -142,7 +142,7 @@
         if !wants_newer_levels() || now >= until {
             return;
         }
-        host.note_want();
+        host.request_sync();
         within(until - now, change).await;
     }
 }
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -131,7 +131,7 @@
         request.facts.prompt_tokens,
     );
     if is_long(request.facts.prompt_tokens) {
-        host.note_want();
+        host.request_sync();
     }
     let exchange = exchange(host, request, &mut connection, headers, &mut in_flight);
     let left_ms = answer_by.since(host.now());
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -52,7 +52,7 @@
     let wants = ask.demand.iter().any(|(_, count)| count.waiting > 0);
     orders.book.take(now, ask.incarnation, ask.take_report());
     if wants {
-        host.note_want();
+        host.request_sync();
     }
     orders.publish(now, &host.upstreams.borrow());
     let ready_at = orders.ready_at.iter();
@@ -79,7 +79,7 @@
     let mut gather = host.gather.borrow_mut();
     gather.take(now, ask.incarnation, ask.take_report());
     if ask.is_urgent {
-        host.note_want();
+        host.request_sync();
     }
     let view = host.view.borrow();
     let orderer = host.orders.borrow().holder().cloned();
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -34,7 +34,7 @@
     let mut limits = host.limits.borrow_mut();
     if limits.upstreams.note_answer(now, &upstream.id, per_s) {
         log_change(&upstream.id, per_s, false);
-        host.note_want();
+        host.request_sync();
     }
 }
 
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -106,7 +106,7 @@
     let until = began_at + Millis(request.route.goal_ms.0 * 2 / 5);
     let until = until.min(request.first_byte_deadline - FIRST_EVENT_MS);
     let answers = host.view.borrow().answers;
-    host.note_want();
+    host.request_sync();
     loop {
         let change = host.next_change();
         let upstream = choose(host, request, attempts)?;
@@ -120,7 +120,7 @@
         }
         within(TURN_POLL_MS, change).await;
         if is_fresh {
-            host.note_want();
+            host.request_sync();
         }
     }
 }
@@ -244,7 +244,7 @@
             if let Some(count) = host.demand.borrow_mut().count(model) {
                 count.waiting += 1;
             }
-            host.note_want();
+            host.request_sync();
         }
         Self { host, request }
     }
