--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -248,7 +248,7 @@
 
     /// Returns a listener for the next requested exchange with the orderer, for example when a
     /// request begins to wait for a model.
-    pub fn next_want(&self) -> EventListener {
+    pub fn next_sync_request(&self) -> EventListener {
         self.sync_requested.listen()
     }
 
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -162,7 +162,7 @@
     executor: Rc<LocalExecutor<'static>>,
 ) {
     loop {
-        let want = host.next_want();
+        let want = host.next_sync_request();
         Timer::after(least_plan_ms(&host).to_duration()).await;
         within(PLAN_MS, want).await;
         let now = host.now();
