--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -238,7 +238,7 @@
 
     /// Waits until an exchange with the orderer is requested, for `at_most_ms` at the longest.
     /// Returns whether one was requested, and clears the request.
-    pub async fn wait_for_news(&self, at_most_ms: Millis) -> bool {
+    pub async fn wait_for_sync_request(&self, at_most_ms: Millis) -> bool {
         let requested = self.sync_requested.listen();
         if !self.is_sync_requested.get() {
             within(at_most_ms, requested).await;
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -127,7 +127,10 @@
     loop {
         Timer::after(stretched(&host, LEAST_SYNC_MS).to_duration()).await;
         let is_urgent = match is_answered {
-            true => host.wait_for_news(interval_ms(&host, waited_for)).await,
+            true => {
+                host.wait_for_sync_request(interval_ms(&host, waited_for))
+                    .await
+            }
             false => true,
         };
         let asked_at = host.now();
