--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -198,7 +198,7 @@
     }
 
     /// Tells whether the last answer of the orderer came less than [`STALE_MS`] ago.
-    pub fn hears_orderer(&self, now: Millis) -> bool {
+    pub fn has_recent_orderer_answer(&self, now: Millis) -> bool {
         let answered_at = self.view.borrow().answered_at;
         answered_at.is_some_and(|at| now.since(at) < STALE_MS)
     }
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -96,7 +96,7 @@
 /// Tells whether this host is to look for an orderer: it hears of none, no relay looks in its place, and a read may show
 /// something new.
 fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
-    !host.hears_orderer(now)
+    !host.has_recent_orderer_answer(now)
         && !host.parents.borrow().has_answered(now)
         && host.orders.borrow().lease.is_worth_reading(now)
 }
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -139,7 +139,11 @@
 }
 
 fn role<P: Platform>(host: &Host<P>, now: Millis) -> Role {
-    match (host.is_orderer(), host.hears_orderer(now), host.is_relay()) {
+    match (
+        host.is_orderer(),
+        host.has_recent_orderer_answer(now),
+        host.is_relay(),
+    ) {
         (true, _, _) => Role::Orderer,
         (false, true, true) => Role::Relay,
         (false, true, false) => Role::Follower,
@@ -150,7 +154,7 @@
 /// Tells whether this host started a moment ago and hears no orderer. When all hosts restart at once the list has the
 /// processes before them for a second or two, and none finds a relay by it.
 fn is_new_and_alone<P: Platform>(host: &Host<P>, now: Millis) -> bool {
-    host.age_ms(now) < NEW_MS && !host.hears_orderer(now)
+    host.age_ms(now) < NEW_MS && !host.has_recent_orderer_answer(now)
 }
 
 fn take<P: Platform>(host: &Host<P>, now: Millis, generation: u64, names: &IndexSet<Name>) {
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -164,7 +164,7 @@
             is_for_orderer: true,
             ..ask
         };
-        if !host.hears_orderer(asked_at) {
+        if !host.has_recent_orderer_answer(asked_at) {
             report_to_collector(host, peers, me, asked_at, &mut ask).await;
         }
         let orderer = host.orders.borrow().holder().cloned();
