--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -275,7 +275,7 @@
 
     /// Applies a changed list of members: rebuilds the tree of relays and accepts connections from
     /// the members and the orderer.
-    pub fn accept_listed(&self) {
+    pub fn apply_member_list(&self) {
         *self.tree.borrow_mut() = Tree::new(self.members.borrow().iter());
         let orderer = self.orders.borrow().holder().cloned();
         self.accept_members(orderer.as_ref());
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -193,5 +193,5 @@
         told,
     };
     lines::write(LogEvent::MembersChanged, &line);
-    host.accept_listed();
+    host.apply_member_list();
 }
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -191,7 +191,7 @@
         let list = |others: std::ops::Range<u64>| {
             let listed = others.map(|n| member(n, "here", 120)).collect();
             host.members.borrow_mut().replace(host.now(), 2, listed);
-            host.accept_listed();
+            host.apply_member_list();
         };
         assert_eq!(relays(), Some(1), "it is listed");
         list(1_000..1_300);
--- a/src/entry/tests/relay_pair.rs
+++ b/src/entry/tests/relay_pair.rs
@@ -59,7 +59,7 @@
         for host in [&site.host, &asking] {
             let now = host.now();
             host.members.borrow_mut().replace(now, 1, list.clone());
-            host.accept_listed();
+            host.apply_member_list();
         }
         own.known.replace([me.fingerprint.clone()].into());
         let serve = peers::serve(site.host.clone(), own, site.executor.clone());
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -42,7 +42,7 @@
     let list: IndexSet<Member> = others.chain([me]).collect();
     host.members.borrow_mut().replace(host.now(), 1, list);
     host.members.borrow_mut().note_heard(host.now());
-    host.accept_listed();
+    host.apply_member_list();
     assert!(host.is_relay());
 }
 
