--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -266,7 +266,7 @@
 
     /// Accepts connections from the members, and from `orderer` even if the group does not list it
     /// yet. All other hosts are refused from now on.
-    pub fn accept_members(&self, orderer: Option<&Member>) {
+    pub fn set_accepted_peers(&self, orderer: Option<&Member>) {
         let members = self.members.borrow();
         let listed = members.iter().chain(orderer);
         self.known_hosts
@@ -278,7 +278,7 @@
     pub fn apply_member_list(&self) {
         *self.tree.borrow_mut() = Tree::new(self.members.borrow().iter());
         let orderer = self.orders.borrow().holder().cloned();
-        self.accept_members(orderer.as_ref());
+        self.set_accepted_peers(orderer.as_ref());
     }
 
     /// Begins a planned stop; further calls have no effect.
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -341,7 +341,7 @@
         lines::write(LogEvent::OrdererChanged, &OrdererLine { orderer });
         orders.noted_holder = incarnation;
     }
-    host.accept_members(holder.as_ref());
+    host.set_accepted_peers(holder.as_ref());
 }
 
 /// Reads the newest record, and takes what its writer left for all hosts.
