--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -255,7 +255,7 @@
         fetch_prefix_from: prefix_source(host, request, upstream),
         resume_after,
     };
-    host.platform.address_request(&mut headers, &facts);
+    host.platform.set_upstream_headers(&mut headers, &facts);
     let answer_by = match request.route.repeat {
         // If this upstream does not answer, there must be time left for another one.
         Repeat::Idempotent | Repeat::Resumable if attempts.runs + 1 < request.route.attempts => {
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -261,7 +261,7 @@
 
     /// Rewrites a caller's headers for an upstream: removes the headers that only hosts may set and
     /// adds this host's values.
-    fn address_request(&self, headers: &mut Headers, facts: &SendFacts<'_>);
+    fn set_upstream_headers(&self, headers: &mut Headers, facts: &SendFacts<'_>);
 
     /// Reads the platform's headers of an upstream's answer. `expected` is the id of the lifetime
     /// that the request was sent to.
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    fn address_request(&self, headers: &mut Headers, facts: &SendFacts<'_>) {
+    fn set_upstream_headers(&self, headers: &mut Headers, facts: &SendFacts<'_>) {
         headers.remove("Reserved");
         headers.remove("Wait-Ms");
         headers.push("Wait-Ms", &facts.left_ms.0.to_string());
