--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -195,7 +195,7 @@
         crate::error::Ran::NotRun => "refused",
         crate::error::Ran::Unknown => "failed",
     });
-    let headers = host.platform.own_answer(request_id);
+    let headers = host.platform.host_answer_headers(request_id);
     match out.write_refusal(refusal, headers).await {
         Ok(()) => AnswerEnd::Complete,
         Err(_) => AnswerEnd::Broken,
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -268,7 +268,7 @@
     fn read_answer(&self, head: &ResponseHead, expected: &str) -> AnswerFacts;
 
     /// Returns the headers of an answer that the host itself writes to a request with this id.
-    fn own_answer(&self, request_id: Option<&str>) -> Headers;
+    fn host_answer_headers(&self, request_id: Option<&str>) -> Headers;
 
     /// Reads a directory query; none if the request is something else.
     fn read_directory(&self, head: &RequestHead) -> Option<DirectoryQuestion>;
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    fn own_answer(&self, request_id: Option<&str>) -> Headers {
+    fn host_answer_headers(&self, request_id: Option<&str>) -> Headers {
         let mut headers = Headers::default();
         headers.push("Id", request_id.unwrap_or("none"));
         headers
