--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,7 +1,7 @@
 //! The small questions that a host answers itself: which addresses to use, whether it is ready, its metrics.
 
 use crate::entry::host::Host;
-use crate::entry::platform::{DirectoryQuestion, Platform};
+use crate::entry::platform::{DirectoryQuery, Platform};
 use crate::http1::client::{prepare, within};
 use crate::http1::{Connection, RequestHead};
 use crate::prelude::*;
@@ -115,7 +115,7 @@
 
 /// Returns the hosts' addresses, those of the caller's data centre first, in random order otherwise so that
 /// callers who take the first ones spread.
-fn addresses<P: Platform>(host: &Host<P>, question: &DirectoryQuestion) -> Vec<SocketAddr> {
+fn addresses<P: Platform>(host: &Host<P>, question: &DirectoryQuery) -> Vec<SocketAddr> {
     let own = host.settings().caller_listen;
     let members = host.members.borrow();
     let mut hosts: Vec<(bool, SocketAddr)> = members
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -83,7 +83,7 @@
 
 /// A query for the addresses of hosts that a caller should use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// The caller's data centre; empty if the query does not name it.
     pub data_centre: Name,
 }
@@ -271,7 +271,7 @@
     fn host_answer_headers(&self, request_id: Option<&str>) -> Headers;
 
     /// Reads a directory query; none if the request is something else.
-    fn read_directory(&self, head: &RequestHead) -> Option<DirectoryQuestion>;
+    fn read_directory(&self, head: &RequestHead) -> Option<DirectoryQuery>;
 
     /// Returns the JSON body of the answer to a directory query: the addresses to use, and how long
     /// callers may keep them.
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -166,8 +166,8 @@
         headers
     }
 
-    fn read_directory(&self, _head: &RequestHead) -> Option<DirectoryQuestion> {
-        Some(DirectoryQuestion::default())
+    fn read_directory(&self, _head: &RequestHead) -> Option<DirectoryQuery> {
+        Some(DirectoryQuery::default())
     }
 
     fn write_directory(&self, addresses: &[SocketAddr], _ttl_ms: Millis) -> Vec<u8> {
