--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -91,7 +91,7 @@
             }
             None => not_found(),
         },
-        Questions::Ready if host.platform.asks_ready(head) => Reply {
+        Questions::Ready if host.platform.is_readiness_probe(head) => Reply {
             status: if host.is_ready() { 200 } else { 503 },
             content_type: "text/plain",
             body: Vec::new(),
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -278,7 +278,7 @@
     fn write_directory(&self, addresses: &[SocketAddr], ttl_ms: Millis) -> Vec<u8>;
 
     /// Tells whether a request is the platform's readiness probe.
-    fn asks_ready(&self, head: &RequestHead) -> bool;
+    fn is_readiness_probe(&self, head: &RequestHead) -> bool;
 
     /// Reads a page of a table's newest rows, from the first key after `after` on.
     fn read_table(
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -174,7 +174,7 @@
         format!("{addresses:?}").into_bytes()
     }
 
-    fn asks_ready(&self, _head: &RequestHead) -> bool {
+    fn is_readiness_probe(&self, _head: &RequestHead) -> bool {
         true
     }
 
