--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -467,9 +467,9 @@
     let page = host.count_call(StoreCall::FollowTable, read).await?;
     let TablePage { rows, end, .. } = page;
     cursor.next = Some(end);
-    cursor.is_cut = page.is_cut;
+    cursor.is_cut = page.is_truncated;
     cursor.trims = 0;
-    match page.is_cut {
+    match page.is_truncated {
         true => host.followed.note_part_read(cursor.table, end),
         false => host.followed.note_read(cursor.table, asked_at, end),
     }
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -141,7 +141,7 @@
     /// The key after which to read the next page of rows; none on the last page.
     pub more_after: Option<Name>,
     /// Whether the table had more changes than fit into the page.
-    pub is_cut: bool,
+    pub is_truncated: bool,
 }
 
 /// The store's answer when a host joins the group of hosts or renews its membership.
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -202,7 +202,7 @@
                 .filter(|row| row.value != RowValue::Removed)
                 .collect(),
             end,
-            is_cut: false,
+            is_truncated: false,
         })
     }
 
@@ -230,7 +230,7 @@
                     rows,
                     end: next,
                     more_after: None,
-                    is_cut: next < end,
+                    is_truncated: next < end,
                 });
             }
             changed.await;
