--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -140,7 +140,7 @@
 }
 
 /// Returns the evidence that must survive a restart of all processes.
-pub fn lasting<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
+pub fn persistent_evidence<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
     with_quarantine(host, |quarantine, now| quarantine.lasting(now))
 }
 
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -293,7 +293,7 @@
     };
     let Some(end) = claim_end else { return Ok(()) };
     let sent_at = host.now();
-    let crashes = crashes::lasting(host);
+    let crashes = crashes::persistent_evidence(host);
     let record = host
         .orders
         .borrow_mut()
@@ -354,7 +354,7 @@
 fn learned<P: Platform>(host: &Host<P>, orders: &Orders) -> Learned {
     Learned {
         store_loads_at_once: orders.store_loads_at_once(),
-        crashes: crashes::lasting(host),
+        crashes: crashes::persistent_evidence(host),
     }
 }
 
