--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -135,7 +135,7 @@
 }
 
 /// Adds the evidence that an orderer stored with its lease for all hosts.
-pub fn take_lasting<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
+pub fn restore_evidence<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
     with_quarantine(host, |quarantine, now| quarantine.take_told(now, evidence));
 }
 
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -347,7 +347,7 @@
 /// Reads the newest record, and takes what its writer left for all hosts.
 fn take_newest<P: Platform>(host: &Host<P>, bytes: Option<Vec<u8>>) -> Option<LeaseRecord> {
     let record = read_record(&bytes?)?;
-    crashes::take_lasting(host, &record.learned.crashes);
+    crashes::restore_evidence(host, &record.learned.crashes);
     Some(record)
 }
 
