--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -21,7 +21,7 @@
     /// The head of the answer.
     pub head: ResponseHead,
     /// The bytes of the body that were read so far.
-    pub begun: Vec<u8>,
+    pub body_start: Vec<u8>,
     /// Reads the rest of the body.
     pub reader: BodyReader,
 }
@@ -43,9 +43,9 @@
     write_request(connection, &bytes).await?;
     let head = read_matching_head(host, request, connection).await?;
     let mut reader = BodyReader::new(head.framing);
-    let mut begun = Vec::new();
+    let mut body_start = Vec::new();
     if let Some(piece) = reader.next(&mut connection.io).await? {
-        begun.extend_from_slice(&piece);
+        body_start.extend_from_slice(&piece);
     }
     in_flight.note_first_byte();
     if is_long(request.facts.prompt_tokens) {
@@ -54,24 +54,24 @@
     let is_short =
         matches!(head.framing, Framing::Length(length) if length <= BUFFERED_ANSWER_BYTES);
     if !request.route.streams || is_short || head.status != 200 {
-        read_buffered(&mut reader, connection, &mut begun).await?;
+        read_buffered(&mut reader, connection, &mut body_start).await?;
     }
     Ok(Exchanged {
         head,
-        begun,
+        body_start,
         reader,
     })
 }
 
-/// Reads the body on into `begun`, to its end or until enough of it is buffered.
+/// Reads the body on into `body_start`, to its end or until enough of it is buffered.
 async fn read_buffered(
     reader: &mut BodyReader,
     connection: &mut UpstreamConnection,
-    begun: &mut Vec<u8>,
+    body_start: &mut Vec<u8>,
 ) -> Result<(), ReadError> {
-    while (begun.len() as u64) < BUFFERED_ANSWER_BYTES {
+    while (body_start.len() as u64) < BUFFERED_ANSWER_BYTES {
         match reader.next(&mut connection.io).await? {
-            Some(piece) => begun.extend_from_slice(&piece),
+            Some(piece) => body_start.extend_from_slice(&piece),
             None => return Ok(()),
         }
     }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -75,7 +75,7 @@
     let StartedAnswer {
         upstream,
         head,
-        begun,
+        body_start,
         reader,
         connection,
         in_flight,
@@ -83,10 +83,10 @@
     drop(in_flight);
     let form = match &*ask.head.method {
         "HEAD" => BodyForm::HeadOnly,
-        _ => BodyForm::Length(begun.len() as u64),
+        _ => BodyForm::Length(body_start.len() as u64),
     };
     note_first_byte(host, ask, log);
-    let written = out.write_whole(&head, form, &begun).await;
+    let written = out.write_whole(&head, form, &body_start).await;
     keep(host, &upstream.id, connection, &head, reader);
     match written {
         Ok(()) => Relayed::Whole,
@@ -107,7 +107,7 @@
         _ => BodyForm::Chunked,
     };
     note_first_byte(host, ask, log);
-    let begun = std::mem::take(&mut answer.begun);
+    let begun = std::mem::take(&mut answer.body_start);
     if out.begin(&answer.head, form).await.is_err() || out.piece(&begun).await.is_err() {
         return Relayed::Broken("the caller's connection broke");
     }
@@ -186,7 +186,7 @@
         log: &mut RequestLog<'_, P>,
         mut answer: Box<StartedAnswer>,
     ) -> Relayed {
-        self.buffer = std::mem::take(&mut answer.begun);
+        self.buffer = std::mem::take(&mut answer.body_start);
         loop {
             if self.write_events(out, log, &answer).await.is_err() {
                 return Relayed::Broken("the caller's connection broke");
@@ -204,7 +204,7 @@
                     match self.resume(&answer.upstream.id, why, log).await {
                         Some(next) => {
                             answer = next;
-                            self.buffer = std::mem::take(&mut answer.begun);
+                            self.buffer = std::mem::take(&mut answer.body_start);
                         }
                         None => return self.broken(why),
                     }
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -71,7 +71,7 @@
     /// The head of the answer.
     pub head: ResponseHead,
     /// The bytes of the body that were read so far.
-    pub begun: Vec<u8>,
+    pub body_start: Vec<u8>,
     /// Reads the rest of the body.
     pub reader: BodyReader,
     /// The connection; it can be reused only after the whole answer was read.
@@ -159,7 +159,7 @@
         Some(Err(error)) => fail(&error.to_string(), false),
         Some(Ok(Exchanged {
             head,
-            begun,
+            body_start,
             reader,
         })) => {
             let facts = host.platform.read_answer(&head, &upstream.id);
@@ -193,7 +193,7 @@
             SendOutcome::Answered(Box::new(StartedAnswer {
                 upstream: upstream.clone(),
                 head,
-                begun,
+                body_start,
                 reader,
                 connection,
                 in_flight,
