--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -12,7 +12,7 @@
 use crate::entry::lines;
 use crate::entry::platform::Platform;
 use crate::entry::request_log::RequestLog;
-use crate::entry::send::{SendOutcome, StartedAnswer, keep, note_failure};
+use crate::entry::send::{SendOutcome, StartedAnswer, note_failure, return_to_pool};
 use crate::entry::upstream_limits;
 use crate::http1::client::within;
 use crate::http1::{Framing, ReadError};
@@ -87,7 +87,7 @@
     };
     note_first_byte(host, ask, log);
     let written = out.write_whole(&head, form, &body_start).await;
-    keep(host, &upstream.id, connection, &head, reader);
+    return_to_pool(host, &upstream.id, connection, &head, reader);
     match written {
         Ok(()) => Relayed::Whole,
         Err(_) => Relayed::Broken("the caller's connection broke"),
@@ -135,7 +135,7 @@
                     connection,
                     ..
                 } = *answer;
-                keep(host, &upstream.id, connection, &head, reader);
+                return_to_pool(host, &upstream.id, connection, &head, reader);
                 return match ended {
                     Ok(()) => Relayed::Whole,
                     Err(_) => Relayed::Broken("the caller's connection broke"),
@@ -301,7 +301,7 @@
             connection,
             ..
         } = *answer;
-        keep(self.host, &upstream.id, connection, &head, reader);
+        return_to_pool(self.host, &upstream.id, connection, &head, reader);
         match written {
             Ok(()) => Relayed::Whole,
             Err(_) => Relayed::Broken("the caller's connection broke"),
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -171,7 +171,7 @@
                 return SendOutcome::NotRun { lacks_model: false };
             }
             if facts.not_run {
-                keep(host, &upstream.id, connection, &head, reader);
+                return_to_pool(host, &upstream.id, connection, &head, reader);
                 attempt.log("not_run", status, None);
                 if request.at_engine && !facts.lacks_model {
                     note_full(host, request, upstream, now);
@@ -265,7 +265,7 @@
 
 /// Returns the connection of an answer to the pool if the answer was read to its end and the
 /// connection stays open for further requests; otherwise closes it.
-pub fn keep<P: Platform>(
+pub fn return_to_pool<P: Platform>(
     host: &Host<P>,
     upstream: &Name,
     connection: UpstreamConnection,
