--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -105,7 +105,7 @@
     }
 
     /// Closes all idle connections to an upstream.
-    pub fn forget(&self, id: &str) {
+    pub fn close_idle(&self, id: &str) {
         self.idle.borrow_mut().shift_remove(id);
     }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -205,7 +205,7 @@
         host.pool.expire(now);
         let expired = host.upstreams.borrow_mut().expire(now);
         for id in &expired {
-            host.pool.forget(id);
+            host.pool.close_idle(id);
             table_rows::note_gone(id, "its entry did not come back after an outage");
         }
     }
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -151,7 +151,7 @@
         None => {
             // A request with a short timeout of its own says nothing about the upstream's health,
             // but the other connections to it may be dead as well.
-            host.pool.forget(&upstream.id);
+            host.pool.close_idle(&upstream.id);
             let is_unreachable =
                 now.since(attempt.began_at) >= UNREACHABLE_MS && !request.at_engine;
             fail(NO_ANSWER, is_unreachable)
@@ -303,7 +303,7 @@
 fn end_lifetime<P: Platform>(host: &Host<P>, upstream: &Lifetime, other: &str) {
     crashes::note_lifetime_ended(host, upstream);
     if host.upstreams.borrow_mut().end_lifetime(upstream) {
-        host.pool.forget(&upstream.id);
+        host.pool.close_idle(&upstream.id);
         let line = UpstreamLine {
             upstream: &upstream.id,
             why: "another lifetime has its address",
@@ -356,7 +356,7 @@
             true => known.health.note_unreachable(now),
         }
     };
-    host.pool.forget(&upstream.id);
+    host.pool.close_idle(&upstream.id);
     let line = UpstreamLine {
         upstream: &upstream.id,
         why: "it cannot be reached",
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -183,7 +183,7 @@
     offset: Option<Offset>,
 ) {
     if matches!(change, Change::Gone | Change::Restarted) {
-        host.pool.forget(id);
+        host.pool.close_idle(id);
         host.view.borrow_mut().forget_lacking(id);
     }
     let (event, change) = match change {
