--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -88,7 +88,7 @@
     if prepare(&stream).is_err() {
         return;
     }
-    let mut side = CallerSide {
+    let mut side = CallerWriter {
         stream: stream.clone(),
         closes: false,
         form: BodyForm::HeadOnly,
@@ -101,7 +101,7 @@
 async fn serve_request<P: Platform>(
     host: &Host<P>,
     connection: &mut Connection<TcpStream>,
-    side: &mut CallerSide,
+    side: &mut CallerWriter,
 ) -> bool {
     let limits = limits(host);
     let Some(read) = read_head(host, connection, limits).await else {
@@ -141,7 +141,7 @@
     head: RequestHead,
     body: Vec<u8>,
     arrived_at: Millis,
-    side: &mut CallerSide,
+    side: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
 ) -> AnswerEnd {
     match active_request::prepare(host, head, body, arrived_at) {
@@ -223,7 +223,7 @@
 
 async fn read_body<P: Platform>(
     connection: &mut Connection<TcpStream>,
-    side: &mut CallerSide,
+    side: &mut CallerWriter,
     head: &RequestHead,
     limits: CallerLimits,
     held: &mut HeldBody<'_, P>,
@@ -349,13 +349,13 @@
 }
 
 /// The writing half of a caller's connection.
-pub struct CallerSide {
+pub struct CallerWriter {
     stream: TcpStream,
     closes: bool,
     form: BodyForm,
 }
 
-impl CallerSide {
+impl CallerWriter {
     /// Writes the head and the body of an answer that was read to its end.
     ///
     /// # Errors
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -7,7 +7,7 @@
 use crate::desired::Repeat;
 use crate::entry::active_request::ActiveRequest;
 use crate::entry::attempts::Attempts;
-use crate::entry::caller::CallerSide;
+use crate::entry::caller::CallerWriter;
 use crate::entry::choice::{choose, prefix_source};
 use crate::entry::crashes;
 use crate::entry::host::Host;
@@ -32,7 +32,7 @@
 pub async fn serve<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
 ) -> AnswerEnd {
     let mut charge = match Charge::take(host, request).await {
@@ -118,7 +118,7 @@
 async fn end<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     mut attempts: Attempts,
 ) -> AnswerEnd {
@@ -135,7 +135,7 @@
 async fn finish<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     attempts: &mut Attempts,
     answer: Box<StartedAnswer>,
@@ -166,7 +166,7 @@
 async fn refuse<P: Platform>(
     host: &Host<P>,
     request: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     refusal: Refusal,
 ) -> AnswerEnd {
@@ -183,7 +183,7 @@
 pub async fn answer_refusal<P: Platform>(
     host: &Host<P>,
     request_id: Option<&str>,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     refusal: &Refusal,
 ) -> AnswerEnd {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -3,7 +3,7 @@
 use crate::desired::Repeat;
 use crate::entry::active_request::ActiveRequest;
 use crate::entry::attempts::Attempts;
-use crate::entry::caller::{BodyForm, CallerSide};
+use crate::entry::caller::{BodyForm, CallerWriter};
 use crate::entry::choice::choose;
 use crate::entry::crashes;
 use crate::entry::forward::try_upstream;
@@ -39,7 +39,7 @@
 pub async fn relay<P: Platform>(
     host: &Host<P>,
     ask: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     tries: &mut Attempts,
     answer: Box<StartedAnswer>,
@@ -68,7 +68,7 @@
 async fn relay_whole<P: Platform>(
     host: &Host<P>,
     ask: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     answer: Box<StartedAnswer>,
 ) -> Relayed {
@@ -98,7 +98,7 @@
 async fn relay_pieces<P: Platform>(
     host: &Host<P>,
     ask: &ActiveRequest,
-    out: &mut CallerSide,
+    out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     mut answer: Box<StartedAnswer>,
 ) -> Relayed {
@@ -182,7 +182,7 @@
 impl<P: Platform> EventRelay<'_, P> {
     async fn run(
         mut self,
-        out: &mut CallerSide,
+        out: &mut CallerWriter,
         log: &mut RequestLog<'_, P>,
         mut answer: Box<StartedAnswer>,
     ) -> Relayed {
@@ -234,7 +234,7 @@
     /// Writes the whole events of the buffer.
     async fn write_events(
         &mut self,
-        out: &mut CallerSide,
+        out: &mut CallerWriter,
         log: &mut RequestLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
@@ -257,7 +257,7 @@
 
     async fn begin(
         &mut self,
-        out: &mut CallerSide,
+        out: &mut CallerWriter,
         log: &mut RequestLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
@@ -276,7 +276,7 @@
 
     async fn finish(
         mut self,
-        out: &mut CallerSide,
+        out: &mut CallerWriter,
         log: &mut RequestLog<'_, P>,
         answer: Box<StartedAnswer>,
     ) -> Relayed {
