--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -91,7 +91,7 @@
     let mut side = CallerWriter {
         stream: stream.clone(),
         closes: false,
-        form: BodyForm::HeadOnly,
+        form: BodyFraming::HeadOnly,
     };
     let mut connection = Connection::new(stream);
     while serve_request(&host, &mut connection, &mut side).await {}
@@ -339,7 +339,7 @@
 
 /// How the end of an answer's body is marked for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyForm {
+pub enum BodyFraming {
     /// The answer has no body.
     HeadOnly,
     /// By a `Content-Length` header with this number of bytes.
@@ -352,7 +352,7 @@
 pub struct CallerWriter {
     stream: TcpStream,
     closes: bool,
-    form: BodyForm,
+    form: BodyFraming,
 }
 
 impl CallerWriter {
@@ -364,11 +364,11 @@
     pub async fn write_whole(
         &mut self,
         head: &ResponseHead,
-        form: BodyForm,
+        form: BodyFraming,
         body: &[u8],
     ) -> std::io::Result<()> {
         let mut bytes = self.head_bytes(head, form);
-        if form != BodyForm::HeadOnly {
+        if form != BodyFraming::HeadOnly {
             bytes.extend_from_slice(body);
         }
         self.stream.write_all(&bytes).await
@@ -379,7 +379,7 @@
     /// # Errors
     ///
     /// Returns why the connection broke.
-    pub async fn begin(&mut self, head: &ResponseHead, form: BodyForm) -> std::io::Result<()> {
+    pub async fn begin(&mut self, head: &ResponseHead, form: BodyFraming) -> std::io::Result<()> {
         self.form = form;
         let bytes = self.head_bytes(head, form);
         self.stream.write_all(&bytes).await
@@ -395,13 +395,13 @@
             return Ok(());
         }
         match self.form {
-            BodyForm::Chunked => {
+            BodyFraming::Chunked => {
                 let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
                 bytes.extend_from_slice(piece);
                 bytes.extend_from_slice(b"\r\n");
                 self.stream.write_all(&bytes).await
             }
-            BodyForm::Length(_) | BodyForm::HeadOnly => self.stream.write_all(piece).await,
+            BodyFraming::Length(_) | BodyFraming::HeadOnly => self.stream.write_all(piece).await,
         }
     }
 
@@ -412,8 +412,8 @@
     /// Returns why the connection broke.
     pub async fn end(&mut self) -> std::io::Result<()> {
         match self.form {
-            BodyForm::Chunked => self.stream.write_all(b"0\r\n\r\n").await,
-            BodyForm::Length(_) | BodyForm::HeadOnly => Ok(()),
+            BodyFraming::Chunked => self.stream.write_all(b"0\r\n\r\n").await,
+            BodyFraming::Length(_) | BodyFraming::HeadOnly => Ok(()),
         }
     }
 
@@ -443,20 +443,20 @@
             framing: crate::http1::Framing::Empty,
             keep_alive: true,
         };
-        self.write_whole(&head, BodyForm::Length(body.len() as u64), &body)
+        self.write_whole(&head, BodyFraming::Length(body.len() as u64), &body)
             .await
     }
 
-    fn head_bytes(&self, head: &ResponseHead, form: BodyForm) -> Vec<u8> {
+    fn head_bytes(&self, head: &ResponseHead, form: BodyFraming) -> Vec<u8> {
         let mut headers = head.headers.clone();
         headers.remove_hop_by_hop();
         match form {
-            BodyForm::HeadOnly => {}
-            BodyForm::Length(length) => {
+            BodyFraming::HeadOnly => {}
+            BodyFraming::Length(length) => {
                 headers.remove("content-length");
                 headers.push("Content-Length", &length.to_string());
             }
-            BodyForm::Chunked => {
+            BodyFraming::Chunked => {
                 headers.remove("content-length");
                 headers.push("Transfer-Encoding", "chunked");
             }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -3,7 +3,7 @@
 use crate::desired::Repeat;
 use crate::entry::active_request::ActiveRequest;
 use crate::entry::attempts::Attempts;
-use crate::entry::caller::{BodyForm, CallerWriter};
+use crate::entry::caller::{BodyFraming, CallerWriter};
 use crate::entry::choice::choose;
 use crate::entry::crashes;
 use crate::entry::forward::try_upstream;
@@ -82,8 +82,8 @@
     } = *answer;
     drop(in_flight);
     let form = match &*ask.head.method {
-        "HEAD" => BodyForm::HeadOnly,
-        _ => BodyForm::Length(body_start.len() as u64),
+        "HEAD" => BodyFraming::HeadOnly,
+        _ => BodyFraming::Length(body_start.len() as u64),
     };
     note_first_byte(host, ask, log);
     let written = out.write_whole(&head, form, &body_start).await;
@@ -103,8 +103,8 @@
     mut answer: Box<StartedAnswer>,
 ) -> Relayed {
     let form = match answer.head.framing {
-        Framing::Length(length) => BodyForm::Length(length),
-        _ => BodyForm::Chunked,
+        Framing::Length(length) => BodyFraming::Length(length),
+        _ => BodyFraming::Chunked,
     };
     note_first_byte(host, ask, log);
     let begun = std::mem::take(&mut answer.body_start);
@@ -268,8 +268,8 @@
         self.last_piece_at = self.began_at;
         note_first_byte(self.host, self.ask, log);
         let form = match answer.head.framing {
-            Framing::Length(length) => BodyForm::Length(length),
-            _ => BodyForm::Chunked,
+            Framing::Length(length) => BodyFraming::Length(length),
+            _ => BodyFraming::Chunked,
         };
         out.begin(&answer.head, form).await
     }
