--- a/src/entry/active_request.rs
+++ b/src/entry/active_request.rs
@@ -37,7 +37,7 @@
     /// When its head was read.
     pub arrived_at: Millis,
     /// The time by which the final answer must be complete.
-    pub ends_at: Millis,
+    pub deadline_at: Millis,
     /// The time at which the caller gives the request up unless the answer has begun.
     pub first_byte_deadline: Millis,
     /// The version of the desired state that was in force when the request arrived.
@@ -85,14 +85,14 @@
         &body,
     );
     let wait_ms = facts.wait_ms.unwrap_or(Millis::NEVER);
-    let ends_at = arrived_at + wait_ms.min(route.time_limit_ms);
+    let deadline_at = arrived_at + wait_ms.min(route.time_limit_ms);
     Ok(ActiveRequest {
         at_engine: table
             .services
             .get(&service)
             .is_some_and(|service| service.engine.is_some()),
-        first_byte_deadline: ends_at.min(arrived_at + first_byte_timeout_ms(&route)),
-        ends_at,
+        first_byte_deadline: deadline_at.min(arrived_at + first_byte_timeout_ms(&route)),
+        deadline_at,
         digest,
         identity,
         route,
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -82,7 +82,7 @@
     ) -> bool {
         let may_run_again =
             request.route.repeat == Repeat::Idempotent && self.runs + 1 < request.route.attempts;
-        let has_time = host.now() + request.route.goal_ms < request.ends_at;
+        let has_time = host.now() + request.route.goal_ms < request.deadline_at;
         answer.head.status >= 500 && may_run_again && has_time
     }
 
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -44,7 +44,7 @@
     let mut attempts = Attempts::default();
     loop {
         let now = host.now();
-        if now + ANSWER_MARGIN_MS >= request.ends_at {
+        if now + ANSWER_MARGIN_MS >= request.deadline_at {
             return match attempts.failure {
                 Some(_) => end(host, request, out, log, attempts).await,
                 None => refuse(host, request, out, log, attempts.deadline_refusal()).await,
@@ -170,7 +170,7 @@
     log: &mut RequestLog<'_, P>,
     refusal: Refusal,
 ) -> AnswerEnd {
-    let left_ms = request.ends_at.since(host.now());
+    let left_ms = request.deadline_at.since(host.now());
     let max_ms = Millis(left_ms.0 / RETRY_AFTER_DIVISOR);
     let refusal = Refusal {
         retry_after_ms: refusal.retry_after_ms.map(|after| after.min(max_ms)),
@@ -245,7 +245,7 @@
 ) -> SendOutcome {
     log.summary.note_send(upstream);
     let now = host.now();
-    let left_ms = request.ends_at.since(now);
+    let left_ms = request.deadline_at.since(now);
     let mut headers = request.head.headers.clone();
     headers.remove_hop_by_hop();
     let facts = SendFacts {
@@ -261,7 +261,7 @@
         Repeat::Idempotent | Repeat::Resumable if attempts.runs + 1 < request.route.attempts => {
             now + Millis(left_ms.0 * 2 / 5)
         }
-        _ => request.ends_at - ANSWER_MARGIN_MS,
+        _ => request.deadline_at - ANSWER_MARGIN_MS,
     };
     let sent = send::send(host, request, upstream, headers, answer_by).await;
     log.summary.note_result(sent.name());
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -112,7 +112,7 @@
         return Relayed::Broken("the caller's connection broke");
     }
     loop {
-        let left_ms = (ask.ends_at + OVERTIME_MS).since(host.now());
+        let left_ms = (ask.deadline_at + OVERTIME_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
             None => return Relayed::Broken("the time limit was reached"),
@@ -216,7 +216,7 @@
     /// Waits for more of the stream. Silence alone ends nothing: an engine that is out of memory puts a stream back and goes
     /// on with it seconds later. An upstream that is gone resets the connection or leaves its probes unanswered.
     async fn next_piece(&self, answer: &mut StartedAnswer) -> Piece {
-        let ends_at = self.ask.ends_at + OVERTIME_MS;
+        let ends_at = self.ask.deadline_at + OVERTIME_MS;
         let left_ms = ends_at.since(self.host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
