--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -125,7 +125,7 @@
 
 /// Returns the evidence that a reporting host lacks, for the reply to it. `known` is the state of
 /// that host's evidence, as it stated it.
-pub fn news<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
+pub fn build_update<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
     with_quarantine(host, |quarantine, now| quarantine.news(now, known))
 }
 
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -162,7 +162,7 @@
 
 /// Returns the current levels, for this host's reply to hosts that report to it. None before there
 /// is a desired state.
-pub fn news<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
+pub fn build_update<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
     with_limiter(host, |limiter, now, table| limiter.news(now, table))
 }
 
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -33,7 +33,7 @@
             SyncReply::NotOrderer {
                 holder: orders.holder().cloned(),
                 resignation: orders.lease.resignation(host.now()),
-                crashes: crashes::news(host, ask.crashes.known),
+                crashes: crashes::build_update(host, ask.crashes.known),
             }
         }
     }
@@ -113,9 +113,9 @@
 /// Returns what is added up, for a host that reported to it.
 fn totals<P: Platform>(host: &Host<P>, ask: &SyncAsk) -> Totals {
     Totals {
-        limits: limits::news(host),
-        crashes: crashes::news(host, ask.crashes.known),
-        upstream_limits: upstream_limits::news(host),
+        limits: limits::build_update(host),
+        crashes: crashes::build_update(host, ask.crashes.known),
+        upstream_limits: upstream_limits::build_update(host),
     }
 }
 
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -67,7 +67,7 @@
 }
 
 /// Returns the stated limits and current levels, for this host's reply to hosts that report to it.
-pub fn news<P: Platform>(host: &Host<P>) -> UpstreamLimitsNews {
+pub fn build_update<P: Platform>(host: &Host<P>) -> UpstreamLimitsNews {
     with_limits(host, |limits, now| limits.news(now))
 }
 
