--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -119,7 +119,7 @@
 }
 
 /// Adds the crash evidence that another host reports.
-pub fn take_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
+pub fn merge_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
     with_quarantine(host, |quarantine, now| quarantine.take_report(now, report));
 }
 
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -28,7 +28,7 @@
         (true, _) => answer_as_orderer(host, ask),
         (false, true) => answer_as_relay(host, ask),
         (false, false) => {
-            crashes::take_report(host, &ask.crashes);
+            crashes::merge_report(host, &ask.crashes);
             let orders = host.orders.borrow();
             SyncReply::NotOrderer {
                 holder: orders.holder().cloned(),
@@ -106,8 +106,8 @@
 /// Takes what a host reports to be added up.
 fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
     limits::take_usage(host, &ask.usage);
-    upstream_limits::take_report(host, &ask.upstream_limits);
-    crashes::take_report(host, &ask.crashes);
+    upstream_limits::merge_report(host, &ask.upstream_limits);
+    crashes::merge_report(host, &ask.crashes);
 }
 
 /// Returns what is added up, for a host that reported to it.
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -61,7 +61,7 @@
 }
 
 /// Adds what another host reports.
-pub fn take_report<P: Platform>(host: &Host<P>, report: &UpstreamLimitsReport) {
+pub fn merge_report<P: Platform>(host: &Host<P>, report: &UpstreamLimitsReport) {
     take_stated(host, &report.stated);
     with_limits(host, |limits, now| limits.take_usage(now, &report.usage));
 }
