--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -105,7 +105,7 @@
 
 /// Takes what a host reports to be added up.
 fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
-    limits::take_usage(host, &ask.usage);
+    limits::merge_usage(host, &ask.usage);
     upstream_limits::merge_report(host, &ask.upstream_limits);
     crashes::merge_report(host, &ask.crashes);
 }
