--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -56,7 +56,7 @@
     /// The relays that this host sends its messages to.
     pub parents: RefCell<Parents>,
     /// The reports that other hosts sent to this one as their relay.
-    pub gather: RefCell<Gather>,
+    pub relay_aggregate: RefCell<Gather>,
     /// The latest state that the orderer published, as this host received it.
     pub view: RefCell<View>,
     /// The orderer lease as this host knows it, and the state of ordering loads while it holds it.
@@ -119,7 +119,7 @@
             members: RefCell::default(),
             tree: RefCell::default(),
             parents: RefCell::default(),
-            gather: RefCell::default(),
+            relay_aggregate: RefCell::default(),
             view: RefCell::default(),
             orders: RefCell::default(),
             known_hosts,
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -76,7 +76,7 @@
     let now = host.now();
     take_counts(host, &ask);
     let totals = totals(host, &ask);
-    let mut gather = host.gather.borrow_mut();
+    let mut gather = host.relay_aggregate.borrow_mut();
     gather.take(now, ask.incarnation, ask.take_report());
     if ask.is_urgent {
         host.request_sync();
@@ -281,7 +281,7 @@
 
 fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
     let mut work = own_work(host);
-    let mut gather = host.gather.borrow_mut();
+    let mut gather = host.relay_aggregate.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
     gather.add_work(None, &mut work);
     let through = gather.heard() as u32;
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -164,7 +164,7 @@
         };
         answer(&site.host, urgent);
         assert!(site.host.wait_for_sync_request(Millis(10_000)).await);
-        let mut gather = site.host.gather.borrow_mut();
+        let mut gather = site.host.relay_aggregate.borrow_mut();
         let told = gather.take_demand(site.host.now(), Vec::new());
         assert_eq!(told.iter().map(|(_, count)| count.waiting).sum::<u32>(), 1);
     });
