--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -21,7 +21,7 @@
 ) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
-    let view = host.view.borrow();
+    let view = host.orderer_state.borrow();
     let cap = connection_cap(host, request);
     let is_candidate = |upstream: &&Upstream| {
         upstream.in_flight < cap && !attempts.excluded.contains(&upstream.entry.id)
@@ -78,7 +78,7 @@
     let fetch_share = fetch_share(host, request)?;
     let now = host.now();
     let upstreams = host.upstreams.borrow();
-    let view = host.view.borrow();
+    let view = host.orderer_state.borrow();
     let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &request.service, model)
         .filter(|other| !other.health.is_resting(now))
         .collect();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -97,7 +97,7 @@
             SendOutcome::NotSent => attempts.exclude(upstream),
             SendOutcome::NotRun { lacks_model, .. } => {
                 if let (true, Some(model)) = (lacks_model, &request.facts.model) {
-                    let mut view = host.view.borrow_mut();
+                    let mut view = host.orderer_state.borrow_mut();
                     view.note_lacking(host.now(), &upstream, model);
                 }
                 attempts.note_not_run(upstream);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -58,7 +58,7 @@
     /// The reports that other hosts sent to this one as their relay.
     pub relay_aggregate: RefCell<Gather>,
     /// The latest state that the orderer published, as this host received it.
-    pub view: RefCell<View>,
+    pub orderer_state: RefCell<View>,
     /// The orderer lease as this host knows it, and the state of ordering loads while it holds it.
     pub orders: RefCell<Orders>,
     /// The certificate fingerprints that are accepted on connections from other hosts.
@@ -120,7 +120,7 @@
             tree: RefCell::default(),
             parents: RefCell::default(),
             relay_aggregate: RefCell::default(),
-            view: RefCell::default(),
+            orderer_state: RefCell::default(),
             orders: RefCell::default(),
             known_hosts,
             demand: RefCell::default(),
@@ -199,7 +199,7 @@
 
     /// Tells whether the last answer of the orderer came less than [`STALE_MS`] ago.
     pub fn has_recent_orderer_answer(&self, now: Millis) -> bool {
-        let answered_at = self.view.borrow().answered_at;
+        let answered_at = self.orderer_state.borrow().answered_at;
         answered_at.is_some_and(|at| now.since(at) < STALE_MS)
     }
 
@@ -208,7 +208,7 @@
     /// can go on using its open connections, also after the group dropped it.
     pub fn is_unknown_to_others(&self, me: &Member) -> bool {
         let members = self.members.borrow();
-        let was_heard = self.view.borrow().answered_at.is_some();
+        let was_heard = self.orderer_state.borrow().answered_at.is_some();
         let may_be_many = is_begun_or_large(members.count());
         members.known_at().is_some() && may_be_many && !members.lists(me) && !was_heard
     }
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -81,7 +81,7 @@
     if ask.is_urgent {
         host.request_sync();
     }
-    let view = host.view.borrow();
+    let view = host.orderer_state.borrow();
     let orderer = host.orders.borrow().holder().cloned();
     let (Some(answered_at), Some(orderer)) = (view.answered_at, orderer) else {
         return SyncReply::NoNews { totals };
@@ -290,7 +290,7 @@
         incarnation: me.incarnation,
         is_for_orderer: false,
         is_urgent,
-        view_version: host.view.borrow().version(),
+        view_version: host.orderer_state.borrow().version(),
         members_generation: host.members.borrow().wants_from(),
         work: work.into_iter().collect(),
         demand,
@@ -316,7 +316,7 @@
                 Some(resignation) => orders.lease.note_resigned(host.now(), resignation),
                 None => orders.lease.note_gone(),
             }
-            host.view.borrow_mut().answered_at = None;
+            host.orderer_state.borrow_mut().answered_at = None;
         }
         SyncReply::News(news) => take_news(host, asked_at, *news),
     }
@@ -360,7 +360,7 @@
             host.take_members_news(members);
         }
     }
-    let mut view = host.view.borrow_mut();
+    let mut view = host.orderer_state.borrow_mut();
     view.answered_at = view.answered_at.max(Some(now - age_ms));
     view.take_engines(engines);
     view.take_work(work);
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -184,7 +184,7 @@
 ) {
     if matches!(change, Change::Gone | Change::Restarted) {
         host.pool.close_idle(id);
-        host.view.borrow_mut().forget_lacking(id);
+        host.orderer_state.borrow_mut().forget_lacking(id);
     }
     let (event, change) = match change {
         Change::Added => (LogEvent::UpstreamRegistered, "added"),
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -201,7 +201,7 @@
         list(1_000..1_100);
         assert_eq!(relays(), Some(2), "the group is small");
         list(1_000..1_300);
-        host.view.borrow_mut().answered_at = Some(host.now());
+        host.orderer_state.borrow_mut().answered_at = Some(host.now());
         assert_eq!(relays(), Some(2), "it was heard once");
     });
 }
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -59,7 +59,7 @@
         },
         held: vec![held],
     };
-    let mut view = host.view.borrow_mut();
+    let mut view = host.orderer_state.borrow_mut();
     view.answered_at = Some(host.now() - age_ms);
     view.take_engines(EnginesNews {
         version: (3, 1),
--- a/src/entry/tests/waiting.rs
+++ b/src/entry/tests/waiting.rs
@@ -12,7 +12,7 @@
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let long_ago = site.host.now() - Millis(4_000);
-        site.host.view.borrow_mut().answered_at = Some(long_ago);
+        site.host.orderer_state.borrow_mut().answered_at = Some(long_ago);
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 503);
         assert!(
@@ -37,7 +37,7 @@
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        site.host.view.borrow_mut().answered_at = Some(site.host.now());
+        site.host.orderer_state.borrow_mut().answered_at = Some(site.host.now());
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 503);
         assert!(
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -105,15 +105,15 @@
     let began_at = host.now();
     let until = began_at + Millis(request.route.goal_ms.0 * 2 / 5);
     let until = until.min(request.first_byte_deadline - FIRST_EVENT_MS);
-    let answers = host.view.borrow().answers;
+    let answers = host.orderer_state.borrow().answers;
     host.request_sync();
     loop {
         let change = host.next_change();
         let upstream = choose(host, request, attempts)?;
         let now = host.now();
         // If the orderer does not answer in time, the choice is made with what this host knows.
-        let is_fresh =
-            host.view.borrow().answers > answers || now.since(began_at) >= ORDERER_ANSWER_WAIT_MS;
+        let is_fresh = host.orderer_state.borrow().answers > answers
+            || now.since(began_at) >= ORDERER_ANSWER_WAIT_MS;
         if (is_fresh && reads_no_long_prompt(host, &upstream)) || now >= until {
             log.summary.turn_ms += now.since(began_at);
             return Some(upstream);
@@ -131,7 +131,7 @@
     let own = upstreams
         .get(upstream)
         .map_or(0, |known| known.long_prompts);
-    own + host.view.borrow().work(upstream).long_prompts == 0
+    own + host.orderer_state.borrow().work(upstream).long_prompts == 0
 }
 
 /// Returns a refusal if the request's first event would come after its caller has given up, as
@@ -165,7 +165,7 @@
 ) -> Option<Millis> {
     let upstreams = host.upstreams.borrow();
     let engine = upstreams.get(upstream)?;
-    let under_way = host.view.borrow().work(upstream).under_way(engine);
+    let under_way = host.orderer_state.borrow().work(upstream).under_way(engine);
     let occupancy = host.occupancy(&request.service);
     Some(Millis(
         occupancy.wait_ms(engine.entry.slots, under_way) as u64
@@ -187,7 +187,7 @@
         .facts
         .model
         .as_ref()
-        .and_then(|model| host.view.borrow().ready_at(model));
+        .and_then(|model| host.orderer_state.borrow().ready_at(model));
     match ready_at {
         Some(ready_at) if ready_at >= last => Err(Refusal::new(
             ErrorKind::ColdStartTooLong,
@@ -209,7 +209,7 @@
 
 /// Returns how long ago the orderer last answered, if it counts as lost.
 fn orderer_lost_ms<P: Platform>(host: &Host<P>) -> Option<Millis> {
-    let answered_at = host.view.borrow().answered_at?;
+    let answered_at = host.orderer_state.borrow().answered_at?;
     let silent_ms = host.now().since(answered_at);
     let interval_ms = sync::interval_ms(host, false);
     let timeout_ms = ORDERER_LOST_MS.max(interval_ms + interval_ms);
@@ -222,7 +222,7 @@
     let has_usable = upstreams.usable(&request.service).next().is_some();
     match (has_usable, &request.facts.model) {
         (true, Some(model)) => {
-            let ready_at = host.view.borrow().ready_at(model);
+            let ready_at = host.orderer_state.borrow().ready_at(model);
             let after =
                 ready_at.map_or(RETRY_AFTER_MS, |at| at.since(now).max(BUSY_RETRY_AFTER_MS));
             Refusal::new(ErrorKind::ColdStartTooLong, "no upstream holds the model").after(after)
