--- a/src/entry/active_request.rs
+++ b/src/entry/active_request.rs
@@ -39,7 +39,7 @@
     /// The time by which the final answer must be complete.
     pub deadline_at: Millis,
     /// The time at which the caller gives the request up unless the answer has begun.
-    pub first_byte_deadline: Millis,
+    pub first_byte_deadline_at: Millis,
     /// The version of the desired state that was in force when the request arrived.
     pub version: u64,
 }
@@ -91,7 +91,7 @@
             .services
             .get(&service)
             .is_some_and(|service| service.engine.is_some()),
-        first_byte_deadline: deadline_at.min(arrived_at + first_byte_timeout_ms(&route)),
+        first_byte_deadline_at: deadline_at.min(arrived_at + first_byte_timeout_ms(&route)),
         deadline_at,
         digest,
         identity,
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -104,7 +104,7 @@
     }
     let began_at = host.now();
     let until = began_at + Millis(request.route.goal_ms.0 * 2 / 5);
-    let until = until.min(request.first_byte_deadline - FIRST_EVENT_MS);
+    let until = until.min(request.first_byte_deadline_at - FIRST_EVENT_MS);
     let answers = host.orderer_state.borrow().answers;
     host.request_sync();
     loop {
@@ -146,7 +146,7 @@
     }
     let now = host.now();
     let wait_ms = slot_wait_ms(host, request, upstream)?;
-    let left_ms = request.first_byte_deadline.since(now + FIRST_EVENT_MS);
+    let left_ms = request.first_byte_deadline_at.since(now + FIRST_EVENT_MS);
     if wait_ms <= left_ms {
         return None;
     }
@@ -179,9 +179,9 @@
     request: &ActiveRequest,
     began_at: Millis,
 ) -> Result<Millis, Refusal> {
-    let last = request.first_byte_deadline
+    let last = request.first_byte_deadline_at
         - FIRST_EVENT_MS.min(Millis(
-            (request.first_byte_deadline - request.arrived_at).0 / 4,
+            (request.first_byte_deadline_at - request.arrived_at).0 / 4,
         ));
     let ready_at = request
         .facts
