--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes a further send from the service's retry budget. Returns false when the budget, the
-    /// route's attempts or [`MAX_SENDS`] allow none.
+    /// route's attempts or `MAX_SENDS` allow none.
     pub fn may_repeat<P: Platform>(&self, host: &Host<P>, request: &ActiveRequest) -> bool {
         self.sends < MAX_SENDS
             && self.runs < request.route.attempts.max(1)
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -88,20 +88,20 @@
     if prepare(&stream).is_err() {
         return;
     }
-    let mut side = CallerWriter {
+    let mut writer = CallerWriter {
         stream: stream.clone(),
         closes: false,
         form: BodyFraming::HeadOnly,
     };
     let mut connection = Connection::new(stream);
-    while serve_request(&host, &mut connection, &mut side).await {}
+    while serve_request(&host, &mut connection, &mut writer).await {}
 }
 
 /// Reads and serves one request. Returns whether the connection can be used for another one.
 async fn serve_request<P: Platform>(
     host: &Host<P>,
     connection: &mut Connection<TcpStream>,
-    side: &mut CallerWriter,
+    writer: &mut CallerWriter,
 ) -> bool {
     let limits = limits(host);
     let Some(read) = read_head(host, connection, limits).await else {
@@ -111,29 +111,29 @@
     let mut log = RequestLog::new(host, arrived_at);
     let mut held = HeldBody::new(host);
     let read = match read {
-        Ok(head) => read_body(connection, side, &head, limits, &mut held)
+        Ok(head) => read_body(connection, writer, &head, limits, &mut held)
             .await
             .map(|body| (head, body)),
         Err(error) => Err(read_refusal(&error)),
     };
-    side.closes = true;
+    writer.closes = true;
     let (head, body) = match read {
         Ok(read) => read,
         Err(refusal) => {
-            forward::answer_refusal(host, None, side, &mut log, &refusal).await;
+            forward::answer_refusal(host, None, writer, &mut log, &refusal).await;
             drain(connection).await;
             return false;
         }
     };
-    side.closes = !head.keep_alive || host.is_stopping();
-    let answered = async { Some(answer(host, head, body, arrived_at, side, &mut log).await) };
+    writer.closes = !head.keep_alive || host.is_stopping();
+    let answered = async { Some(answer(host, head, body, arrived_at, writer, &mut log).await) };
     let disconnected = async {
         wait_for_disconnect(connection).await;
         None
     };
     let ended = futures_lite::future::or(answered, disconnected).await;
     drop(log);
-    ended == Some(AnswerEnd::Complete) && !side.closes
+    ended == Some(AnswerEnd::Complete) && !writer.closes
 }
 
 async fn answer<P: Platform>(
@@ -141,7 +141,7 @@
     head: RequestHead,
     body: Vec<u8>,
     arrived_at: Millis,
-    side: &mut CallerWriter,
+    writer: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
 ) -> AnswerEnd {
     match active_request::prepare(host, head, body, arrived_at) {
@@ -149,7 +149,7 @@
             log.summary.request = request.facts.id.clone();
             let refusal =
                 Refusal::new(ErrorKind::Stopping, "this host is about to end").after(Millis::ZERO);
-            forward::answer_refusal(host, request.facts.id.as_deref(), side, log, &refusal).await
+            forward::answer_refusal(host, request.facts.id.as_deref(), writer, log, &refusal).await
         }
         Ok(request) => {
             log.summary.request = request.facts.id.clone();
@@ -160,12 +160,12 @@
             log.summary.model = request.facts.model.clone();
             log.summary.prompt_tokens = request.facts.prompt_tokens;
             log.summary.wait_ms = request.facts.wait_ms;
-            forward::serve(host, &request, side, log).await
+            forward::serve(host, &request, writer, log).await
         }
         Err(refused) => {
             let (refusal, facts) = *refused;
             log.summary.request = facts.id.clone();
-            forward::answer_refusal(host, facts.id.as_deref(), side, log, &refusal).await
+            forward::answer_refusal(host, facts.id.as_deref(), writer, log, &refusal).await
         }
     }
 }
@@ -223,7 +223,7 @@
 
 async fn read_body<P: Platform>(
     connection: &mut Connection<TcpStream>,
-    side: &mut CallerWriter,
+    writer: &mut CallerWriter,
     head: &RequestHead,
     limits: CallerLimits,
     held: &mut HeldBody<'_, P>,
@@ -237,7 +237,7 @@
     }
     if head.expects_continue && !reader.is_done() {
         let permission = b"HTTP/1.1 100 Continue\r\n\r\n";
-        if side.stream.write_all(permission).await.is_err() {
+        if writer.stream.write_all(permission).await.is_err() {
             return Err(incomplete());
         }
     }
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -26,8 +26,9 @@
     pub reader: BodyReader,
 }
 
-/// Writes a request and reads the head of its answer and the first piece of the body. Unless the
-/// answer is a successful stream, up to [`BUFFERED_ANSWER_BYTES`] of the body are read.
+/// Writes a request and reads the head of its answer and the first piece of the body. The body of a
+/// short answer, of a failure, and of any answer of a route without streams is read on, up to
+/// `BUFFERED_ANSWER_BYTES`.
 ///
 /// # Errors
 ///
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -291,7 +291,7 @@
     fn follow_table(
         &self,
         table: Table,
-        ask: ChangesQuery,
+        query: ChangesQuery,
     ) -> impl Future<Output = Result<TablePage, StoreError>>;
 
     /// Joins the group of hosts, or renews this host's membership. The group drops a member that
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -81,7 +81,7 @@
     }
 
     /// Adds a connection to the pool after a complete answer. `keep_ms` is the idle timeout that
-    /// the upstream announced. Beyond [`MAX_IDLE_CONNECTIONS`] the connection is closed.
+    /// the upstream announced. Beyond `MAX_IDLE_CONNECTIONS` the connection is closed.
     pub fn keep(
         &self,
         now: Millis,
--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -179,10 +179,10 @@
     on_site(|site| async move {
         site.order(1, vec![stream_route(Repeat::Resumable)]);
         site.until_version(1).await;
-        let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: a\n\nid\r\n";
+        let stream_start = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: a\n\nid\r\n";
         let rest = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s2\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
         let is_second_known = Rc::new(Cell::new(false));
-        let script = vec![Write(begun), Wait(is_second_known.clone()), Close];
+        let script = vec![Write(stream_start), Wait(is_second_known.clone()), Close];
         let first = site.upstream("u1", vec![script]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
@@ -206,10 +206,10 @@
     on_site(|site| async move {
         site.order(1, vec![stream_route(Repeat::Resumable)]);
         site.until_version(1).await;
-        let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
+        let stream_start = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
         let rest = "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
         let may_continue = Rc::new(Cell::new(false));
-        let script = vec![Write(begun), Wait(may_continue.clone()), Write(rest)];
+        let script = vec![Write(stream_start), Wait(may_continue.clone()), Write(rest)];
         let first = site.upstream("u1", vec![script]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
@@ -230,9 +230,13 @@
     on_site(|site| async move {
         site.order(1, vec![stream_route(Repeat::Once)]);
         site.until_version(1).await;
-        let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
-        let first = site.upstream("u1", vec![vec![Write(begun), Close]]).await;
-        let second = site.upstream("u2", vec![vec![Write(begun), Close]]).await;
+        let stream_start = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
+        let first = site
+            .upstream("u1", vec![vec![Write(stream_start), Close]])
+            .await;
+        let second = site
+            .upstream("u2", vec![vec![Write(stream_start), Close]])
+            .await;
         let answer = site.call(REQUEST).await;
         assert!(!answer.is_whole);
         assert_eq!(
@@ -251,7 +255,7 @@
         caller.send(REQUEST).await;
         site.until(|_| upstream.arrivals.borrow().len() == 1).await;
         drop(caller);
-        site.until(|_| *upstream.left.borrow() == 1).await;
+        site.until(|_| *upstream.disconnects.borrow() == 1).await;
         site.until(|host| host.active_requests.get() == 0).await;
     });
 }
@@ -267,7 +271,7 @@
         site.until_version(1).await;
         let upstream = site.upstream("u1", vec![vec![Hang]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
-        site.until(|_| *upstream.left.borrow() == 1).await;
+        site.until(|_| *upstream.disconnects.borrow() == 1).await;
     });
 }
 
@@ -299,9 +303,9 @@
 
 #[test]
 fn the_log_line_names_the_upstream_of_a_send_that_has_no_outcome_yet() {
-    let mut course = RequestSummary::default();
-    course.note_send(&Name::from("u1"));
-    assert_eq!(course.sends, [("u1".into(), "under_way")]);
-    course.note_result("answered");
-    assert_eq!(course.sends, [("u1".into(), "answered")]);
+    let mut summary = RequestSummary::default();
+    summary.note_send(&Name::from("u1"));
+    assert_eq!(summary.sends, [("u1".into(), "under_way")]);
+    summary.note_result("answered");
+    assert_eq!(summary.sends, [("u1".into(), "answered")]);
 }
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -9,7 +9,7 @@
 use crate::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
 use std::net::SocketAddr;
 
-fn ask(model: u8, has_adapter: bool) -> ModelRef {
+fn model_ref(model: u8, has_adapter: bool) -> ModelRef {
     ModelRef {
         model: format!("m{model}").into(),
         adapter: has_adapter.then(|| "a".into()),
@@ -36,7 +36,7 @@
                 ..entry(&id, SocketAddr::from(([127, 0, 0, 1], 9)))
             });
             if u.arbitrary()? {
-                let held = ask(u.int_in_range(0..=2u8)?, u.ratio(1, 3)?);
+                let held = model_ref(u.int_in_range(0..=2u8)?, u.ratio(1, 3)?);
                 published.push(EngineView {
                     engine: Lifetime {
                         id,
@@ -54,14 +54,14 @@
             gone: Vec::new(),
         });
         let now = Millis(10_000);
-        let asked = ask(u.int_in_range(0..=2u8)?, u.arbitrary()?);
+        let requested = model_ref(u.int_in_range(0..=2u8)?, u.arbitrary()?);
         let lacking: Name = format!("u{}", u.int_in_range(0..=5u8)?).into();
-        view.note_lacking(now, &lacking, &asked);
-        let found = holders(&upstreams, &view, now, "s", &asked);
+        view.note_lacking(now, &lacking, &requested);
+        let found = holders(&upstreams, &view, now, "s", &requested);
         let found: Vec<Name> = found.map(|engine| engine.entry.id.clone()).collect();
         let scanned = upstreams.iter().filter(|upstream| {
             let entry = &upstream.entry;
-            &*entry.service == "s" && !entry.leaving && holds(&view, now, upstream, &asked)
+            &*entry.service == "s" && !entry.leaving && holds(&view, now, upstream, &requested)
         });
         let scanned: IndexSet<Name> = scanned.map(|engine| engine.entry.id.clone()).collect();
         assert_eq!(found.len(), scanned.len(), "each engine is found once");
--- a/src/entry/tests/crashes.rs
+++ b/src/entry/tests/crashes.rs
@@ -104,8 +104,8 @@
             site.upstream(&id, streams_then_crashes()).await;
             let mut beside = site.connect().await;
             beside.send(&request(10 + n, "beside")).await;
-            let begun = beside.0.read_response_head(64 << 10, false).await;
-            assert_eq!(begun.expect("an answer").status, 200);
+            let head = beside.0.read_response_head(64 << 10, false).await;
+            assert_eq!(head.expect("an answer").status, 200);
             site.call(&request(n, "crash")).await;
         }
         let healthy = site
--- a/src/entry/tests/fake_upstream.rs
+++ b/src/entry/tests/fake_upstream.rs
@@ -45,7 +45,7 @@
     /// The requests that reached it, in the order of their arrival.
     pub arrivals: Rc<RefCell<Vec<Arrival>>>,
     /// The number of connections that the host closed during a [`Step::Hang`].
-    pub left: Rc<RefCell<usize>>,
+    pub disconnects: Rc<RefCell<usize>>,
 }
 
 impl FakeUpstream {
@@ -58,11 +58,11 @@
         let upstream = Self {
             address: listener.local_addr().expect("an address"),
             arrivals: Rc::default(),
-            left: Rc::default(),
+            disconnects: Rc::default(),
         };
         let run = Run {
             arrivals: upstream.arrivals.clone(),
-            left: upstream.left.clone(),
+            disconnects: upstream.disconnects.clone(),
             scripts,
             crash: Rc::new(Event::new()),
             clock: Clock::start(),
@@ -84,7 +84,7 @@
 #[derive(Clone)]
 struct Run {
     arrivals: Rc<RefCell<Vec<Arrival>>>,
-    left: Rc<RefCell<usize>>,
+    disconnects: Rc<RefCell<usize>>,
     scripts: Vec<Vec<Step>>,
     crash: Rc<Event>,
     clock: Clock,
@@ -99,7 +99,7 @@
     async fn serve(self, stream: TcpStream) {
         let Self {
             arrivals,
-            left,
+            disconnects,
             scripts,
             crash,
             clock,
@@ -136,7 +136,7 @@
                     }
                     Step::Hang => {
                         while connection.read_more().await.is_ok() {}
-                        *left.borrow_mut() += 1;
+                        *disconnects.borrow_mut() += 1;
                         return;
                     }
                 }
