--- a/src/entry/tests/waiting.rs
+++ b/src/entry/tests/waiting.rs
@@ -20,7 +20,7 @@
             "{}",
             answer.body
         );
-        let come_back_s: f64 = answer
+        let retry_after_s: f64 = answer
             .head
             .headers
             .text("Retry-After")
@@ -28,7 +28,7 @@
             .parse()
             .unwrap();
         // The next orderer sends orders six seconds after the last answer of the previous one.
-        assert!((0.5..=2.0).contains(&come_back_s), "{come_back_s}");
+        assert!((0.5..=2.0).contains(&retry_after_s), "{retry_after_s}");
     });
 }
 
