--- /dev/null
+++ b/src/entry/attempts.rs
@@ -0,0 +1,108 @@
+//! The attempts of one request: which may have run it, and whether another one is allowed.
+
+use crate::desired::Repeat;
+use crate::entry::active_request::ActiveRequest;
+use crate::entry::host::Host;
+use crate::entry::platform::Platform;
+use crate::entry::send::StartedAnswer;
+use crate::prelude::*;
+
+/// The retry time that a refusal names when there is no better estimate.
+pub const RETRY_AFTER_MS: Millis = Millis(500);
+/// The retry time that a refusal names when upstreams, or this host, were full.
+pub const BUSY_RETRY_AFTER_MS: Millis = Millis(300);
+/// Most sends of one request, also where every upstream says that it did not run it.
+const MAX_SENDS: u32 = 4;
+
+/// The attempts of one request so far.
+#[derive(Default)]
+pub struct Attempts {
+    /// The number of sends of which at least one byte was sent.
+    pub sends: u32,
+    /// The number of attempts that may have run the request.
+    pub runs: u32,
+    /// The upstreams that are not tried again; cleared when the request waits for an upstream.
+    pub excluded: Vec<Name>,
+    /// Whether the request has waited for an upstream.
+    pub waited: bool,
+    /// The shortest time after which an upstream with a rate limit accepts a request again.
+    pub limit_retry_after_ms: Option<Millis>,
+    /// A failure that an upstream answered, kept while another upstream is tried.
+    pub failure: Option<Box<StartedAnswer>>,
+}
+
+impl Attempts {
+    /// Excludes an upstream from further attempts, for example after nothing could be sent to it.
+    pub fn exclude(&mut self, upstream: Name) {
+        self.excluded.push(upstream);
+    }
+
+    /// Records that the rate limit of an upstream allows no request for `retry_after_ms`.
+    pub fn note_limited(&mut self, upstream: Name, retry_after_ms: Millis) {
+        let soonest = self.limit_retry_after_ms.unwrap_or(retry_after_ms);
+        self.limit_retry_after_ms = Some(soonest.min(retry_after_ms));
+        self.exclude(upstream);
+    }
+
+    /// Records an attempt that the upstream says it did not run.
+    pub fn note_not_run(&mut self, upstream: Name) {
+        self.sends += 1;
+        self.exclude(upstream);
+    }
+
+    /// Records an attempt that may have run the request.
+    pub fn note_perhaps_run(&mut self, upstream: Name) {
+        self.sends += 1;
+        self.runs += 1;
+        self.exclude(upstream);
+    }
+
+    /// Keeps a failure that an upstream answered, to pass it on if no other attempt succeeds.
+    pub fn keep_failure(&mut self, answer: Box<StartedAnswer>) {
+        self.note_perhaps_run(answer.upstream.id.clone());
+        self.failure = Some(answer);
+    }
+
+    /// Takes a further send from the service's retry budget. Returns false when the budget, the
+    /// route's attempts or `MAX_SENDS` allow none.
+    pub fn may_repeat<P: Platform>(&self, host: &Host<P>, request: &ActiveRequest) -> bool {
+        self.sends < MAX_SENDS
+            && self.runs < request.route.attempts.max(1)
+            && host.take_retry(&request.service)
+    }
+
+    /// Tells whether another upstream should be tried after a failure that an upstream answered:
+    /// the request may run again and has enough time left. The retry budget is charged later, when
+    /// the request is sent again.
+    pub fn prefers_another<P: Platform>(
+        &self,
+        host: &Host<P>,
+        request: &ActiveRequest,
+        answer: &StartedAnswer,
+    ) -> bool {
+        let may_run_again =
+            request.route.repeat == Repeat::Idempotent && self.runs + 1 < request.route.attempts;
+        let has_time = host.now() + request.route.goal_ms < request.deadline_at;
+        answer.head.status >= 500 && may_run_again && has_time
+    }
+
+    /// Returns the refusal for a request that may not be tried again.
+    pub fn last_refusal(&self) -> Refusal {
+        match self.runs {
+            0 => Refusal::new(ErrorKind::Overloaded, "every upstream refused the request")
+                .after(self.limit_retry_after_ms.unwrap_or(BUSY_RETRY_AFTER_MS)),
+            _ => Refusal::new(ErrorKind::OutcomeUnknown, "the upstream's answer is lost"),
+        }
+    }
+
+    /// Returns the refusal for a request whose time is over.
+    pub fn deadline_refusal(&self) -> Refusal {
+        match self.runs {
+            0 => Refusal::new(ErrorKind::DeadlinePassed, "the request's time is over"),
+            _ => Refusal::new(
+                ErrorKind::AnswerTimeout,
+                "the upstream did not answer in time",
+            ),
+        }
+    }
+}
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,9 +1,9 @@
-//! Choosing the upstream of a request's next try from what this host knows.
+//! Chooses the upstream for a request's next attempt, from this host's view of the upstreams.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
+use crate::entry::attempts::Attempts;
 use crate::entry::host::Host;
-use crate::entry::platform::{ModelAsk, Platform, RequestFacts};
-use crate::entry::tries::Tries;
+use crate::entry::platform::{ModelRef, Platform, RequestFacts};
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::routing::pick::{self, ModelCopies, PromptShape};
@@ -12,39 +12,45 @@
 use rapidhash::v3::rapidhash_v3;
 use std::net::SocketAddr;
 
-/// Chooses the upstream of the next try.
-pub fn choose<P: Platform>(host: &Host<P>, ask: &Ask, tries: &Tries) -> Option<Name> {
+/// Chooses the upstream for the next attempt: an engine that holds the request's model, or any
+/// usable upstream of a plain service. Returns none when no upstream may get the request now.
+pub fn choose<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    attempts: &Attempts,
+) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
-    let view = host.view.borrow();
-    let cap = connection_cap(host, ask);
-    let is_open = |upstream: &&Upstream| {
-        upstream.in_flight < cap && !tries.passed_over.contains(&upstream.entry.id)
+    let view = host.orderer_state.borrow();
+    let cap = connection_cap(host, request);
+    let is_candidate = |upstream: &&Upstream| {
+        upstream.in_flight < cap && !attempts.excluded.contains(&upstream.entry.id)
     };
-    let chosen = match (&ask.facts.model, ask.at_engine) {
+    let chosen = match (&request.facts.model, request.at_engine) {
         (Some(model), true) => {
-            let holding = holders(&upstreams, &view, now, &ask.service, model).filter(is_open);
+            let holding =
+                holders(&upstreams, &view, now, &request.service, model).filter(is_candidate);
             let with_work = holding.map(|upstream| (upstream, view.work(&upstream.entry.id)));
-            let copies = model_copies(&view, model, fetch_share(host, ask));
+            let copies = model_copies(&view, model, fetch_share(host, request));
             pick::engine(
                 now,
                 &copies,
                 with_work,
-                prompt_shape(&ask.facts),
-                host.occupancy(&ask.service),
+                prompt_shape(&request.facts),
+                host.occupancy(&request.service),
                 &mut fastrand::Rng::new(),
             )
         }
         _ => {
             let data_centre = host.settings().data_centre.clone();
-            let open = upstreams.usable(&ask.service).filter(is_open);
-            pick::service(now, open, &data_centre, fastrand::f64())
+            let candidates = upstreams.usable(&request.service).filter(is_candidate);
+            pick::service(now, candidates, &data_centre, fastrand::f64())
         }
     };
     chosen.map(|upstream| upstream.entry.id.clone())
 }
 
-fn model_copies<'a>(view: &View, model: &'a ModelAsk, fetch_share: Option<f64>) -> ModelCopies<'a> {
+fn model_copies<'a>(view: &View, model: &'a ModelRef, fetch_share: Option<f64>) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
         are_separate: view.is_separate(&model.model),
@@ -52,54 +58,58 @@
     }
 }
 
-/// Returns how long fetching the shared beginning of a prompt takes against reading it, where engines are to fetch it.
-fn fetch_share<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<f64> {
+/// Returns the time that an engine takes to fetch the shared prefix of a prompt from another
+/// engine, as a fraction of the time to compute it. None where engines must not fetch it.
+fn fetch_share<P: Platform>(host: &Host<P>, request: &ActiveRequest) -> Option<f64> {
     let routes = host.routes.borrow();
-    let service = routes.as_ref()?.services.get(&ask.service)?;
-    let shared_tokens = prompt_shape(&ask.facts).shared_tokens;
+    let service = routes.as_ref()?.services.get(&request.service)?;
+    let shared_tokens = prompt_shape(&request.facts).shared_tokens;
     prefix::fetch_share(service.engine.as_ref()?, pick::TOKENS_PER_MS, shared_tokens)
 }
 
-/// Returns the engine from which an upstream is to fetch the beginning of a prompt.
+/// Returns the address of the engine from which an upstream should fetch the computed prefix of a
+/// prompt; none when it should compute the prefix itself.
 pub fn prefix_source<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &ActiveRequest,
     upstream: &Name,
 ) -> Option<SocketAddr> {
-    let model = ask.facts.model.as_ref()?;
-    let fetch_share = fetch_share(host, ask)?;
+    let model = request.facts.model.as_ref()?;
+    let fetch_share = fetch_share(host, request)?;
     let now = host.now();
     let upstreams = host.upstreams.borrow();
-    let view = host.view.borrow();
-    let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &ask.service, model)
+    let view = host.orderer_state.borrow();
+    let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &request.service, model)
         .filter(|other| !other.health.is_backing_off(now))
         .collect();
     let copies = model_copies(&view, model, Some(fetch_share));
-    let shape = prompt_shape(&ask.facts);
+    let shape = prompt_shape(&request.facts);
     let source = pick::prefix_source(&copies, holding.into_iter(), shape, upstream)?;
     Some(source.address())
 }
 
-/// Returns the engines of a service that may get new work and hold a model, by the orderer's word or else by their entries.
+/// Returns the engines of a service that hold a model and are not leaving. What the orderer
+/// published about an engine takes precedence over the engine's own entry in the list of upstreams.
 pub fn holders<'a>(
     upstreams: &'a Registry,
     view: &'a View,
     now: Millis,
     service: &'a str,
-    model: &'a ModelAsk,
+    model: &'a ModelRef,
 ) -> impl Iterator<Item = &'a Upstream> {
     let listing = upstreams.listing_model(&model.model);
-    let told = view.holders(model);
-    let told = told.filter_map(|engine| upstreams.get_lifetime(engine));
-    let told_alone = told.filter(|upstream| !upstream.holds(&model.model, None));
+    let published = view.holders(model);
+    let published = published.filter_map(|engine| upstreams.get_lifetime(engine));
+    let published_only = published.filter(|upstream| !upstream.holds(&model.model, None));
     let serving = listing
-        .chain(told_alone)
+        .chain(published_only)
         .filter(move |upstream| &*upstream.entry.service == service && !upstream.entry.leaving);
     serving.filter(move |upstream| holds(view, now, upstream, model))
 }
 
-/// Tells whether an engine holds a model, as far as this host knows.
-pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelAsk) -> bool {
+/// Tells whether an engine holds a model, as far as this host knows. An engine that recently
+/// refused a request because it lacks the model does not hold it.
+pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelRef) -> bool {
     let id = &upstream.entry.id;
     if view.is_lacking(now, id, model) {
         return false;
@@ -108,20 +118,22 @@
         .unwrap_or_else(|| upstream.holds(&model.model, model.adapter.as_deref()))
 }
 
-/// Returns how many requests this host may have under way at one upstream, so that all hosts together stay
-/// under the connections that it accepts.
-fn connection_cap<P: Platform>(host: &Host<P>, ask: &Ask) -> u32 {
+/// Returns how many requests this host may have in flight at one upstream, so that all hosts
+/// together do not exceed the connections that the upstream accepts.
+fn connection_cap<P: Platform>(host: &Host<P>, request: &ActiveRequest) -> u32 {
     let routes = host.routes.borrow();
     let service = routes
         .as_ref()
-        .and_then(|table| table.services.get(&ask.service));
+        .and_then(|table| table.services.get(&request.service));
     let members = host.members.borrow().count() as u32;
     match service.map_or(0, |service| service.max_connections) {
         0 => u32::MAX,
-        all => (all / members).max(2),
+        max_connections => (max_connections / members).max(2),
     }
 }
 
+/// Returns the lengths of a prompt and of its shared prefix, and a hash that identifies the prefix
+/// of that model and adapter. The last part of a prompt is not shared.
 fn prompt_shape(facts: &RequestFacts) -> PromptShape {
     let (_, shared) = facts.parts.split_last().unzip();
     let shared = shared.unwrap_or_default();
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -1,6 +1,6 @@
-//! Requests that crash upstreams: finding out on a request's way, and in the messages between hosts.
+//! Detects requests that crash upstreams, refuses them, and exchanges the evidence between hosts.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::lines;
 use crate::entry::platform::Platform;
@@ -11,12 +11,14 @@
 use crate::upstreams::Lifetime;
 use std::net::SocketAddr;
 
-/// How long an upstream may take to accept a connection, where a request waits to learn whether it crashed.
-const CHECK_MS: Millis = Millis(100);
+/// How long an upstream may take to accept the connection that checks whether it crashed; a request
+/// waits for the result.
+const CRASH_CHECK_TIMEOUT_MS: Millis = Millis(100);
 
 #[derive(Serialize)]
 struct CrashLine<'a> {
     upstream: &'a str,
+    /// The digests of the requests that the upstream was running when it crashed.
     requests: &'a [RequestDigest],
 }
 
@@ -24,17 +26,19 @@
 struct QuarantineLine<'a> {
     request: Option<&'a str>,
     digest: RequestDigest,
+    /// How long the quarantine still lasts.
     left_ms: Millis,
 }
 
-/// Returns the refusal of a request that crashes the upstreams which run it. It has not run.
-pub fn quarantine<P: Platform>(host: &Host<P>, ask: &Ask) -> Option<Refusal> {
+/// Returns a refusal, and logs it, if a request is quarantined because it crashes the upstreams
+/// that run it. The refusal states that the request has not run.
+pub fn quarantine<P: Platform>(host: &Host<P>, request: &ActiveRequest) -> Option<Refusal> {
     let left_ms = with_quarantine(host, |quarantine, now| {
-        quarantine.quarantined_ms(now, &ask.digest)
+        quarantine.quarantined_ms(now, &request.digest)
     })?;
     let line = QuarantineLine {
-        request: ask.facts.id.as_deref(),
-        digest: ask.digest,
+        request: request.facts.id.as_deref(),
+        digest: request.digest,
         left_ms,
     };
     lines::write(LogEvent::RequestQuarantined, &line);
@@ -42,20 +46,24 @@
     Some(Refusal::new(ErrorKind::Quarantined, why).after(left_ms))
 }
 
-/// Takes note that the connection to an upstream ended while it ran a request. Finds out whether the upstream crashed,
-/// unless that is known or it was leaving.
-pub async fn note_broken_run<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime) {
+/// Records that the connection to an upstream ended while it ran a request. Checks whether the
+/// upstream crashed, unless that is known already or the upstream was leaving.
+pub async fn note_broken_run<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    upstream: &Lifetime,
+) {
     let Some(address) = address_if_staying(host, upstream) else {
         return;
     };
-    let is_known = with_quarantine(host, |quarantine, now| {
-        quarantine.note_broken(now, upstream, ask.digest)
+    let is_known_crash = with_quarantine(host, |quarantine, now| {
+        quarantine.note_broken(now, upstream, request.digest)
     });
-    if is_known {
-        host.note_want();
+    if is_known_crash {
+        host.request_sync();
         return;
     }
-    match within(CHECK_MS, host.pool.open(address)).await {
+    match within(CRASH_CHECK_TIMEOUT_MS, host.pool.open(address)).await {
         Some(Ok(connection)) => host.pool.keep(host.now(), &upstream.id, connection, None),
         Some(Err(error)) => note_unreachable(host, upstream, &error),
         None => {}
@@ -69,16 +77,17 @@
     (!known.entry.leaving).then(|| known.address())
 }
 
-/// Takes note that an upstream cannot be connected to. Where nothing listens any more, it crashed, if requests were under
-/// way there a moment ago.
+/// Records that no connection to an upstream can be opened. If the connection is refused, so that
+/// nothing listens at the address any more, the upstream's lifetime has ended.
 pub fn note_unreachable<P: Platform>(host: &Host<P>, upstream: &Lifetime, error: &std::io::Error) {
     if error.kind() == std::io::ErrorKind::ConnectionRefused {
-        note_over(host, upstream);
+        note_lifetime_ended(host, upstream);
     }
 }
 
-/// Takes note that a start of an upstream is over: it crashed, unless it was leaving.
-pub fn note_over<P: Platform>(host: &Host<P>, upstream: &Lifetime) {
+/// Records that a lifetime of an upstream has ended. Unless it was leaving, it counts as a crash if
+/// requests were under way there shortly before.
+pub fn note_lifetime_ended<P: Platform>(host: &Host<P>, upstream: &Lifetime) {
     if address_if_staying(host, upstream).is_none() {
         return;
     }
@@ -93,43 +102,45 @@
         requests: &requests,
     };
     lines::write(LogEvent::UpstreamCrashed, &line);
-    host.note_want();
+    host.request_sync();
 }
 
-/// Takes note that an upstream ran a request to its end.
-pub fn note_completed<P: Platform>(host: &Host<P>, ask: &Ask) {
+/// Records that an upstream answered a request completely, which is evidence that the request does
+/// not crash upstreams.
+pub fn note_completed<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
     with_quarantine(host, |quarantine, now| {
-        quarantine.note_completed(now, ask.digest);
+        quarantine.note_completed(now, request.digest);
     });
 }
 
-/// Returns what this host has to report.
+/// Returns the crash evidence for this host's next message to a relay or the orderer.
 pub fn report<P: Platform>(host: &Host<P>) -> CrashReport {
     with_quarantine(host, Quarantine::report)
 }
 
-/// Takes what another host reports.
-pub fn take_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
+/// Adds the crash evidence that another host reports.
+pub fn merge_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
     with_quarantine(host, |quarantine, now| quarantine.take_report(now, report));
 }
 
-/// Returns what a host that reports to this one is to know, by the state of its ledger.
-pub fn news<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
+/// Returns the evidence that a reporting host lacks, for the reply to it. `known` is the state of
+/// that host's evidence, as it stated it.
+pub fn build_update<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
     with_quarantine(host, |quarantine, now| quarantine.news(now, known))
 }
 
-/// Takes the answer to a message with this host's report.
+/// Applies the reply to a message that carried this host's report.
 pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashNews) {
     with_quarantine(host, |quarantine, now| quarantine.take_news(now, news));
 }
 
-/// Takes what an orderer left for all hosts.
-pub fn take_lasting<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
+/// Adds the evidence that an orderer stored with its lease for all hosts.
+pub fn restore_evidence<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
     with_quarantine(host, |quarantine, now| quarantine.take_told(now, evidence));
 }
 
-/// Returns what is to outlast all processes.
-pub fn lasting<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
+/// Returns the evidence that must survive a restart of all processes.
+pub fn persistent_evidence<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
     with_quarantine(host, |quarantine, now| quarantine.lasting(now))
 }
 
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -1,6 +1,6 @@
-//! One request and its answer on a connection to an upstream, up to the start of the answer's body.
+//! Writes one request to an upstream's connection and reads its answer up to the start of the body.
 
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::in_flight::InFlight;
 use crate::entry::platform::Platform;
@@ -9,91 +9,97 @@
 use crate::http1::{BodyReader, Framing, Headers, ReadError, ResponseHead};
 use crate::routing::roles::is_long;
 
-/// Answers up to this length are read whole before the caller gets their first byte, so that one that breaks
-/// off can still be replaced.
-const WHOLE_BYTES: u64 = 64 << 10;
-/// Answers of other requests that are passed over before this one's; an upstream sends at most one extra each.
+/// Answers up to this length are read completely before the caller gets their first byte, so that
+/// one that breaks off can be replaced by another attempt.
+const BUFFERED_ANSWER_BYTES: u64 = 64 << 10;
+/// Most answers to other requests that are skipped before this request's own answer; an upstream
+/// sends at most one extra answer to each request.
 const MAX_FOREIGN_ANSWERS: u32 = 4;
 
 /// The start of an answer.
 pub struct Exchanged {
-    /// Its head.
+    /// The head of the answer.
     pub head: ResponseHead,
-    /// What was read of the body.
-    pub begun: Vec<u8>,
-    /// Reads the rest.
+    /// The bytes of the body that were read so far.
+    pub body_start: Vec<u8>,
+    /// Reads the rest of the body.
     pub reader: BodyReader,
 }
 
-/// Writes a request and reads its answer's head, and of the body the first piece, or all of it when it is short.
+/// Writes a request and reads the head of its answer and the first piece of the body. The body of a
+/// short answer, of a failure, and of any answer of a route without streams is read on, up to
+/// `BUFFERED_ANSWER_BYTES`.
 ///
 /// # Errors
 ///
 /// Returns why the connection gave no answer to this request.
 pub async fn exchange<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &ActiveRequest,
     connection: &mut UpstreamConnection,
     headers: Headers,
     in_flight: &mut InFlight,
 ) -> Result<Exchanged, ReadError> {
-    let bytes = request_bytes(ask, &headers);
-    write_and_listen(connection, &bytes).await?;
-    let head = own_head(host, ask, connection).await?;
+    let bytes = request_bytes(request, &headers);
+    write_request(connection, &bytes).await?;
+    let head = read_matching_head(host, request, connection).await?;
     let mut reader = BodyReader::new(head.framing);
-    let mut begun = Vec::new();
+    let mut body_start = Vec::new();
     if let Some(piece) = reader.next(&mut connection.io).await? {
-        begun.extend_from_slice(&piece);
+        body_start.extend_from_slice(&piece);
     }
     in_flight.note_first_byte();
-    if is_long(ask.facts.prompt_tokens) {
-        host.note_want();
+    if is_long(request.facts.prompt_tokens) {
+        host.request_sync();
     }
-    let is_short = matches!(head.framing, Framing::Length(length) if length <= WHOLE_BYTES);
-    if !ask.route.streams || is_short || head.status != 200 {
-        read_whole(&mut reader, connection, &mut begun).await?;
+    let is_short =
+        matches!(head.framing, Framing::Length(length) if length <= BUFFERED_ANSWER_BYTES);
+    if !request.route.streams || is_short || head.status != 200 {
+        read_buffered(&mut reader, connection, &mut body_start).await?;
     }
     Ok(Exchanged {
         head,
-        begun,
+        body_start,
         reader,
     })
 }
 
-async fn read_whole(
+/// Reads the body on into `body_start`, to its end or until enough of it is buffered.
+async fn read_buffered(
     reader: &mut BodyReader,
     connection: &mut UpstreamConnection,
-    begun: &mut Vec<u8>,
+    body_start: &mut Vec<u8>,
 ) -> Result<(), ReadError> {
-    while (begun.len() as u64) < WHOLE_BYTES {
+    while (body_start.len() as u64) < BUFFERED_ANSWER_BYTES {
         match reader.next(&mut connection.io).await? {
-            Some(piece) => begun.extend_from_slice(&piece),
+            Some(piece) => body_start.extend_from_slice(&piece),
             None => return Ok(()),
         }
     }
     Ok(())
 }
 
-fn request_bytes(ask: &Ask, headers: &Headers) -> Vec<u8> {
+fn request_bytes(request: &ActiveRequest, headers: &Headers) -> Vec<u8> {
     let mut headers = headers.clone();
     headers.remove("content-length");
     headers.remove("expect");
-    let mut bytes = format!("{} {} HTTP/1.1\r\n", ask.head.method, ask.head.target).into_bytes();
+    let mut bytes = format!(
+        "{} {} HTTP/1.1\r\n",
+        request.head.method, request.head.target
+    )
+    .into_bytes();
     headers.write(&mut bytes);
-    if !ask.body.is_empty() || ask.head.framing != Framing::Empty {
-        bytes.extend_from_slice(format!("Content-Length: {}\r\n", ask.body.len()).as_bytes());
+    if !request.body.is_empty() || request.head.framing != Framing::Empty {
+        bytes.extend_from_slice(format!("Content-Length: {}\r\n", request.body.len()).as_bytes());
     }
     bytes.extend_from_slice(b"\r\n");
-    bytes.extend_from_slice(&ask.body);
+    bytes.extend_from_slice(&request.body);
     bytes
 }
 
-/// Writes a request. An upstream may answer before it has read all of it; then the answer is read all the same,
-/// and the connection is used for nothing else, since the rest of the body is still due on it.
-async fn write_and_listen(
-    connection: &mut UpstreamConnection,
-    bytes: &[u8],
-) -> Result<(), ReadError> {
+/// Writes a request. If the upstream answers before it has read the whole request, writing stops
+/// and the connection is not reused, because the rest of the body is missing on it.
+async fn write_request(connection: &mut UpstreamConnection, bytes: &[u8]) -> Result<(), ReadError> {
     let mut writer = connection.io.stream().clone();
     let write = async {
         let written = futures_lite::AsyncWriteExt::write_all(&mut writer, bytes).await;
@@ -116,23 +122,24 @@
     }
 }
 
-/// Reads heads until the one that answers this request. An extra answer to an earlier request may come first.
-async fn own_head<P: Platform>(
+/// Reads answers until the head of the one that carries this request's id. Late or extra answers to
+/// earlier requests on the connection are read and discarded.
+async fn read_matching_head<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &ActiveRequest,
     connection: &mut UpstreamConnection,
 ) -> Result<ResponseHead, ReadError> {
-    let to_head_request = &*ask.head.method == "HEAD";
+    let is_head_request = &*request.head.method == "HEAD";
     for _ in 0..MAX_FOREIGN_ANSWERS {
         let head = connection
             .io
-            .read_response_head(MAX_HEAD_BYTES, to_head_request)
+            .read_response_head(MAX_HEAD_BYTES, is_head_request)
             .await?;
         if (100..200).contains(&head.status) {
             continue;
         }
         let facts = host.platform.read_answer(&head, "");
-        let is_own = facts.request_id.is_none() || facts.request_id == ask.facts.id;
+        let is_own = facts.request_id.is_none() || facts.request_id == request.facts.id;
         if is_own {
             return Ok(head);
         }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -8,7 +8,7 @@
 use crate::entry::lines;
 use crate::entry::list_copy::{self, ListCopy};
 use crate::entry::platform::{
-    ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
+    ChangesQuery, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
 use crate::entry::sources::{Sources, is_source};
 use crate::entry::table_rows::{
@@ -457,7 +457,7 @@
     size: PageSize,
 ) -> Result<bool, StoreError> {
     let asked_at = host.now();
-    let ask = ChangesAsk {
+    let ask = ChangesQuery {
         from,
         wait_ms: next_wait_ms(host, cursor),
         answer_ms: ANSWER_MS,
@@ -467,9 +467,9 @@
     let page = host.count_call(StoreCall::FollowTable, read).await?;
     let TablePage { rows, end, .. } = page;
     cursor.next = Some(end);
-    cursor.is_cut = page.is_cut;
+    cursor.is_cut = page.is_truncated;
     cursor.trims = 0;
-    match page.is_cut {
+    match page.is_truncated {
         true => host.followed.note_part_read(cursor.table, end),
         false => host.followed.note_read(cursor.table, asked_at, end),
     }
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -96,7 +96,7 @@
 /// Tells whether this host is to look for an orderer: it hears of none, no relay looks in its place, and a read may show
 /// something new.
 fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
-    !host.hears_orderer(now)
+    !host.has_recent_orderer_answer(now)
         && !host.parents.borrow().answered_recently(now)
         && host.orders.borrow().lease.is_worth_reading(now)
 }
@@ -293,7 +293,7 @@
     };
     let Some(end) = claim_end else { return Ok(()) };
     let sent_at = host.now();
-    let crashes = crashes::lasting(host);
+    let crashes = crashes::persistent_evidence(host);
     let record = host
         .orders
         .borrow_mut()
@@ -341,20 +341,20 @@
         lines::write(LogEvent::OrdererChanged, &OrdererLine { orderer });
         orders.noted_holder = incarnation;
     }
-    host.accept_members(holder.as_ref());
+    host.set_accepted_peers(holder.as_ref());
 }
 
 /// Reads the newest record, and takes what its writer left for all hosts.
 fn take_newest<P: Platform>(host: &Host<P>, bytes: Option<Vec<u8>>) -> Option<LeaseRecord> {
     let record = read_record(&bytes?)?;
-    crashes::take_lasting(host, &record.learned.crashes);
+    crashes::restore_evidence(host, &record.learned.crashes);
     Some(record)
 }
 
 fn learned<P: Platform>(host: &Host<P>, orders: &Orders) -> Learned {
     Learned {
         store_loads_at_once: orders.store_loads_at_once(),
-        crashes: crashes::lasting(host),
+        crashes: crashes::persistent_evidence(host),
     }
 }
 
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,7 +1,7 @@
-//! Rate limits of organisations on a request's way, and in the messages between hosts.
+//! Enforces the rate limits of organisations, and exchanges their use between hosts.
 
 use crate::desired::{RateLimit, RateLimitTable};
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::http1::client::within;
@@ -9,24 +9,26 @@
 use crate::rate_limit::limiter::Place;
 use crate::rate_limit::{Decision, Limiter, LimitsNews, Refused, Scope, Usage};
 
-/// How long a request waits for newer levels: a few exchanges with a relay and the orderer.
-const NEWER_LEVELS_MS: Millis = Millis(40);
+/// How long a request waits for newer limit levels from other hosts: the time of a few message
+/// exchanges with a relay and the orderer.
+const NEWER_LEVELS_TIMEOUT_MS: Millis = Millis(40);
 
-/// What one request uses of its organisation's limit. What did not run is given back when it ends, however it ends.
+/// The cost of one request, taken from its organisation's limit. It is refunded when the charge is
+/// dropped, unless a send may have run the request.
 pub struct Charge<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    request: &'a ActiveRequest,
     runs: u32,
 }
 
 impl<'a, P: Platform> Charge<'a, P> {
-    /// Takes a request's cost from the limit, where its organisation has one.
+    /// Takes a request's cost from the limit of its organisation, if that has one.
     ///
     /// # Errors
     ///
     /// Returns the refusal when the limit is reached.
-    pub async fn take(host: &'a Host<P>, ask: &'a Ask) -> Result<Self, Refusal> {
-        if let Some((organisation, limit, cost)) = cost(ask) {
+    pub async fn take(host: &'a Host<P>, request: &'a ActiveRequest) -> Result<Self, Refusal> {
+        if let Some((organisation, limit, cost)) = cost(request) {
             let wants_newer_levels = || {
                 let wants = with_limiter(host, |limiter, now, _| {
                     limiter.wants_newer_levels(now, organisation, limit)
@@ -46,22 +48,27 @@
                 return Err(Refusal::new(ErrorKind::RateLimited, why).after(refused.retry_after_ms));
             }
         }
-        Ok(Self { host, ask, runs: 0 })
+        Ok(Self {
+            host,
+            request,
+            runs: 0,
+        })
     }
 
-    /// Takes note that the request is being sent: from now on it may run.
+    /// Records that the request is being sent, so that it may run. Each further run costs as much
+    /// as the first.
     pub fn note_send(&mut self) {
         self.runs += 1;
         if self.runs > 1 {
-            note_extra_run(self.host, self.ask);
+            note_extra_run(self.host, self.request);
         }
     }
 
-    /// Takes note that what was sent last did not run.
+    /// Records that the last send did not run the request.
     pub fn note_not_run(&mut self) {
         self.runs = self.runs.saturating_sub(1);
         if self.runs > 0 {
-            give_back(self.host, self.ask);
+            refund(self.host, self.request);
         }
     }
 }
@@ -69,40 +76,43 @@
 impl<P: Platform> Drop for Charge<'_, P> {
     fn drop(&mut self) {
         if self.runs == 0 {
-            give_back(self.host, self.ask);
+            refund(self.host, self.request);
         }
     }
 }
 
-/// Counts one more run of a request.
-pub fn note_extra_run<P: Platform>(host: &Host<P>, ask: &Ask) {
-    if let Some((organisation, limit, cost)) = cost(ask) {
+/// Takes the cost of one more run of a request from the limit, without deciding on it.
+pub fn note_extra_run<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
+    if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
             limiter.note_run(now, organisation, limit, cost);
         });
     }
 }
 
-fn give_back<P: Platform>(host: &Host<P>, ask: &Ask) {
-    if let Some((organisation, limit, cost)) = cost(ask) {
+fn refund<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
+    if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
             limiter.give_back(now, organisation, limit, cost);
         });
     }
 }
 
-fn cost(ask: &Ask) -> Option<(&Name, &RateLimit, u64)> {
-    let organisation = ask.identity.organisation()?;
+/// Returns the organisation, its limit and the cost of a request; none without a limit.
+fn cost(request: &ActiveRequest) -> Option<(&Name, &RateLimit, u64)> {
+    let organisation = request.identity.organisation()?;
     let limit = organisation.rate_limit.as_ref()?;
     Some((
         &organisation.name,
         limit,
-        limit.cost(ask.facts.counted_tokens),
+        limit.cost(request.facts.counted_tokens),
     ))
 }
 
-/// Decides a request by levels that are as new as a moment's wait makes them, and has its use reported at once where little
-/// is left. What has no limit yet is admitted.
+/// Admits or refuses a request by a limit. Waits shortly for newer levels if `wants_newer_levels`
+/// says so, then calls `decide` with a random number from 0 to 1. If the limit is nearly reached,
+/// the use is reported to the other hosts at once. A request is admitted if `decide` returns none,
+/// which means that no limit is known yet.
 ///
 /// # Errors
 ///
@@ -117,49 +127,52 @@
         return Ok(());
     };
     if decision.is_scarce {
-        host.note_want();
+        host.request_sync();
     }
     decision.admitted
 }
 
-/// Waits a moment for newer levels where little is left: a decision by old ones would refuse what is
-/// allowed, or admit what others have used.
+/// Waits shortly for newer levels when the limit is nearly reached: a decision by old levels would
+/// refuse requests that are allowed, or admit what other hosts have used up.
 async fn wait_for_newer_levels<P: Platform>(host: &Host<P>, wants_newer_levels: impl Fn() -> bool) {
-    let until = host.now() + NEWER_LEVELS_MS;
+    let until = host.now() + NEWER_LEVELS_TIMEOUT_MS;
     loop {
         let change = host.next_change();
         let now = host.now();
         if !wants_newer_levels() || now >= until {
             return;
         }
-        host.note_want();
+        host.request_sync();
         within(until - now, change).await;
     }
 }
 
-/// Takes the use that another host reports.
-pub fn take_usage<P: Platform>(host: &Host<P>, usage: &[Usage]) {
+/// Adds the use that another host reports.
+pub fn merge_usage<P: Platform>(host: &Host<P>, usage: &[Usage]) {
     with_limiter(host, |limiter, now, table| {
         limiter.take_usage(now, usage, table);
     });
 }
 
-/// Returns the use that this host has to report.
+/// Returns the use since the last report, of this host and of those that report to it, for the next
+/// message to a relay or the orderer.
 pub fn report<P: Platform>(host: &Host<P>) -> Vec<Usage> {
     with_limiter(host, |limiter, now, _| limiter.report(now)).unwrap_or_default()
 }
 
-/// Returns the levels for hosts that report to this one.
-pub fn news<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
+/// Returns the current levels, for this host's reply to hosts that report to it. None before there
+/// is a desired state.
+pub fn build_update<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
     with_limiter(host, |limiter, now, table| limiter.news(now, table))
 }
 
-/// Takes the answer to a message that reported this host's use.
+/// Applies the reply to a message, sent at `asked_at`, that reported this host's use.
 pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsNews>) {
     with_limiter(host, |limiter, _, _| limiter.take_reply(asked_at, news));
 }
 
-/// Calls the limiter with this host's present place in the site; not before there is a desired state.
+/// Calls `with` on the limiter after telling it this host's present place in the site. Returns none
+/// before there is a desired state.
 fn with_limiter<P: Platform, T>(
     host: &Host<P>,
     with: impl FnOnce(&mut Limiter, Millis, &RateLimitTable) -> T,
@@ -172,7 +185,8 @@
     Some(with(limiter, now, &table.rate_limits))
 }
 
-/// Returns this host's present place in the site.
+/// Returns the part of the site that this host decides for and how many hosts report to it: the
+/// whole site as the orderer, its own group as a relay, only itself otherwise.
 pub fn place<P: Platform>(host: &Host<P>) -> Place {
     let members = host.members.borrow();
     let known = members.count_serving(host.now());
@@ -186,7 +200,7 @@
         },
         (false, is_relay) => Place {
             scope: Scope::Group,
-            heard: 1 + host.gather.borrow().heard(),
+            heard: 1 + host.relay_aggregate.borrow().heard(),
             expected: if is_relay { tree.hosts_per_relay() } else { 1 },
             members: known,
         },
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -4,11 +4,11 @@
 //! One thread runs all tasks of a process; shared state is in [`host::Host`], and nothing holds a borrow of it
 //! across a wait. What the platform calls things is behind [`platform::Platform`].
 
-pub mod ask;
+pub mod active_request;
+pub mod attempts;
 pub mod budgeted_log;
 pub mod caller;
 pub mod choice;
-pub mod course;
 pub mod crashes;
 pub mod desired_copy;
 pub mod directory;
@@ -29,6 +29,7 @@
 pub mod platform;
 pub mod pool;
 pub mod relay;
+pub mod request_log;
 pub mod run;
 pub mod send;
 pub mod settings;
@@ -36,7 +37,6 @@
 pub mod stop;
 pub mod sync;
 pub mod table_rows;
-pub mod tries;
 pub mod upstream_limits;
 pub mod waiting;
 
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,18 +1,18 @@
 //! Passing an answer on to its caller, piece by piece, so that one that ends early never looks complete.
 
 use crate::desired::Repeat;
-use crate::entry::ask::Ask;
-use crate::entry::caller::{BodyForm, CallerSide};
+use crate::entry::active_request::ActiveRequest;
+use crate::entry::attempts::Attempts;
+use crate::entry::caller::{BodyFraming, CallerWriter};
 use crate::entry::choice::choose;
-use crate::entry::course::CourseLog;
 use crate::entry::crashes;
 use crate::entry::forward::try_upstream;
 use crate::entry::host::Host;
 use crate::entry::limits;
 use crate::entry::lines;
 use crate::entry::platform::Platform;
-use crate::entry::send::{Sent, StartedAnswer, keep, note_failure};
-use crate::entry::tries::Tries;
+use crate::entry::request_log::RequestLog;
+use crate::entry::send::{SendOutcome, StartedAnswer, note_failure, return_to_pool};
 use crate::entry::upstream_limits;
 use crate::http1::client::within;
 use crate::http1::{Framing, ReadError};
@@ -38,10 +38,10 @@
 /// Passes an answer on.
 pub async fn relay<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
-    out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
-    tries: &mut Tries,
+    ask: &ActiveRequest,
+    out: &mut CallerWriter,
+    log: &mut RequestLog<'_, P>,
+    tries: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> Relayed {
     if answer.reader.is_done() {
@@ -67,27 +67,27 @@
 
 async fn relay_whole<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
-    out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    ask: &ActiveRequest,
+    out: &mut CallerWriter,
+    log: &mut RequestLog<'_, P>,
     answer: Box<StartedAnswer>,
 ) -> Relayed {
     let StartedAnswer {
         upstream,
         head,
-        begun,
+        body_start,
         reader,
         connection,
         in_flight,
     } = *answer;
     drop(in_flight);
     let form = match &*ask.head.method {
-        "HEAD" => BodyForm::HeadOnly,
-        _ => BodyForm::Length(begun.len() as u64),
+        "HEAD" => BodyFraming::HeadOnly,
+        _ => BodyFraming::Length(body_start.len() as u64),
     };
     note_first_byte(host, ask, log);
-    let written = out.write_whole(&head, form, &begun).await;
-    keep(host, &upstream.id, connection, &head, reader);
+    let written = out.write_whole(&head, form, &body_start).await;
+    return_to_pool(host, &upstream.id, connection, &head, reader);
     match written {
         Ok(()) => Relayed::Whole,
         Err(_) => Relayed::Broken("the caller's connection broke"),
@@ -97,22 +97,22 @@
 /// Passes a long answer that is no stream of events on as it comes.
 async fn relay_pieces<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
-    out: &mut CallerSide,
-    log: &mut CourseLog<'_, P>,
+    ask: &ActiveRequest,
+    out: &mut CallerWriter,
+    log: &mut RequestLog<'_, P>,
     mut answer: Box<StartedAnswer>,
 ) -> Relayed {
     let form = match answer.head.framing {
-        Framing::Length(length) => BodyForm::Length(length),
-        _ => BodyForm::Chunked,
+        Framing::Length(length) => BodyFraming::Length(length),
+        _ => BodyFraming::Chunked,
     };
     note_first_byte(host, ask, log);
-    let begun = std::mem::take(&mut answer.begun);
+    let begun = std::mem::take(&mut answer.body_start);
     if out.begin(&answer.head, form).await.is_err() || out.piece(&begun).await.is_err() {
         return Relayed::Broken("the caller's connection broke");
     }
     loop {
-        let left_ms = (ask.ends_at + OVERTIME_MS).since(host.now());
+        let left_ms = (ask.deadline_at + OVERTIME_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
             None => return Relayed::Broken("the time limit was reached"),
@@ -135,7 +135,7 @@
                     connection,
                     ..
                 } = *answer;
-                keep(host, &upstream.id, connection, &head, reader);
+                return_to_pool(host, &upstream.id, connection, &head, reader);
                 return match ended {
                     Ok(()) => Relayed::Whole,
                     Err(_) => Relayed::Broken("the caller's connection broke"),
@@ -145,17 +145,17 @@
     }
 }
 
-fn note_first_byte<P: Platform>(host: &Host<P>, ask: &Ask, log: &mut CourseLog<'_, P>) {
+fn note_first_byte<P: Platform>(host: &Host<P>, ask: &ActiveRequest, log: &mut RequestLog<'_, P>) {
     let took_ms = host.now().since(ask.arrived_at);
-    log.course.first_byte_ms.get_or_insert(took_ms);
+    log.summary.first_byte_ms.get_or_insert(took_ms);
 }
 
 /// Passes a stream of events on. Only whole events are written, so that a resumed stream can go on after
 /// the last one.
 struct EventRelay<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
-    tries: &'a mut Tries,
+    ask: &'a ActiveRequest,
+    tries: &'a mut Attempts,
     buffer: Vec<u8>,
     last_event_id: Option<String>,
     begun: bool,
@@ -182,11 +182,11 @@
 impl<P: Platform> EventRelay<'_, P> {
     async fn run(
         mut self,
-        out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        out: &mut CallerWriter,
+        log: &mut RequestLog<'_, P>,
         mut answer: Box<StartedAnswer>,
     ) -> Relayed {
-        self.buffer = std::mem::take(&mut answer.begun);
+        self.buffer = std::mem::take(&mut answer.body_start);
         loop {
             if self.write_events(out, log, &answer).await.is_err() {
                 return Relayed::Broken("the caller's connection broke");
@@ -204,7 +204,7 @@
                     match self.resume(&answer.upstream.id, why, log).await {
                         Some(next) => {
                             answer = next;
-                            self.buffer = std::mem::take(&mut answer.begun);
+                            self.buffer = std::mem::take(&mut answer.body_start);
                         }
                         None => return self.broken(why),
                     }
@@ -216,7 +216,7 @@
     /// Waits for more of the stream. Silence alone ends nothing: an engine that is out of memory puts a stream back and goes
     /// on with it seconds later. An upstream that is gone resets the connection or leaves its probes unanswered.
     async fn next_piece(&self, answer: &mut StartedAnswer) -> Piece {
-        let ends_at = self.ask.ends_at + OVERTIME_MS;
+        let ends_at = self.ask.deadline_at + OVERTIME_MS;
         let left_ms = ends_at.since(self.host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
@@ -234,8 +234,8 @@
     /// Writes the whole events of the buffer.
     async fn write_events(
         &mut self,
-        out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        out: &mut CallerWriter,
+        log: &mut RequestLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
         let Some(end) = end_of_events(&self.buffer) else {
@@ -247,18 +247,18 @@
             self.last_event_id = Some(id);
         }
         self.begin(out, log, answer).await?;
-        log.course.events += count_events(&events);
+        log.summary.events += count_events(&events);
         let now = self.host.now();
         let gap_ms = now.since(self.last_piece_at);
-        log.course.longest_gap_ms = log.course.longest_gap_ms.max(gap_ms);
+        log.summary.longest_gap_ms = log.summary.longest_gap_ms.max(gap_ms);
         self.last_piece_at = now;
         out.piece(&events).await
     }
 
     async fn begin(
         &mut self,
-        out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        out: &mut CallerWriter,
+        log: &mut RequestLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
         if std::mem::replace(&mut self.begun, true) {
@@ -268,16 +268,16 @@
         self.last_piece_at = self.began_at;
         note_first_byte(self.host, self.ask, log);
         let form = match answer.head.framing {
-            Framing::Length(length) => BodyForm::Length(length),
-            _ => BodyForm::Chunked,
+            Framing::Length(length) => BodyFraming::Length(length),
+            _ => BodyFraming::Chunked,
         };
         out.begin(&answer.head, form).await
     }
 
     async fn finish(
         mut self,
-        out: &mut CallerSide,
-        log: &mut CourseLog<'_, P>,
+        out: &mut CallerWriter,
+        log: &mut RequestLog<'_, P>,
         answer: Box<StartedAnswer>,
     ) -> Relayed {
         let rest = std::mem::take(&mut self.buffer);
@@ -301,7 +301,7 @@
             connection,
             ..
         } = *answer;
-        keep(self.host, &upstream.id, connection, &head, reader);
+        return_to_pool(self.host, &upstream.id, connection, &head, reader);
         match written {
             Ok(()) => Relayed::Whole,
             Err(_) => Relayed::Broken("the caller's connection broke"),
@@ -325,7 +325,7 @@
         &mut self,
         from: &Name,
         why: &'static str,
-        log: &mut CourseLog<'_, P>,
+        log: &mut RequestLog<'_, P>,
     ) -> Option<Box<StartedAnswer>> {
         if !self.may_resume() {
             return None;
@@ -350,15 +350,17 @@
             let (host, ask, after) = (self.host, self.ask, Some(&*after));
             limits::note_extra_run(host, ask);
             match try_upstream(host, ask, &upstream, self.tries, log, after).await {
-                Sent::Answered(answer) if answer.head.status == 200 => {
+                SendOutcome::Answered(answer) if answer.head.status == 200 => {
                     resumed = Some(answer);
                     break;
                 }
-                Sent::Answered(_) | Sent::PerhapsRun => {
+                SendOutcome::Answered(_) | SendOutcome::MayHaveRun => {
                     self.tries.note_perhaps_run(upstream);
                     break;
                 }
-                Sent::NotRun { .. } | Sent::NotSent => self.tries.note_not_run(upstream),
+                SendOutcome::NotRun { .. } | SendOutcome::NotSent => {
+                    self.tries.note_not_run(upstream)
+                }
             }
         }
         let line = ResumeLine {
--- /dev/null
+++ b/src/entry/request_log.rs
@@ -0,0 +1,118 @@
+//! Collects what happens to a request, for its log line and the metrics.
+
+use crate::entry::host::Host;
+use crate::entry::lines;
+use crate::entry::platform::{ModelRef, Platform};
+use crate::prelude::*;
+use crate::retry::RequestDigest;
+
+/// How the answer to a caller ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AnswerEnd {
+    /// The answer is complete; the caller's connection can be used again.
+    Complete,
+    /// The answer broke off; the caller's connection must be closed.
+    Broken,
+}
+
+/// The fields of a request's log line, filled in while the request is served.
+#[derive(Debug, Default, Serialize)]
+pub struct RequestSummary {
+    /// The request's id.
+    pub request: Option<Name>,
+    /// The digest that is equal for repeats of the request.
+    pub digest: Option<RequestDigest>,
+    /// The organisation that sent the request.
+    pub organisation: Option<Name>,
+    /// The name of the request's route.
+    pub route: Option<Name>,
+    /// The version of the desired state that the request was served under.
+    pub version: u64,
+    /// The model and adapter that the request asks for.
+    pub model: Option<ModelRef>,
+    /// The tokens of the prompt.
+    pub prompt_tokens: u64,
+    /// The upstreams that the request was sent to, with the outcome of each send. The outcome is
+    /// `under_way` if the caller disconnected before it was known.
+    pub sends: Vec<(Name, &'static str)>,
+    /// How long the request waited for an upstream that could take it.
+    pub waited_ms: Millis,
+    /// How long a long prompt waited until its engine read no other one.
+    pub turn_ms: Millis,
+    /// The status of the final answer.
+    pub status: u16,
+    /// Why the request was refused or failed.
+    pub why: Option<&'static str>,
+    /// After how long the caller was told to retry.
+    pub come_back_ms: Option<Millis>,
+    /// The time from the request's arrival to the first byte of the answer.
+    pub first_byte_ms: Option<Millis>,
+    /// The longest time between two pieces of the answer.
+    pub longest_gap_ms: Millis,
+    /// The number of events of a stream that were passed on.
+    pub events: u32,
+    /// The time from the request's arrival to the end of the answer.
+    pub whole_ms: Millis,
+    /// How long the caller is willing to wait, as its request says.
+    pub wait_ms: Option<Millis>,
+}
+
+/// Writes a request's log line and counts it in the metrics when it is dropped, however the request
+/// ended.
+pub struct RequestLog<'a, P: Platform> {
+    host: &'a Host<P>,
+    arrived_at: Millis,
+    /// The fields of the log line.
+    pub summary: RequestSummary,
+    /// How the request ended; none if the caller disconnected before.
+    pub outcome: Option<&'static str>,
+}
+
+impl<'a, P: Platform> RequestLog<'a, P> {
+    /// Counts a request that arrived at `arrived_at` as active, until this is dropped.
+    pub fn new(host: &'a Host<P>, arrived_at: Millis) -> Self {
+        host.active_requests.set(host.active_requests.get() + 1);
+        Self {
+            host,
+            arrived_at,
+            summary: RequestSummary::default(),
+            outcome: None,
+        }
+    }
+}
+
+impl RequestSummary {
+    /// Adds a send to an upstream that begins, with the outcome `under_way`.
+    pub fn note_send(&mut self, upstream: &Name) {
+        self.sends.push((upstream.clone(), "under_way"));
+    }
+
+    /// Sets the outcome of the send that began last.
+    pub fn note_result(&mut self, result: &'static str) {
+        if let Some((_, last)) = self.sends.last_mut() {
+            *last = result;
+        }
+    }
+}
+
+impl<P: Platform> Drop for RequestLog<'_, P> {
+    fn drop(&mut self) {
+        let host = self.host;
+        host.active_requests.set(host.active_requests.get() - 1);
+        self.summary.whole_ms = host.now().since(self.arrived_at);
+        let outcome = self.outcome.unwrap_or("caller_gone");
+        let RequestSummary {
+            first_byte_ms,
+            whole_ms,
+            ..
+        } = self.summary;
+        host.metrics.count_request(outcome, first_byte_ms, whole_ms);
+        let event = match outcome {
+            "answered" => LogEvent::RequestAnswered,
+            "refused" => LogEvent::RequestRefused,
+            "caller_gone" => LogEvent::CallerGone,
+            _ => LogEvent::RequestFailed,
+        };
+        lines::write(event, &self.summary);
+    }
+}
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -1,7 +1,7 @@
-//! One send of a request to one upstream, up to the start of its answer.
+//! Sends a request to one upstream and reads the start of its answer.
 
 use crate::desired::Repeat;
-use crate::entry::ask::Ask;
+use crate::entry::active_request::ActiveRequest;
 use crate::entry::crashes;
 use crate::entry::exchange::{Exchanged, exchange};
 use crate::entry::host::Host;
@@ -17,62 +17,66 @@
 use crate::routing::roles::is_long;
 use crate::upstreams::{Lifetime, Upstream};
 
-/// How long opening a connection may take: a round trip takes a few milliseconds, an upstream that is gone or
-/// behind a partition takes for ever.
-const CONNECT_MS: Millis = Millis(400);
-/// How long a connection may have been idle for a request that must not run twice: a connection that the other
-/// side has just closed, or lost track of, leaves it unknown whether the request ran.
-const ONCE_IDLE_MS: Millis = Millis(800);
-/// The same for requests that may be sent again.
-const IDLE_MS: Millis = Millis(4_000);
-/// How long a plain service must not have answered to count as out of reach: ten times its usual answer.
-const SILENT_MS: Millis = Millis(1_000);
-/// Why a send failed that got no answer within the request's time.
+/// The timeout for opening a connection. A round trip takes a few milliseconds; an upstream that is
+/// gone or behind a partition never answers.
+const CONNECT_TIMEOUT_MS: Millis = Millis(400);
+/// How long a connection may have been idle to be reused for a request that must not run twice. If
+/// the upstream has just closed or forgotten the connection, it stays unknown whether the request
+/// ran.
+const MAX_IDLE_ONCE_MS: Millis = Millis(800);
+/// How long a connection may have been idle to be reused for a request that may be sent again.
+const MAX_IDLE_REPEATABLE_MS: Millis = Millis(4_000);
+/// After how long without an answer a plain service counts as unreachable: ten times its usual
+/// response time.
+const UNREACHABLE_MS: Millis = Millis(1_000);
+/// The `why` in the log line of a send that got no answer before its deadline.
 const NO_ANSWER: &str = "no answer in time";
-/// The statuses that promise a caller that its request has not run. An upstream's own is passed on only with its word.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// How a send ended.
-pub enum Sent {
-    /// No byte left this host.
+/// The statuses that tell a caller that its request has not run. Such a status from an upstream is
+/// passed on only if the upstream also says explicitly that it did not run the request.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+
+/// How one send of a request to an upstream ended.
+pub enum SendOutcome {
+    /// No byte of the request was sent.
     NotSent,
     /// The upstream says that it did not run the request.
     NotRun {
-        /// Whether it lacks the model.
+        /// Whether the reason is that the engine does not hold the request's model.
         lacks_model: bool,
     },
-    /// There is no answer, and the upstream may have run the request.
-    PerhapsRun,
-    /// The answer began.
+    /// There is no usable answer, and the upstream may have run the request.
+    MayHaveRun,
+    /// The answer began; its status may be a failure.
     Answered(Box<StartedAnswer>),
 }
 
-impl Sent {
-    /// Returns the result's name for logs and metrics.
+impl SendOutcome {
+    /// Returns the outcome's name for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
             Self::NotRun { lacks_model: true } => "lacks_model",
             Self::NotRun { lacks_model: false } => "not_run",
-            Self::PerhapsRun => "perhaps_run",
+            Self::MayHaveRun => "perhaps_run",
             Self::Answered(answer) if answer.head.status >= 500 => "failed",
             Self::Answered(_) => "answered",
         }
     }
 }
 
-/// An answer of which the head and, where there is a body, its first piece were read.
+/// An answer of which the head was read and, where there is a body, at least its first piece.
 pub struct StartedAnswer {
-    /// The upstream, as it was started when the request was sent.
+    /// The lifetime of the upstream that answers.
     pub upstream: Lifetime,
-    /// Its head.
+    /// The head of the answer.
     pub head: ResponseHead,
-    /// What was read of the body.
-    pub begun: Vec<u8>,
-    /// Reads the rest.
+    /// The bytes of the body that were read so far.
+    pub body_start: Vec<u8>,
+    /// Reads the rest of the body.
     pub reader: BodyReader,
-    /// The connection; it ends with the answer unless the whole answer was read.
+    /// The connection; it can be reused only after the whole answer was read.
     pub connection: UpstreamConnection,
-    /// Counts the request at the upstream until it is dropped.
+    /// Counts the request as in flight at the upstream until it is dropped.
     pub in_flight: InFlight,
 }
 
@@ -81,72 +85,81 @@
     request: Option<&'a str>,
     digest: RequestDigest,
     upstream: &'a str,
+    /// Whether the request was sent on a connection that an earlier one had used.
     reused: bool,
     result: &'static str,
     status: Option<u16>,
     why: Option<&'a str>,
     took_ms: Millis,
+    /// The share of this host's recent sends to the upstream that failed, from 0 to 1.
     failure_share: f64,
 }
 
-/// Sends a request and waits for the start of its answer.
+/// Sends a request to an upstream and waits for the start of its answer until `answer_by`. Updates
+/// the upstream's health and limits, and logs an attempt that got no answer.
 pub async fn send<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &ActiveRequest,
     upstream: &Name,
     headers: Headers,
     answer_by: Millis,
-) -> Sent {
+) -> SendOutcome {
     let known = host
         .upstreams
         .borrow()
         .get(upstream)
         .map(Upstream::lifetime);
     let Some(lifetime) = known else {
-        return Sent::NotSent;
+        return SendOutcome::NotSent;
     };
     let upstream = &lifetime;
     let mut attempt = Attempt {
         host,
-        ask,
+        request,
         upstream,
         reused: false,
         began_at: host.now(),
     };
-    let Some(mut connection) = connect(host, ask, upstream, answer_by).await else {
-        attempt.note("not_sent", None, Some("cannot connect"));
-        return Sent::NotSent;
+    let Some(mut connection) = connect(host, request, upstream, answer_by).await else {
+        attempt.log("not_sent", None, Some("cannot connect"));
+        return SendOutcome::NotSent;
     };
     attempt.reused = connection.is_reused;
-    let mut in_flight = InFlight::new(host.upstreams.clone(), upstream, ask.facts.prompt_tokens);
-    if is_long(ask.facts.prompt_tokens) {
-        host.note_want();
+    let mut in_flight = InFlight::new(
+        host.upstreams.clone(),
+        upstream,
+        request.facts.prompt_tokens,
+    );
+    if is_long(request.facts.prompt_tokens) {
+        host.request_sync();
     }
-    let exchange = exchange(host, ask, &mut connection, headers, &mut in_flight);
+    let exchange = exchange(host, request, &mut connection, headers, &mut in_flight);
     let left_ms = answer_by.since(host.now());
     let answer = within(left_ms, exchange).await;
     if let Some(Err(ReadError::Ended | ReadError::Broken { .. })) = &answer {
-        crashes::note_broken_run(host, ask, upstream).await;
+        crashes::note_broken_run(host, request, upstream).await;
     }
     let now = host.now();
     let fail = |why: &str, unreachable: bool| {
         if unreachable || why != NO_ANSWER {
             note_failure(host, upstream, now, unreachable);
         }
-        attempt.note("perhaps_run", None, Some(why));
-        Sent::PerhapsRun
+        attempt.log("perhaps_run", None, Some(why));
+        SendOutcome::MayHaveRun
     };
     match answer {
         None => {
-            // A short limit of the request's own says nothing of the upstream, but a connection may have gone silent.
-            host.pool.forget(&upstream.id);
-            let is_silent = now.since(attempt.began_at) >= SILENT_MS && !ask.at_engine;
-            fail(NO_ANSWER, is_silent)
+            // A request with a short timeout of its own says nothing about the upstream's health,
+            // but the other connections to it may be dead as well.
+            host.pool.close_idle(&upstream.id);
+            let is_unreachable =
+                now.since(attempt.began_at) >= UNREACHABLE_MS && !request.at_engine;
+            fail(NO_ANSWER, is_unreachable)
         }
         Some(Err(error)) => fail(&error.to_string(), false),
         Some(Ok(Exchanged {
             head,
-            begun,
+            body_start,
             reader,
         })) => {
             let facts = host.platform.read_answer(&head, &upstream.id);
@@ -154,20 +167,20 @@
             let status = Some(head.status);
             if let Some(other) = &facts.other_lifetime {
                 end_lifetime(host, upstream, other);
-                attempt.note("not_run", status, Some("another lifetime"));
-                return Sent::NotRun { lacks_model: false };
+                attempt.log("not_run", status, Some("another lifetime"));
+                return SendOutcome::NotRun { lacks_model: false };
             }
             if facts.not_run {
-                keep(host, &upstream.id, connection, &head, reader);
-                attempt.note("not_run", status, None);
-                if ask.at_engine && !facts.lacks_model {
-                    note_full(host, ask, upstream, now);
+                return_to_pool(host, &upstream.id, connection, &head, reader);
+                attempt.log("not_run", status, None);
+                if request.at_engine && !facts.lacks_model {
+                    note_full(host, request, upstream, now);
                 }
-                return Sent::NotRun {
+                return SendOutcome::NotRun {
                     lacks_model: facts.lacks_model,
                 };
             }
-            if PROMISES.contains(&head.status) {
+            if NOT_RUN_STATUSES.contains(&head.status) {
                 return fail("a refusal that does not say that it did not run", false);
             }
             if !facts.is_sealed && head.status < 500 {
@@ -177,10 +190,10 @@
                 true => note_failure(host, upstream, now, false),
                 false => note_success(host, upstream, now),
             }
-            Sent::Answered(Box::new(StartedAnswer {
+            SendOutcome::Answered(Box::new(StartedAnswer {
                 upstream: upstream.clone(),
                 head,
-                begun,
+                body_start,
                 reader,
                 connection,
                 in_flight,
@@ -189,10 +202,10 @@
     }
 }
 
-/// Where and since when a request is being sent, for the log.
+/// One attempt to send a request, for its log line.
 struct Attempt<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a Ask,
+    request: &'a ActiveRequest,
     upstream: &'a Lifetime,
     reused: bool,
     began_at: Millis,
@@ -200,12 +213,12 @@
 
 impl<P: Platform> Attempt<'_, P> {
     /// Writes the log line of an attempt that ended without an answer to the request.
-    fn note(&self, result: &'static str, status: Option<u16>, why: Option<&str>) {
+    fn log(&self, result: &'static str, status: Option<u16>, why: Option<&str>) {
         let now = self.host.now();
         let registry = self.host.upstreams.borrow();
         let line = AttemptLine {
-            request: self.ask.facts.id.as_deref(),
-            digest: self.ask.digest,
+            request: self.request.facts.id.as_deref(),
+            digest: self.request.digest,
             upstream: &self.upstream.id,
             reused: self.reused,
             result,
@@ -220,22 +233,23 @@
     }
 }
 
+/// Takes an idle connection to an upstream or opens one. Returns none when it cannot be reached.
 async fn connect<P: Platform>(
     host: &Host<P>,
-    ask: &Ask,
+    request: &ActiveRequest,
     upstream: &Lifetime,
     answer_by: Millis,
 ) -> Option<UpstreamConnection> {
     let now = host.now();
-    let max_idle_ms = match ask.route.repeat {
-        Repeat::Once => ONCE_IDLE_MS,
-        Repeat::Idempotent | Repeat::Resumable => IDLE_MS,
+    let max_idle_ms = match request.route.repeat {
+        Repeat::Once => MAX_IDLE_ONCE_MS,
+        Repeat::Idempotent | Repeat::Resumable => MAX_IDLE_REPEATABLE_MS,
     };
-    if let Some(kept) = host.pool.take(now, &upstream.id, max_idle_ms).await {
-        return Some(kept);
+    if let Some(idle) = host.pool.take(now, &upstream.id, max_idle_ms).await {
+        return Some(idle);
     }
     let address = host.upstreams.borrow().get(&upstream.id)?.address();
-    let timeout_ms = CONNECT_MS.min(answer_by.since(now));
+    let timeout_ms = CONNECT_TIMEOUT_MS.min(answer_by.since(now));
     let opened = within(timeout_ms, host.pool.open(address)).await;
     if let Some(Err(error)) = &opened {
         crashes::note_unreachable(host, upstream, error);
@@ -249,8 +263,9 @@
     }
 }
 
-/// Keeps the connection of an answer that was read to its end.
-pub fn keep<P: Platform>(
+/// Returns the connection of an answer to the pool if the answer was read to its end and the
+/// connection stays open for further requests; otherwise closes it.
+pub fn return_to_pool<P: Platform>(
     host: &Host<P>,
     upstream: &Name,
     connection: UpstreamConnection,
@@ -265,6 +280,7 @@
     host.pool.keep(host.now(), upstream, connection, keep_ms);
 }
 
+/// Returns the idle timeout that a `Keep-Alive` header announces.
 fn keep_alive_ms(value: &str) -> Option<Millis> {
     value
         .split(',')
@@ -277,14 +293,17 @@
 struct UpstreamLine<'a> {
     upstream: &'a str,
     why: &'static str,
+    /// The id of the lifetime that has the upstream's address now.
     now_at_address: Option<&'a str>,
+    /// Until when the upstream gets no requests because it was unreachable.
     rests_until_unix_ms: Option<Millis>,
 }
 
+/// Removes an upstream whose address now belongs to another lifetime.
 fn end_lifetime<P: Platform>(host: &Host<P>, upstream: &Lifetime, other: &str) {
-    crashes::note_over(host, upstream);
+    crashes::note_lifetime_ended(host, upstream);
     if host.upstreams.borrow_mut().end_lifetime(upstream) {
-        host.pool.forget(&upstream.id);
+        host.pool.close_idle(&upstream.id);
         let line = UpstreamLine {
             upstream: &upstream.id,
             why: "another lifetime has its address",
@@ -295,22 +314,29 @@
     }
 }
 
-/// Takes note that an engine refused a request as full. Without it the engine looks idle, draws more requests than any
-/// other, and refuses each: one that held a busy model refused 250 a second, and used up the budget of repeated sends.
-fn note_full<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime, now: Millis) {
-    let occupancy = host.occupancy(&ask.service);
-    if let Some(view) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
-        view.full_until = now + occupancy.full_ms(view.entry.slots);
+/// Records that an engine refused a request because it is full. Without this the engine looks idle,
+/// is chosen more often than any other, and refuses every request: an engine with a busy model
+/// would refuse 250 a second and use up the retry budget.
+fn note_full<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    upstream: &Lifetime,
+    now: Millis,
+) {
+    let occupancy = host.occupancy(&request.service);
+    if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
+        known.full_until = now + occupancy.full_ms(known.entry.slots);
     }
 }
 
 fn note_success<P: Platform>(host: &Host<P>, upstream: &Lifetime, now: Millis) {
-    if let Some(view) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
-        view.health.note_success(now);
+    if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
+        known.health.note_success(now);
     }
 }
 
-/// Takes note of a failure of an upstream.
+/// Records a failure of an upstream in its health. An unreachable upstream gets no requests for a
+/// while, and its idle connections are closed.
 pub fn note_failure<P: Platform>(
     host: &Host<P>,
     upstream: &Lifetime,
@@ -319,18 +345,18 @@
 ) {
     let until = {
         let mut registry = host.upstreams.borrow_mut();
-        let Some(view) = registry.get_lifetime_mut(upstream) else {
+        let Some(known) = registry.get_lifetime_mut(upstream) else {
             return;
         };
         match unreachable {
             false => {
-                view.health.note_failure(now);
+                known.health.note_failure(now);
                 return;
             }
-            true => view.health.note_unreachable(now),
+            true => known.health.note_unreachable(now),
         }
     };
-    host.pool.forget(&upstream.id);
+    host.pool.close_idle(&upstream.id);
     let line = UpstreamLine {
         upstream: &upstream.id,
         why: "it cannot be reached",
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -28,12 +28,12 @@
         (true, _) => answer_as_orderer(host, ask),
         (false, true) => answer_as_relay(host, ask),
         (false, false) => {
-            crashes::take_report(host, &ask.crashes);
+            crashes::merge_report(host, &ask.crashes);
             let orders = host.orders.borrow();
             SyncReply::NotOrderer {
                 holder: orders.holder().cloned(),
                 resignation: orders.lease.resignation(host.now()),
-                crashes: crashes::news(host, ask.crashes.known),
+                crashes: crashes::build_update(host, ask.crashes.known),
             }
         }
     }
@@ -52,7 +52,7 @@
     let wants = ask.demand.iter().any(|(_, count)| count.waiting > 0);
     orders.book.take(now, ask.incarnation, ask.take_report());
     if wants {
-        host.note_want();
+        host.request_sync();
     }
     orders.publish(now, &host.upstreams.borrow());
     let ready_at = orders.ready_at.iter();
@@ -76,12 +76,12 @@
     let now = host.now();
     take_counts(host, &ask);
     let totals = totals(host, &ask);
-    let mut gather = host.gather.borrow_mut();
+    let mut gather = host.relay_aggregate.borrow_mut();
     gather.take(now, ask.incarnation, ask.take_report());
     if ask.is_urgent {
-        host.note_want();
+        host.request_sync();
     }
-    let view = host.view.borrow();
+    let view = host.orderer_state.borrow();
     let orderer = host.orders.borrow().holder().cloned();
     let (Some(answered_at), Some(orderer)) = (view.answered_at, orderer) else {
         return SyncReply::NoNews { totals };
@@ -105,17 +105,17 @@
 
 /// Takes what a host reports to be added up.
 fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
-    limits::take_usage(host, &ask.usage);
-    upstream_limits::take_report(host, &ask.upstream_limits);
-    crashes::take_report(host, &ask.crashes);
+    limits::merge_usage(host, &ask.usage);
+    upstream_limits::merge_report(host, &ask.upstream_limits);
+    crashes::merge_report(host, &ask.crashes);
 }
 
 /// Returns what is added up, for a host that reported to it.
 fn totals<P: Platform>(host: &Host<P>, ask: &SyncAsk) -> Totals {
     Totals {
-        limits: limits::news(host),
-        crashes: crashes::news(host, ask.crashes.known),
-        upstream_limits: upstream_limits::news(host),
+        limits: limits::build_update(host),
+        crashes: crashes::build_update(host, ask.crashes.known),
+        upstream_limits: upstream_limits::build_update(host),
     }
 }
 
@@ -127,7 +127,10 @@
     loop {
         Timer::after(stretched(&host, LEAST_SYNC_MS).to_duration()).await;
         let is_urgent = match is_answered {
-            true => host.wait_for_news(interval_ms(&host, waited_for)).await,
+            true => {
+                host.wait_for_sync_request(interval_ms(&host, waited_for))
+                    .await
+            }
             false => true,
         };
         let asked_at = host.now();
@@ -161,7 +164,7 @@
             is_for_orderer: true,
             ..ask
         };
-        if !host.hears_orderer(asked_at) {
+        if !host.has_recent_orderer_answer(asked_at) {
             report_to_collector(host, peers, me, asked_at, &mut ask).await;
         }
         let orderer = host.orders.borrow().holder().cloned();
@@ -278,7 +281,7 @@
 
 fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
     let mut work = own_work(host);
-    let mut gather = host.gather.borrow_mut();
+    let mut gather = host.relay_aggregate.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
     gather.add_work(None, &mut work);
     let through = gather.heard() as u32;
@@ -287,7 +290,7 @@
         incarnation: me.incarnation,
         is_for_orderer: false,
         is_urgent,
-        view_version: host.view.borrow().version(),
+        view_version: host.orderer_state.borrow().version(),
         members_generation: host.members.borrow().update_base_generation(),
         work: work.into_iter().collect(),
         demand,
@@ -313,7 +316,7 @@
                 Some(resignation) => orders.lease.note_resigned(host.now(), resignation),
                 None => orders.lease.note_gone(),
             }
-            host.view.borrow_mut().answered_at = None;
+            host.orderer_state.borrow_mut().answered_at = None;
         }
         SyncReply::News(news) => take_news(host, asked_at, *news),
     }
@@ -357,7 +360,7 @@
             host.take_members_news(members);
         }
     }
-    let mut view = host.view.borrow_mut();
+    let mut view = host.orderer_state.borrow_mut();
     view.answered_at = view.answered_at.max(Some(now - age_ms));
     view.take_engines(engines);
     view.take_work(work);
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -183,8 +183,8 @@
     offset: Option<Offset>,
 ) {
     if matches!(change, Change::Gone | Change::Restarted) {
-        host.pool.forget(id);
-        host.view.borrow_mut().forget_lacking(id);
+        host.pool.close_idle(id);
+        host.orderer_state.borrow_mut().forget_lacking(id);
     }
     let (event, change) = match change {
         Change::Added => (LogEvent::UpstreamRegistered, "added"),
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -1,27 +1,28 @@
-//! Which engines a request may go to.
+//! Which engines are candidates for a request.
 
 use super::site::entry;
 use crate::entry::choice::{holders, holds};
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::ordering::published::{EngineView, EnginesNews};
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
 use std::net::SocketAddr;
 
-fn ask(model: u8, has_adapter: bool) -> ModelAsk {
-    ModelAsk {
+fn model_ref(model: u8, has_adapter: bool) -> ModelRef {
+    ModelRef {
         model: format!("m{model}").into(),
         adapter: has_adapter.then(|| "a".into()),
     }
 }
 
-/// Guards against engines that are missed because their entries do not list what they were ordered to load.
+/// Guards against missing an engine whose own entry does not list a model that it was ordered to
+/// load.
 #[test]
-fn the_engines_that_are_found_are_those_that_a_walk_over_all_finds() {
+fn holders_finds_the_same_engines_as_a_scan_of_all_upstreams() {
     arbtest::arbtest(|u| {
         let mut upstreams = Registry::default();
-        let mut told = Vec::new();
+        let mut published = Vec::new();
         for n in 0..6 {
             let id: Name = format!("u{n}").into();
             let held = HeldModel {
@@ -35,8 +36,8 @@
                 ..entry(&id, SocketAddr::from(([127, 0, 0, 1], 9)))
             });
             if u.arbitrary()? {
-                let held = ask(u.int_in_range(0..=2u8)?, u.ratio(1, 3)?);
-                told.push(EngineView {
+                let held = model_ref(u.int_in_range(0..=2u8)?, u.ratio(1, 3)?);
+                published.push(EngineView {
                     engine: Lifetime {
                         id,
                         born_at: Millis::ZERO,
@@ -49,22 +50,22 @@
         view.take_engines(EnginesNews {
             version: (1, 1),
             is_whole: true,
-            engines: told,
+            engines: published,
             gone: Vec::new(),
         });
         let now = Millis(10_000);
-        let asked = ask(u.int_in_range(0..=2u8)?, u.arbitrary()?);
+        let requested = model_ref(u.int_in_range(0..=2u8)?, u.arbitrary()?);
         let lacking: Name = format!("u{}", u.int_in_range(0..=5u8)?).into();
-        view.note_lacking(now, &lacking, &asked);
-        let found = holders(&upstreams, &view, now, "s", &asked);
+        view.note_lacking(now, &lacking, &requested);
+        let found = holders(&upstreams, &view, now, "s", &requested);
         let found: Vec<Name> = found.map(|engine| engine.entry.id.clone()).collect();
-        let walk = upstreams.iter().filter(|upstream| {
+        let scanned = upstreams.iter().filter(|upstream| {
             let entry = &upstream.entry;
-            &*entry.service == "s" && !entry.leaving && holds(&view, now, upstream, &asked)
+            &*entry.service == "s" && !entry.leaving && holds(&view, now, upstream, &requested)
         });
-        let walk: IndexSet<Name> = walk.map(|engine| engine.entry.id.clone()).collect();
-        assert_eq!(found.len(), walk.len(), "each of them once");
-        assert_eq!(found.into_iter().collect::<IndexSet<_>>(), walk);
+        let scanned: IndexSet<Name> = scanned.map(|engine| engine.entry.id.clone()).collect();
+        assert_eq!(found.len(), scanned.len(), "each engine is found once");
+        assert_eq!(found.into_iter().collect::<IndexSet<_>>(), scanned);
         Ok(())
     })
     .size_max(4_096);
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -119,7 +119,7 @@
         RequestFacts {
             id: headers.text("Id").map(Name::from),
             wait_ms: headers.number("Wait-Ms").map(Millis),
-            model: headers.text("Model").map(|model| ModelAsk {
+            model: headers.text("Model").map(|model| ModelRef {
                 model: model.into(),
                 adapter: None,
             }),
@@ -130,7 +130,7 @@
         }
     }
 
-    fn address_request(&self, headers: &mut Headers, facts: &SendFacts<'_>) {
+    fn set_upstream_headers(&self, headers: &mut Headers, facts: &SendFacts<'_>) {
         headers.remove("Reserved");
         headers.remove("Wait-Ms");
         headers.push("Wait-Ms", &facts.left_ms.0.to_string());
@@ -160,21 +160,21 @@
         }
     }
 
-    fn own_answer(&self, request_id: Option<&str>) -> Headers {
+    fn host_answer_headers(&self, request_id: Option<&str>) -> Headers {
         let mut headers = Headers::default();
         headers.push("Id", request_id.unwrap_or("none"));
         headers
     }
 
-    fn read_directory(&self, _head: &RequestHead) -> Option<DirectoryQuestion> {
-        Some(DirectoryQuestion::default())
+    fn read_directory(&self, _head: &RequestHead) -> Option<DirectoryQuery> {
+        Some(DirectoryQuery::default())
     }
 
     fn write_directory(&self, addresses: &[SocketAddr], _ttl_ms: Millis) -> Vec<u8> {
         format!("{addresses:?}").into_bytes()
     }
 
-    fn asks_ready(&self, _head: &RequestHead) -> bool {
+    fn is_readiness_probe(&self, _head: &RequestHead) -> bool {
         true
     }
 
@@ -202,11 +202,11 @@
                 .filter(|row| row.value != RowValue::Removed)
                 .collect(),
             end,
-            is_cut: false,
+            is_truncated: false,
         })
     }
 
-    async fn follow_table(&self, table: Table, ask: ChangesAsk) -> Result<TablePage, StoreError> {
+    async fn follow_table(&self, table: Table, ask: ChangesQuery) -> Result<TablePage, StoreError> {
         let from = ask.from;
         let most = match ask.size {
             PageSize::Full => usize::MAX,
@@ -230,7 +230,7 @@
                     rows,
                     end: next,
                     more_after: None,
-                    is_cut: next < end,
+                    is_truncated: next < end,
                 });
             }
             changed.await;
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -5,7 +5,7 @@
 use crate::desired::{LimitUnit, Organisation, RateLimit};
 use crate::entry::host::Host;
 use crate::entry::limits;
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::entry::sync::answer;
 use crate::group::Member;
 use crate::ordering::demand::AskCount;
@@ -42,13 +42,13 @@
     let list: IndexSet<Member> = others.chain([me]).collect();
     host.members.borrow_mut().replace(host.now(), 1, list);
     host.members.borrow_mut().note_contact(host.now());
-    host.accept_listed();
+    host.apply_member_list();
     assert!(host.is_relay());
 }
 
 /// Lets a relay know what the orderer said a while ago.
 fn tell(host: &Host<FakePlatform>, age_ms: Millis) {
-    let held = ModelAsk {
+    let held = ModelRef {
         model: "m".into(),
         adapter: None,
     };
@@ -59,7 +59,7 @@
         },
         held: vec![held],
     };
-    let mut view = host.view.borrow_mut();
+    let mut view = host.orderer_state.borrow_mut();
     view.answered_at = Some(host.now() - age_ms);
     view.take_engines(EnginesNews {
         version: (3, 1),
@@ -153,7 +153,7 @@
             waiting: 1,
             ..AskCount::default()
         };
-        let model = ModelAsk {
+        let model = ModelRef {
             model: "m".into(),
             adapter: None,
         };
@@ -163,8 +163,8 @@
             ..ask()
         };
         answer(&site.host, urgent);
-        assert!(site.host.wait_for_news(Millis(10_000)).await);
-        let mut gather = site.host.gather.borrow_mut();
+        assert!(site.host.wait_for_sync_request(Millis(10_000)).await);
+        let mut gather = site.host.relay_aggregate.borrow_mut();
         let told = gather.take_demand(site.host.now(), Vec::new());
         assert_eq!(told.iter().map(|(_, count)| count.waiting).sum::<u32>(), 1);
     });
--- a/src/entry/tests/waiting.rs
+++ b/src/entry/tests/waiting.rs
@@ -7,12 +7,12 @@
 const REQUEST: &str = "GET /a/ HTTP/1.1\r\nHost: x\r\nId: i1\r\nModel: m\r\nWait-Ms: 30000\r\n\r\n";
 
 #[test]
-fn a_model_that_nobody_holds_is_refused_at_once_while_no_host_orders() {
+fn a_request_for_a_model_that_no_engine_holds_is_refused_at_once_while_the_orderer_is_lost() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let long_ago = site.host.now() - Millis(4_000);
-        site.host.view.borrow_mut().answered_at = Some(long_ago);
+        site.host.orderer_state.borrow_mut().answered_at = Some(long_ago);
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 503);
         assert!(
@@ -20,24 +20,24 @@
             "{}",
             answer.body
         );
-        let come_back_s: f64 = answer
+        let retry_after_s: f64 = answer
             .head
             .headers
             .text("Retry-After")
             .unwrap()
             .parse()
             .unwrap();
-        // A new orderer takes six seconds from the last word of the former one.
-        assert!((0.5..=2.0).contains(&come_back_s), "{come_back_s}");
+        // The next orderer sends orders six seconds after the last answer of the previous one.
+        assert!((0.5..=2.0).contains(&retry_after_s), "{retry_after_s}");
     });
 }
 
 #[test]
-fn a_model_that_nobody_holds_is_waited_for_while_a_host_orders() {
+fn a_request_for_a_model_that_no_engine_holds_waits_while_the_orderer_answers() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        site.host.view.borrow_mut().answered_at = Some(site.host.now());
+        site.host.orderer_state.borrow_mut().answered_at = Some(site.host.now());
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 503);
         assert!(
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -1,7 +1,7 @@
 //! The list of upstreams: changes of its entries, outages of the list, and the lifetimes of
 //! upstreams.
 
-use crate::entry::platform::ModelAsk;
+use crate::entry::platform::ModelRef;
 use crate::prelude::*;
 use crate::routing::roles::is_long;
 use crate::upstreams::index::ListIndex;
@@ -81,10 +81,10 @@
     }
 
     /// Returns whether the entry lists exactly the given models and adapters.
-    pub fn holds_exactly(&self, asks: &[ModelAsk]) -> bool {
+    pub fn holds_exactly(&self, asks: &[ModelRef]) -> bool {
         let models = self.entry.models.iter();
         let listed: usize = models.map(|held| 1 + held.adapters.len()).sum();
-        let holds = |ask: &ModelAsk| self.holds(&ask.model, ask.adapter.as_deref());
+        let holds = |ask: &ModelRef| self.holds(&ask.model, ask.adapter.as_deref());
         listed == asks.len() && asks.iter().all(holds)
     }
 }
