--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -1,7 +1,8 @@
-//! Which adapters engines are told to bring, and which make way.
+//! Chooses which adapters engines load and which they unload.
 //!
-//! Answers the pattern of many adapters of a few busy models: an engine has places for some, brings one in a few
-//! milliseconds, and callers wait for it; but only an orderer brings it, and a site may lack one for seconds.
+//! A few busy models may have many adapters. An engine has slots for some of them and loads one in
+//! a few milliseconds while its callers wait. Only an orderer can request that, and a site may be
+//! without an orderer for seconds.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::census::ServiceCensus;
@@ -10,18 +11,19 @@
 use crate::prelude::*;
 use crate::routing::roles::short_copies;
 
-/// Adapters that are brought ahead at once, over all engines: half of what the smallest weight store fetches at full
-/// speed, so that those that callers wait for are not slowed.
+/// The most adapters that are prefetched concurrently over all engines. This is half of what the
+/// smallest weight store fetches at full speed, so that adapters that callers wait for are not
+/// slowed.
 const AHEAD_AT_ONCE: usize = 4;
-/// Places of each engine that are kept for adapters that callers wait for.
+/// Adapter slots of each engine that prefetching leaves free for adapters that callers wait for.
 const PLACES_KEPT_FREE: usize = 1;
 
-/// On how many engines that are not to be used each adapter is.
+/// The number of excluded engines that hold each adapter.
 #[derive(Default)]
 struct UnusedAdapters<'a>(IndexMap<&'a ModelAsk, usize>);
 
 impl UnusedAdapters<'_> {
-    /// Tells whether an engine that is to be used has an adapter, or is bringing it.
+    /// Returns whether an engine that is not excluded has an adapter or is loading it.
     fn is_held_elsewhere(&self, census: &ServiceCensus, ask: &ModelAsk) -> bool {
         let unused = self.0.get(ask).copied().unwrap_or_default();
         census.adapter(ask) > unused
@@ -29,8 +31,8 @@
 }
 
 impl Planner<'_> {
-    /// Brings an adapter that callers wait for to an engine with its model; when the engine's places are taken, the one
-    /// that was asked for longest ago makes way.
+    /// Loads an adapter that callers wait for on an engine that holds its model. If all slots are
+    /// taken, the least recently requested adapter is unloaded first.
     pub(super) fn adapter_order(&self, census: &ServiceCensus) -> Option<Planned> {
         let mut waiting: Vec<_> = self
             .book
@@ -60,7 +62,8 @@
         unused
     }
 
-    /// Places one adapter; `separate` are the models whose copies are kept apart for long and for short prompts.
+    /// Chooses the engine for one adapter. `separate` are the models that use separate copies for
+    /// long and for short prompts.
     fn place_adapter(
         &self,
         census: &ServiceCensus,
@@ -112,8 +115,9 @@
         })
     }
 
-    /// Fills free places with adapters that no engine holds, before anyone asks for them, those asked for most first: an
-    /// adapter that is there needs no orderer, which a site may lack for seconds.
+    /// Loads adapters that no engine holds into free slots before they are requested, the most
+    /// requested ones first. An adapter that is loaded can be used without an orderer, which a site
+    /// may lack for seconds.
     pub(super) fn adapter_ahead(&self, census: &ServiceCensus) -> Option<Planned> {
         let models = self.spec.models.iter();
         let missing = models.flat_map(|(model, spec)| {
--- a/src/ordering/book.rs
+++ b/src/ordering/book.rs
@@ -1,4 +1,4 @@
-//! The demand of all hosts, as the orderer adds it up.
+//! The demand of all hosts, aggregated by the orderer.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::demand::AskCount;
@@ -7,19 +7,20 @@
 use crate::routing::pick::Work;
 use crate::routing::roles::has_both_kinds;
 
-/// How fast a rate forgets: busy models change every few seconds.
+/// The half-life of the request rates. It is short because busy models change every few seconds.
 const HALF_LIFE_MS: f64 = 5_000.0;
-/// How long a model that nobody asks for is remembered: for choosing what to unload.
+/// How long a model without requests is remembered. The time of its last request decides what is
+/// unloaded first.
 const REMEMBER_MS: Millis = Millis(120_000);
 
-/// The demand for one model or adapter.
+/// The demand for one model or adapter over all hosts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Asked {
-    /// Requests that wait for it now.
+    /// Requests that currently wait for it.
     pub waiting: u32,
-    /// Requests that run.
+    /// Requests that are currently running.
     pub running: u32,
-    /// When it was asked for last.
+    /// The time of the last request.
     pub last_at: Option<Millis>,
     asked: f64,
     long: f64,
@@ -28,17 +29,17 @@
 }
 
 impl Asked {
-    /// Returns the requests a second of late.
+    /// Returns the recent requests per second.
     pub fn per_s(&self, now: Millis) -> f64 {
         per_s(self.asked * self.decay(now))
     }
 
-    /// Returns the prompt tokens a second of late.
+    /// Returns the recent prompt tokens per second.
     pub fn tokens_per_s(&self, now: Millis) -> f64 {
         per_s(self.tokens * self.decay(now))
     }
 
-    /// Returns the requests a second of late that have long prompts.
+    /// Returns the recent requests per second that have long prompts.
     pub fn long_per_s(&self, now: Millis) -> f64 {
         per_s(self.long * self.decay(now))
     }
@@ -59,12 +60,13 @@
     }
 }
 
-/// Turns a decayed count into a rate: the mean age of what it holds is the half life over the logarithm of two.
+/// Converts an exponentially decayed count to a rate per second. The mean age of the counted events
+/// is the half-life divided by ln 2.
 fn per_s(decayed: f64) -> f64 {
     decayed * std::f64::consts::LN_2 * 1_000.0 / HALF_LIFE_MS
 }
 
-/// The demand of all hosts.
+/// The demand of all hosts, by model and adapter.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     asked: IndexMap<ModelAsk, Asked>,
@@ -72,7 +74,7 @@
 }
 
 impl Book {
-    /// Takes one host's message.
+    /// Adds one host's report. `host` is the incarnation of its process.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
             self.asked.entry(ask.clone()).or_default().add(now, count);
@@ -81,7 +83,7 @@
         self.add_up(now);
     }
 
-    /// Forgets hosts that fell silent and models that nobody asks for.
+    /// Drops hosts that stopped reporting and models without recent requests.
     pub fn expire(&mut self, now: Millis) {
         self.add_up(now);
         self.asked.retain(|_, asked| {
@@ -91,23 +93,23 @@
         });
     }
 
-    /// Returns the demand for a model or adapter.
+    /// Returns the demand for a model or adapter; zero if there is none.
     pub fn asked(&self, ask: &ModelAsk) -> Asked {
         self.asked.get(ask).copied().unwrap_or_default()
     }
 
-    /// Tells whether anything was asked for within a time.
+    /// Returns whether there was any request within the last `within_ms`.
     pub fn is_asked_of_late(&self, now: Millis, within_ms: Millis) -> bool {
         let mut last = self.asked.values().filter_map(|asked| asked.last_at);
         last.any(|at| now.since(at) < within_ms)
     }
 
-    /// Returns all that was asked for.
+    /// Returns the demand for each model and adapter that had requests.
     pub fn iter(&self) -> impl Iterator<Item = (&ModelAsk, &Asked)> {
         self.asked.iter()
     }
 
-    /// Returns the demand for each model that was asked for, together with its adapters.
+    /// Returns the demand for each model, with that for its adapters included.
     pub fn models(&self, now: Millis) -> IndexMap<&Name, ModelDemand> {
         let mut models: IndexMap<&Name, ModelDemand> = IndexMap::new();
         for (ask, asked) in &self.asked {
@@ -122,31 +124,31 @@
         models
     }
 
-    /// Returns the models whose copies are kept apart for long and for short prompts.
+    /// Returns the models that use separate copies for long and for short prompts.
     pub fn separate(&self, now: Millis) -> Vec<Name> {
         let models = self.models(now).into_iter();
         let separate = models.filter(|(_, demand)| demand.has_both_kinds());
         separate.map(|(model, _)| model.clone()).collect()
     }
 
-    /// Returns the work at each engine of all hosts but one.
+    /// Returns the request load on each engine from all hosts except one.
     pub fn work_of_others(&self, host: u64) -> Vec<(Name, Work)> {
         let mut all: IndexMap<Name, Work> = IndexMap::new();
         self.hosts.add_work(Some(host), &mut all);
         all.into_iter().collect()
     }
 
-    /// Returns how many requests of all hosts run at an engine.
+    /// Returns how many requests of all hosts are running on an engine.
     pub fn running_at(&self, engine: &str) -> u32 {
         self.hosts.running_at(engine)
     }
 
-    /// Returns how many hosts were heard of late, those that speak through others included.
+    /// Returns how many hosts reported recently, including those that report through a relay.
     pub fn heard(&self) -> usize {
         self.hosts.heard()
     }
 
-    /// Returns how many hosts spoke with this one of late.
+    /// Returns how many hosts reported recently to this host directly.
     pub fn hosts(&self) -> usize {
         self.hosts.count()
     }
@@ -165,25 +167,25 @@
     }
 }
 
-/// The demand for a model with its adapters.
+/// The demand for a model, with that for its adapters included.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ModelDemand {
-    /// Requests that wait.
+    /// Requests that currently wait.
     pub waiting: u32,
-    /// Requests that run.
+    /// Requests that are currently running.
     pub running: u32,
-    /// Requests a second of late.
+    /// Recent requests per second.
     pub per_s: f64,
-    /// How many of these have long prompts.
+    /// The part of `per_s` that has long prompts.
     pub long_per_s: f64,
-    /// Prompt tokens a second of late.
+    /// Recent prompt tokens per second.
     pub tokens_per_s: f64,
-    /// When it was asked for last.
+    /// The time of the last request.
     pub last_at: Option<Millis>,
 }
 
 impl ModelDemand {
-    /// Tells whether the model is asked with long and with short prompts.
+    /// Returns whether the model gets enough long and enough short prompts to use separate copies.
     pub fn has_both_kinds(&self) -> bool {
         has_both_kinds(self.long_per_s, self.per_s - self.long_per_s)
     }
--- a/src/ordering/candidates.rs
+++ b/src/ordering/candidates.rs
@@ -1,7 +1,7 @@
-//! Which engines a plan looks at.
+//! Selects the engines that a plan considers.
 //!
-//! Answers the pattern of thousands of engines that are like each other: a plan that weighs all of them for each order takes
-//! longer than the orders themselves.
+//! A site may have thousands of similar engines. A plan that compared all of them for each order
+//! would take longer than the orders themselves.
 
 use crate::ordering::census::{Holders, ServiceCensus};
 use crate::ordering::engine::Engine;
@@ -9,28 +9,28 @@
 use crate::prelude::*;
 use crate::rendezvous;
 
-/// Most engines among which a place is looked for, besides those that have the weights at hand: the best of some hundred
-/// that are like each other is nearly as good as the best of thousands.
+/// The most engines that are compared for one load, in addition to those that have the weights
+/// cached. The best of some hundred similar engines is nearly as good as the best of thousands.
 const MOST_CANDIDATES: usize = 512;
 
 impl Planner<'_> {
-    /// Returns the engines that are leaving or cannot be reached.
+    /// Returns the engines of the service that are leaving or cannot be reached.
     pub(super) fn unused_engines(&self) -> impl Iterator<Item = &Engine> {
         let engines = self.unusable.iter().filter_map(|id| self.ledger.get(id));
         engines.filter(|engine| &*engine.service == self.service)
     }
 
-    /// Tells whether an engine may get orders.
+    /// Returns whether an engine may receive orders.
     pub(super) fn is_used(&self, engine: &Engine) -> bool {
         &*engine.service == self.service && !self.unusable.contains(&engine.id)
     }
 
-    /// Tells whether an engine takes an order now for whatever model is best there.
+    /// Returns whether an engine accepts an order now and reserves no memory for a certain model.
     pub(super) fn is_open(&self, engine: &Engine) -> bool {
         engine.is_free(self.now) && engine.intended(self.now).is_none()
     }
 
-    /// Returns the engines that hold a model, or will.
+    /// Returns the engines that hold a model or will hold it.
     pub(super) fn holders<'b>(
         &'b self,
         census: &'b ServiceCensus,
@@ -40,7 +40,7 @@
         self.used(holders.flat_map(Holders::engines))
     }
 
-    /// Returns the engines that have a model's weights at hand.
+    /// Returns the engines that have a model's weights cached in memory or on disk.
     pub(super) fn having_at_hand<'b>(
         &'b self,
         census: &'b ServiceCensus,
@@ -55,8 +55,9 @@
         engines.filter(|engine| self.is_used(engine))
     }
 
-    /// Returns the open engines among which a place for a model is looked for: all in a small site, in a large one those that
-    /// have its weights at hand and some others, other ones each time.
+    /// Returns the available engines that are compared for a load of a model. At a small site these
+    /// are all engines; at a large one, those that have the weights cached and a window of others
+    /// that changes with each call.
     pub(super) fn candidates<'b>(
         &'b self,
         census: &'b ServiceCensus,
--- a/src/ordering/ceiling.rs
+++ b/src/ordering/ceiling.rs
@@ -1,46 +1,57 @@
-//! The load on the weight store: loads a second over all engines and lifetimes of hosts, and loads at once.
+//! Limits the loads from the weight store: the rate of starts over all engines and successive
+//! orderers, and the number of concurrent loads.
 //!
-//! Answers the pattern of many models asked for at once after a shift of demand: the store serves a few loads at full
-//! speed, and each further one slows all of them in proportion, so that ten loads at once are ready
-//! later than the same ten one after the other. How many are served at full speed is not stated anywhere: it is learned
-//! from loads that end, and sooner from loads that are overdue. Where one load at a time of 13 s is served, four at once
-//! were all ready after 53 s; one after the other the first is ready after 13 s. A store that is stated to let thousands of
-//! loads begin each second serves a large site: it begins with a part of them at once, since loads of 13 s that double from two
-//! would need minutes to use it.
+//! After a shift of demand, many models are requested at the same time. The store serves a few
+//! loads at full speed, and each further load slows all of them in proportion, so ten concurrent
+//! loads finish later than the same ten in sequence. How many loads run at full speed is not stated
+//! anywhere; it is learned from loads that finish, and earlier from loads that are overdue. For
+//! example, a store that serves one load of 13 s at a time finishes four concurrent loads after 53
+//! s, all of them, while in sequence the first is ready after 13 s.
+//!
+//! A store that allows thousands of load starts per second serves a large site. There the limit
+//! starts at a fraction of that rate: with loads of 13 s, growth from two concurrent loads would
+//! take minutes.
 
 use crate::prelude::*;
 
-/// The part of the allowed rate that is used.
+/// The fraction of the stated start rate that is used.
 const USED_PART: f64 = 0.9;
-/// Loads that may begin at once after a pause.
+/// The most loads that may start at the same time after a pause.
 const BURST: f64 = 3.0;
-/// Loads at once before any was measured: the least that shows whether loads slow each other. Two that do are overdue
-/// after one load's time, and are ready together after two loads' time.
+/// The initial number of concurrent loads. Two is the least that shows whether loads slow each
+/// other: if they do, both are overdue after the time of one load and finish together after that of
+/// two.
 const FIRST_AT_ONCE: f64 = 2.0;
-/// Up to so many at once the limit grows fast: the usual speed of a weight store.
+/// The number of concurrent loads that a store typically serves at full speed; the limit grows fast
+/// up to here.
 const USUAL_AT_ONCE: f64 = 4.0;
-/// A load that took less than this factor of its stated time was not slowed by others; the report of its end lags by
-/// up to half a second.
+/// A load that took less than its stated time multiplied by this factor was not slowed by others.
+/// The report of its end arrives up to half a second late.
 const FULL_SPEED_FACTOR: f64 = 1.15;
-/// By how many loads at once the limit grows with each load at full speed: below the usual speed, above it, and after
-/// one was slowed.
+/// How much the limit of concurrent loads grows with each load that ran at full speed: below the
+/// typical number, above it, and after a load was slowed.
 const FAST_GROWTH: f64 = 1.0;
 const FIRST_GROWTH: f64 = 0.25;
 const SLOWED_GROWTH: f64 = 0.1;
-/// Loads at once that are kept for models that are asked for: a load under way holds its place for seconds.
+/// Concurrent loads that are reserved for requested models, because a load that has started
+/// occupies its place for seconds.
 const KEPT_FREE: usize = 2;
-/// Most loads at once where the stated rate is low, and the part of a high rate up to which they may grow.
+/// The upper bound of concurrent loads where the stated rate is low, and the bound as a fraction of
+/// the rate where that is higher.
 const MOST_AT_ONCE: f64 = 64.0;
 const MOST_PART: f64 = 1.0 / 8.0;
-/// The part of the stated loads a second with which an orderer begins at once that has learned nothing.
+/// The initial number of concurrent loads as a fraction of the stated starts per second, for an
+/// orderer that has learned nothing yet.
 const FIRST_PART: f64 = 1.0 / 32.0;
-/// The part of the loads at once by which one late load lowers them at most, where they are many.
+/// The largest decrease after one late load, as a fraction of the concurrent loads. It is at least
+/// one load.
 const LOWERED_PART: f64 = 0.25;
 
-/// Admits loads from the weight store.
+/// Limits the loads from the weight store with a token bucket and a learned concurrency limit.
 ///
-/// A new holder of the lease begins with nothing saved up: what a former holder began in the last seconds is not
-/// known, and the rate alone keeps the sum under the bound.
+/// A new holder of the lease starts with an empty bucket, because it does not know which loads its
+/// predecessor started in the last seconds. The rate alone then keeps the sum below the store's
+/// limit.
 #[derive(Clone, Debug)]
 pub struct Ceiling {
     saved: f64,
@@ -53,7 +64,8 @@
 }
 
 impl Ceiling {
-    /// Makes the ceiling of a host that begins to order. `learned_at_once` is what a former holder learned.
+    /// Creates the limiter of a host that becomes the orderer. `learned_at_once` is the limit that
+    /// an earlier orderer learned.
     pub fn new(now: Millis, learned_at_once: Option<usize>) -> Self {
         let learned = learned_at_once.map(|at_once| (at_once as f64).max(1.0));
         Self {
@@ -67,7 +79,7 @@
         }
     }
 
-    /// Takes what the stated rate says of the loads at once.
+    /// Applies the stated rate to the concurrency limit and its upper bound.
     fn take_rate(&mut self, loads_per_s: f64) {
         self.most = (loads_per_s * MOST_PART).max(MOST_AT_ONCE);
         if !std::mem::replace(&mut self.knows_rate, true) && !self.is_learned {
@@ -76,7 +88,7 @@
         self.at_once = self.at_once.min(self.most);
     }
 
-    /// Tells whether a load may begin while `under_way` others run.
+    /// Returns whether a load may start while `under_way` others are running.
     pub fn admits(&mut self, now: Millis, loads_per_s: f64, under_way: usize) -> bool {
         self.take_rate(loads_per_s);
         let passed_s = now.since(self.filled_at).0 as f64 / 1_000.0;
@@ -85,8 +97,8 @@
         self.saved >= 1.0 && (under_way as f64) < self.at_once.floor()
     }
 
-    /// Tells whether a load that nobody waits for may begin: while models are asked for, some room is left for loads that
-    /// are wanted.
+    /// Returns whether a load of a model without requests may start. While any model is requested,
+    /// some places are reserved for loads of requested models.
     pub fn admits_spare(
         &mut self,
         now: Millis,
@@ -98,12 +110,13 @@
         self.admits(now, loads_per_s, under_way + kept_free)
     }
 
-    /// Counts a load that begins.
+    /// Takes a token for a load that starts.
     pub fn note_begun(&mut self) {
         self.saved -= 1.0;
     }
 
-    /// Learns from a load that took `took_ms` against `stated_ms` while `beside` loads ran at most, itself included.
+    /// Adjusts the limit after a load that took `took_ms` instead of `stated_ms`. `beside` is the
+    /// largest number of loads that ran at the same time, itself included.
     pub fn note_done(&mut self, took_ms: Millis, stated_ms: Millis, beside: usize) {
         let factor = slowed_by(took_ms, stated_ms);
         let beside = beside.max(1) as f64;
@@ -115,7 +128,8 @@
         }
     }
 
-    /// Learns from a load that its engine still carries out `passed_ms` after it began.
+    /// Adjusts the limit while a load is still running `passed_ms` after it started. `beside` is as
+    /// in [`Ceiling::note_done`].
     pub fn note_overdue(&mut self, passed_ms: Millis, stated_ms: Millis, beside: usize) {
         let factor = slowed_by(passed_ms, stated_ms);
         if beside > 1 && factor > FULL_SPEED_FACTOR {
@@ -123,8 +137,9 @@
         }
     }
 
-    /// Lowers the limit, by one or a part at a time: a load may be late for a reason of its own, and a limit that is too low
-    /// leaves the store idle until it has grown again.
+    /// Lowers the limit, by one load or by a fraction of them at a time. A single load may be late
+    /// for its own reasons, and a limit that is too low leaves the store idle until it has grown
+    /// again.
     fn lower_to(&mut self, at_once: f64) {
         let step = (self.at_once * LOWERED_PART).floor().max(1.0);
         let lowest = (self.at_once.floor() - step).max(1.0);
@@ -141,12 +156,13 @@
         }
     }
 
-    /// Returns how many loads may run at once, if that was learned from loads that ran beside each other.
+    /// Returns the limit of concurrent loads if it was learned from loads that ran at the same
+    /// time.
     pub fn learned_at_once(&self) -> Option<usize> {
         self.is_learned.then_some(self.at_once())
     }
 
-    /// Returns how many loads may run at once.
+    /// Returns the limit of concurrent loads.
     pub fn at_once(&self) -> usize {
         self.at_once as usize
     }
--- a/src/ordering/census.rs
+++ b/src/ordering/census.rs
@@ -1,41 +1,42 @@
-//! How many engines hold what, kept as engines change.
+//! Indexes which engines hold which models and adapters, updated with each change of an engine.
 //!
-//! Answers the pattern of thousands of engines of which a few change a second: the next order is asked for many times a
-//! second, and counting anew what all engines hold takes longer than everything else that it needs.
+//! A site may have thousands of engines, of which a few change per second. The planner asks for the
+//! next order many times per second, and counting over all engines each time would cost more than
+//! everything else that it does.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::copy::Copy;
 use crate::ordering::engine::Engine;
 use crate::prelude::*;
 
-/// The engines that hold a model.
+/// The engines that hold a model or have its weights cached.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Holders {
-    /// Those that hold it, or will.
+    /// Engines that hold the model or will hold it.
     engines: IndexSet<Name>,
-    /// How many of them hold it now.
+    /// How many of `engines` hold it now.
     held: usize,
-    /// Engines that have its weights at hand.
+    /// Engines that have its weights cached.
     at_hand: IndexSet<Name>,
 }
 
 impl Holders {
-    /// Returns how many engines hold it, or will.
+    /// Returns how many engines hold the model or will hold it.
     pub fn copies(&self) -> usize {
         self.engines.len()
     }
 
-    /// Returns how many engines hold it now.
+    /// Returns how many engines hold the model now.
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// Returns the engines that hold it, or will.
+    /// Returns the engines that hold the model or will hold it.
     pub fn engines(&self) -> impl Iterator<Item = &Name> {
         self.engines.iter()
     }
 
-    /// Returns the engines that have its weights at hand, in memory or on disk.
+    /// Returns the engines that have the weights cached in memory or on disk.
     pub fn at_hand(&self) -> impl Iterator<Item = &Name> {
         self.at_hand.iter()
     }
@@ -45,7 +46,7 @@
     }
 }
 
-/// The counts of one service.
+/// The index of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceCensus {
     engines: usize,
@@ -55,22 +56,22 @@
 }
 
 impl ServiceCensus {
-    /// Returns how many engines there are.
+    /// Returns how many engines the service has.
     pub fn engines(&self) -> usize {
         self.engines
     }
 
-    /// Returns how many engines' reports were not read yet.
+    /// Returns how many engines have not reported yet.
     pub fn unknown(&self) -> usize {
         self.unknown
     }
 
-    /// Returns the engines that hold a model or have its weights; nothing when there are none.
+    /// Returns the engines that hold a model or have its weights cached; `None` if there are none.
     pub fn model(&self, model: &str) -> Option<&Holders> {
         self.models.get(model)
     }
 
-    /// Returns how many engines have an adapter, or are bringing it.
+    /// Returns how many engines have an adapter or are loading it.
     pub fn adapter(&self, ask: &ModelAsk) -> usize {
         self.adapters.get(ask).copied().unwrap_or_default()
     }
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Takes out what [`ServiceCensus::add`] counted of the engine as it was then.
+    /// Removes an engine. `engine` must be in the state in which it was added by
+    /// [`ServiceCensus::add`].
     fn remove(&mut self, engine: &Engine) {
         self.engines -= 1;
         self.unknown -= usize::from(!engine.is_known);
@@ -128,32 +130,32 @@
     }
 }
 
-/// The counts of all services.
+/// The index of all services.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Census {
     services: IndexMap<Name, ServiceCensus>,
     store_loads: usize,
-    /// The engines with loads from the weight store.
+    /// The engines that are loading from the weight store.
     loading: IndexSet<Name>,
 }
 
 impl Census {
-    /// Returns the counts of a service; nothing when it has no engines.
+    /// Returns the index of a service; `None` if it has no engines.
     pub fn of(&self, service: &str) -> Option<&ServiceCensus> {
         self.services.get(service)
     }
 
-    /// Returns how many loads from the weight store are under way.
+    /// Returns how many loads from the weight store are running.
     pub fn store_loads(&self) -> usize {
         self.store_loads
     }
 
-    /// Returns the engines with loads from the weight store.
+    /// Returns the engines that are loading from the weight store.
     pub fn loading(&self) -> impl Iterator<Item = &Name> {
         self.loading.iter()
     }
 
-    /// Counts an engine.
+    /// Adds an engine.
     pub fn add(&mut self, engine: &Engine) {
         let loads = store_loads(engine);
         self.store_loads += loads;
@@ -164,7 +166,7 @@
         service.or_default().add(engine);
     }
 
-    /// Takes out an engine as it was counted.
+    /// Removes an engine. `engine` must be in the state in which it was added.
     pub fn remove(&mut self, engine: &Engine) {
         self.store_loads -= store_loads(engine);
         self.loading.swap_remove(&engine.id);
@@ -178,7 +180,7 @@
     }
 }
 
-/// Returns the copies on an engine that are not being dropped.
+/// Returns the copies on an engine that are not being unloaded.
 fn staying(engine: &Engine) -> impl Iterator<Item = (&Name, &Copy)> {
     let copies = engine.copies.iter();
     copies.filter(|(_, copy)| **copy != Copy::Unloading)
--- a/src/ordering/copy.rs
+++ b/src/ordering/copy.rs
@@ -2,31 +2,32 @@
 
 use crate::prelude::*;
 
-/// How long after the stated time a load from disk is taken for done.
+/// How long after its stated time a load from the engine's own disk is assumed to be done.
 const READY_MARGIN_MS: Millis = Millis(25);
 
-/// A model on an engine.
+/// The state of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Copy {
-    /// It can run.
+    /// The copy can run requests.
     Held,
-    /// It is being loaded.
+    /// The copy is being loaded.
     Loading {
-        /// When the order was accepted.
+        /// When the engine accepted the order; [`Millis::NEVER`] if the order got no answer.
         since: Millis,
-        /// When it should be ready.
+        /// When the load should be done; [`Millis::NEVER`] if the order got no answer.
         ready_at: Millis,
-        /// Whether the weights come from the weight store.
+        /// Whether the weights come from the weight store rather than from the engine's cache.
         from_store: bool,
-        /// How many loads from the weight store ran beside it at most, itself included.
+        /// The largest number of loads from the weight store that ran at the same time as this one,
+        /// itself included.
         beside: usize,
     },
-    /// It is being dropped.
+    /// The copy is being unloaded.
     Unloading,
 }
 
 impl Copy {
-    /// Tells whether the copy is being loaded from the weight store.
+    /// Returns whether the copy is being loaded from the weight store.
     pub fn is_from_store(&self) -> bool {
         matches!(
             self,
@@ -37,7 +38,7 @@
         )
     }
 
-    /// Returns the load of the copy's model, as it is by now; nothing when it is not being loaded.
+    /// Returns the progress of the load of `model`; `None` if the copy is not being loaded.
     pub(super) fn as_load(&self, now: Millis, model: &Name) -> Option<Loaded> {
         match *self {
             Self::Loading {
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Tells whether the copy can run, as far as that can be told. A load from the engine's own disk takes the stated
-    /// time, and the report of its end lags by some hundred milliseconds; an engine that is not ready says so.
+    /// Returns whether the copy can presumably run requests. A load from the engine's own disk
+    /// takes the stated time, and the report of its end lags by some hundred milliseconds. An
+    /// engine that is not ready yet refuses the request.
     pub fn should_run(&self, now: Millis) -> bool {
         match self {
             Self::Held => true,
@@ -70,23 +72,25 @@
     }
 }
 
-/// A load that was seen to be done, or to be still under way.
+/// The progress of a load that finished or is still running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loaded {
-    /// The model.
+    /// The model that is loaded.
     pub model: Name,
-    /// How long it took so far; nothing when it is not known when it began, because its order got no answer.
+    /// The time since the order was accepted; `None` if that is unknown because the order got no
+    /// answer.
     pub took_ms: Option<Millis>,
-    /// Whether the weights came from the weight store.
+    /// Whether the weights come from the weight store.
     pub from_store: bool,
-    /// How many loads from the weight store ran beside it at most, itself included.
+    /// The largest number of loads from the weight store that ran at the same time, itself
+    /// included.
     pub beside: usize,
 }
 
-/// How long a load should take.
+/// How long a load should take, and where the weights come from.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadTime {
-    /// The time.
+    /// The stated time of the load.
     pub takes_ms: Millis,
     /// Whether the weights come from the weight store.
     pub from_store: bool,
--- a/src/ordering/demand.rs
+++ b/src/ordering/demand.rs
@@ -1,36 +1,36 @@
-//! What callers ask of each model.
+//! The requests of one host's callers, counted by model and adapter.
 
 use crate::entry::platform::ModelAsk;
 use crate::prelude::*;
 
-/// Most models and adapters that one host counts between two messages to the orderer; more are asked for again
-/// by the requests that wait for them.
+/// The most models and adapters that a host counts between two messages to the orderer. Requests
+/// that wait for one that was left out are counted in a later message.
 pub const MAX_ASKS: usize = 4_096;
 
 /// The requests for one model or adapter at one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AskCount {
-    /// Requests since the last message.
+    /// Requests since the last message to the orderer.
     pub asked: u32,
-    /// How many of these have long prompts.
+    /// The part of `asked` that has long prompts.
     pub long: u32,
-    /// Requests that wait for it to be loaded.
+    /// Requests that currently wait until it is loaded.
     pub waiting: u32,
-    /// Requests that run.
+    /// Requests that are currently running.
     pub running: u32,
     /// Prompt tokens of the requests since the last message.
     pub tokens: u64,
 }
 
 impl AskCount {
-    /// Adds the requests of another count since its last message.
+    /// Adds the requests that another count received since its last message.
     pub fn add_asked(&mut self, other: &Self) {
         self.asked += other.asked;
         self.long += other.long;
         self.tokens += other.tokens;
     }
 
-    /// Adds the requests of another count that wait or run.
+    /// Adds the requests of another count that wait or are running.
     pub fn add_present(&mut self, other: &Self) {
         self.waiting += other.waiting;
         self.running += other.running;
@@ -44,7 +44,8 @@
 }
 
 impl Demand {
-    /// Returns the counts of a model or adapter for change; nothing when too many are counted.
+    /// Returns the counts of a model or adapter for an update; `None` if the host already counts
+    /// [`MAX_ASKS`] others.
     pub fn count(&mut self, ask: &ModelAsk) -> Option<&mut AskCount> {
         if self.counts.len() >= MAX_ASKS && !self.counts.contains_key(ask) {
             return None;
@@ -52,7 +53,8 @@
         Some(self.counts.entry(ask.clone()).or_default())
     }
 
-    /// Returns the counts and begins to count the next span; what waits or runs stays.
+    /// Returns the counts and starts the next interval. Requests that wait or are running stay
+    /// counted.
     pub fn take(&mut self) -> Vec<(ModelAsk, AskCount)> {
         let counts = self.counts.iter().map(|(ask, count)| (ask.clone(), *count));
         let counts = counts.collect();
--- a/src/ordering/engine.rs
+++ b/src/ordering/engine.rs
@@ -1,4 +1,5 @@
-//! One engine as the orderer knows it: what it holds, what is on its way, the order under way.
+//! One engine as the orderer knows it: what it holds, what it is loading or unloading, and its
+//! unanswered order.
 
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
@@ -8,62 +9,65 @@
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime};
 
-/// How often an engine's report is read while an order's outcome is waited for.
+/// The interval at which an engine's report is read while the outcome of an order is awaited.
 pub(super) const BUSY_REPORT_MS: Millis = Millis(250);
-/// How long an engine rests after an answer that gives no hint what it will do next.
+/// The back-off of an engine after an order that was not answered or not sent, and the wait for the
+/// next report after a failed one.
 pub(super) const REST_MS: Millis = Millis(400);
-/// How long after a restart an unanswered order to the former start may still be carried out: the platform speaks of
-/// seconds.
+/// How long after a restart an unanswered order to the engine's previous start may still be carried
+/// out. The platform's stated delay is in the order of seconds.
 const VOID_ORDER_MS: Millis = Millis(10_000);
-/// How old the state that a report shows may be: reports lag by some hundred milliseconds.
+/// The largest age of the state that a report shows. Reports lag by some hundred milliseconds.
 const REPORT_LAG_AT_MOST_MS: Millis = Millis(2_000);
 
-/// An order that was made and of which the outcome is not known.
+/// An order whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub struct Pending {
     /// The order.
     pub order: Order,
-    /// Whether a call is under way.
+    /// Whether a call that sends it is running.
     pub in_call: bool,
-    /// Whether a call of it got no answer, so that it may take effect later.
+    /// Whether a call got no answer, so that the order may still take effect later.
     pub is_uncertain: bool,
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its name.
+    /// The engine's name.
     pub id: Name,
-    /// The Unix time of the start that all else is known of; zero where it does not say.
+    /// The engine's start in Unix time, to which all other fields belong; zero if the engine does
+    /// not report it.
     pub born_at: Millis,
-    /// Its service.
+    /// The service that the engine belongs to.
     pub service: Name,
-    /// The models on it.
+    /// The models on the engine, including those that are being loaded or unloaded.
     pub copies: IndexMap<Name, Copy>,
-    /// The adapters on it, with the time from which each can run.
+    /// The adapters on the engine, with the time from which each can run; [`Millis::NEVER`] if the
+    /// order that loads it is not answered.
     pub adapters: IndexMap<ModelAsk, Millis>,
-    /// When models were loaded by this host's orders.
+    /// When this host's orders finished loading models.
     pub loaded_at: IndexMap<Name, Millis>,
-    /// Models whose weights it has at hand.
+    /// Models whose weights the engine has cached in memory or on disk.
     pub at_hand: IndexSet<Name>,
-    /// The order under way.
+    /// The order whose outcome is not known yet.
     pub pending: Option<Pending>,
-    /// An order to a former start that may still arrive at this one, and until when: an engine that has taken as many
-    /// orders by then takes it too.
+    /// An unanswered order to the engine's previous start, and until when it may arrive. The
+    /// restarted engine carries it out if it has accepted the matching number of orders by then.
     pub(super) void: Option<(Order, Millis)>,
-    /// The model for which memory is being freed, and until when it is kept for it.
+    /// The model that memory is being freed for, and until when that memory is reserved.
     pub(super) intended: Option<(Name, Millis)>,
-    /// Whether its report was read since this host began to order.
+    /// Whether a report was read since this host became the orderer.
     pub is_known: bool,
-    /// Whether a report call is under way.
+    /// Whether a call for the report is running.
     pub in_report: bool,
     pub(super) order_count: u64,
-    /// Since when reports show a lower count of orders than is known here.
+    /// Since when reports show a lower order count than is known here.
     lower_count_since: Option<Millis>,
     pub(super) is_doubtful: bool,
     pub(super) unloaded_at: Option<Millis>,
     pub(super) rests_until: Millis,
-    /// When its report is to be read next.
+    /// When the report is to be read next.
     pub report_at: Millis,
     pub(super) was_busy: bool,
 }
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Tells whether the engine takes a new order now.
+    /// Returns whether the engine accepts a new order now.
     pub fn is_free(&self, now: Millis) -> bool {
         self.is_known
             && !self.is_doubtful
@@ -102,26 +106,26 @@
             && now >= self.rests_until
     }
 
-    /// Tells whether the engine is carrying out an order for a whole model.
+    /// Returns whether the engine is carrying out an order for a whole model.
     pub fn is_busy(&self) -> bool {
         let changes = |copy: &Copy| !matches!(copy, Copy::Held);
         self.was_busy || self.copies.values().any(changes)
     }
 
-    /// Tells whether an unload should be done.
+    /// Returns whether an unload should be done by now.
     pub(super) fn is_unload_due(&self, now: Millis) -> bool {
         self.unloaded_at.is_some_and(|at| now >= at)
     }
 
-    /// Takes an unload for done: the engine refuses the next order if it is not.
+    /// Assumes that an unload is done. If it is not, the engine refuses the next order.
     pub(super) fn assume_unloaded(&mut self) {
         self.unloaded_at = None;
         self.was_busy = false;
         self.copies.retain(|_, copy| *copy != Copy::Unloading);
     }
 
-    /// Tells whether what hosts are told of the engine changes with time alone: a load from its own disk or an adapter is
-    /// about to be ready, or may be.
+    /// Returns whether the state that hosts are sent changes with time alone: a load from the
+    /// engine's own disk or of an adapter is, or may be, about to finish.
     pub(super) fn will_change(&self, now: Millis) -> bool {
         let is_loading = |copy: &Copy| match copy {
             Copy::Loading {
@@ -134,18 +138,18 @@
         self.adapters.values().any(|at| *at > now) || self.copies.values().any(is_loading)
     }
 
-    /// Tells whether a model on the engine can run.
+    /// Returns whether the engine can run requests of a model.
     pub fn holds_model(&self, model: &str) -> bool {
         matches!(self.copies.get(model), Some(Copy::Held))
     }
 
-    /// Returns the model for which memory is being freed here.
+    /// Returns the model that memory is being freed for on this engine.
     pub fn intended(&self, now: Millis) -> Option<&Name> {
         let (model, until) = self.intended.as_ref()?;
         (now < *until).then_some(model)
     }
 
-    /// Tells whether a model is on the engine, on its way, or about to be.
+    /// Returns whether a model is on the engine, is being loaded, or has memory reserved.
     pub fn will_hold(&self, now: Millis, model: &str) -> bool {
         let copy = self.copies.get(model);
         let stays = copy.is_some_and(|copy| *copy != Copy::Unloading);
@@ -155,7 +159,8 @@
                 .is_some_and(|intended| &**intended == model)
     }
 
-    /// Returns the memory in use, with what is on its way and what an unanswered order may bring.
+    /// Returns the memory in use, including models and adapters that are being loaded and those
+    /// that an unanswered order may load.
     pub fn used_mb(&self, now: Millis, spec: &EngineSpec) -> f64 {
         let mb = |model: &str| spec.models.get(model).map_or(0.0, |model| model.weights_mb);
         let adapter_mb = |ask: &ModelAsk| {
@@ -171,26 +176,28 @@
         models + adapters + void
     }
 
-    /// Returns what an order to a former start may still bring.
+    /// Returns the model or adapter that an order to the engine's previous start may still load.
     pub fn void_load(&self, now: Millis) -> Option<&ModelAsk> {
         let (order, until) = self.void.as_ref()?;
         let may_bring = order.action == Action::Load && now < *until;
         may_bring.then_some(&order.ask)
     }
 
-    /// Returns the places for adapters in use, with what is on its way and what an order to a former start may bring.
+    /// Returns the adapter slots in use, including adapters that are being loaded and one that an
+    /// order to the previous start may still load.
     pub fn adapter_places(&self, now: Millis) -> usize {
         let void = self.void_load(now);
         let void_places = usize::from(void.is_some_and(|ask| ask.adapter.is_some()));
         self.adapters.len() + void_places
     }
 
-    /// Returns the adapters of a model.
+    /// Returns the adapters of a model on the engine.
     pub fn adapters_of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a ModelAsk> {
         self.adapters.keys().filter(move |ask| &*ask.model == model)
     }
 
-    /// Returns the loads from the weight store that the engine said, a moment ago, it still carries out.
+    /// Returns the loads from the weight store that, according to a report just read, are still
+    /// running.
     pub fn loads_under_way(&self, now: Millis) -> impl Iterator<Item = Loaded> {
         let reported = self.was_busy && self.is_known;
         let copies = self.copies.iter().filter(move |_| reported);
@@ -198,7 +205,7 @@
         from_store.filter_map(move |(model, copy)| copy.as_load(now, model))
     }
 
-    /// Returns the start that all else is known of.
+    /// Returns the engine's name and the start that its state belongs to.
     pub(super) fn lifetime(&self) -> Lifetime {
         Lifetime {
             id: self.id.clone(),
@@ -206,8 +213,8 @@
         }
     }
 
-    /// Begins anew with another start of the engine: it holds nothing, its count of orders begins at zero, and orders
-    /// to the former start are void.
+    /// Resets the state for another start of the engine. It holds nothing, its order count is zero,
+    /// and an unanswered order becomes one to the previous start.
     pub(super) fn begin_lifetime(&mut self, now: Millis, born_at: Millis) {
         let lifetime = Lifetime {
             born_at,
@@ -223,19 +230,20 @@
         };
     }
 
-    /// Tells whether the outcome of an order is waited for.
+    /// Returns whether the outcome of an order is awaited.
     pub fn is_waited_for(&self) -> bool {
         self.was_busy || self.is_doubtful || self.pending.is_some()
     }
 
-    /// Takes note that the report could not be read.
+    /// Records that the report could not be read.
     pub(super) fn note_unreported(&mut self, now: Millis) {
         self.in_report = false;
         self.report_at = now + REST_MS;
     }
 
-    /// Tells whether a report is an old one: of an earlier start, or from before the last order. A lower count that lasts
-    /// longer than any report's lag is that of a new start which does not say when it began.
+    /// Returns whether a report is outdated: of an earlier start, or from before the last order. A
+    /// lower order count that persists for longer than a report can lag means that the engine was
+    /// restarted and does not report its start.
     fn is_old_report(&mut self, now: Millis, report: &EngineReport) -> bool {
         let says_start = report.born_at != Millis::ZERO;
         if says_start && report.born_at < self.born_at {
@@ -249,9 +257,10 @@
         now.since(since) < REPORT_LAG_AT_MOST_MS
     }
 
-    /// Takes a report. An engine counts an order when it accepts it and reports both at once, so a report with the
-    /// count that is known here shows the effect of every order so far, and one with a lower count is older.
-    /// An engine of which no order is under way is asked again after `idle_ms`.
+    /// Updates the engine from its report. An engine updates its order count and its state together
+    /// when it accepts an order. So a report with the order count that is known here shows the
+    /// effect of all orders, and one with a lower count is outdated. `idle_ms` is the time until
+    /// the next report if no order is running.
     pub(super) fn take_report(
         &mut self,
         now: Millis,
@@ -270,7 +279,7 @@
             self.begin_lifetime(now, self.born_at);
         }
         match report.at_hand {
-            // An engine drops the copies of weights that it used longest ago.
+            // An engine evicts the cached weights that it used least recently.
             Some(at_hand) => self.at_hand = at_hand.into_iter().collect(),
             None => {
                 let held = report.models.iter().map(|held| held.name.clone());
@@ -337,7 +346,7 @@
         }
     }
 
-    /// Returns what hosts are told of the engine.
+    /// Returns the state of the engine that hosts are sent.
     pub(super) fn view(&self, now: Millis) -> EngineView {
         let held = self.copies.iter();
         let models = held
--- a/src/ordering/engine_orders.rs
+++ b/src/ordering/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to one engine: what they reserve, and what their answers change.
+//! Orders to one engine: the memory that they reserve, and the effect of their answers.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::copy::{Copy, LoadTime};
@@ -7,17 +7,17 @@
 use crate::ordering::message::{Action, Order, OrderAnswer};
 use crate::prelude::*;
 
-/// How long an adapter takes from the acceptance of its order until the engine runs requests with it, when few are on
-/// their way: it is fetched in 5 to 7 ms.
+/// The time from an adapter's accepted order until the engine runs requests with it, when few
+/// adapters are being loaded. The fetch itself takes 5 to 7 ms.
 const ADAPTER_MS: Millis = Millis(9);
-/// How long an unload of a model that nobody uses takes; the next order is tried then, and refused by an engine that
-/// is not done.
+/// The duration of an unload of an unused model. The next order is then tried; an engine that is
+/// not done refuses it.
 const UNLOAD_MS: Millis = Millis(130);
-/// How long an engine that refused an order rests, until its report is read.
+/// How long an engine that refused an order gets no other one, so that its report can be read.
 const REFUSED_REST_MS: Millis = Millis(100);
 
 impl Engine {
-    /// Returns the order for an action, to be sent now.
+    /// Creates the order for an action.
     pub(super) fn order(&self, action: Action, ask: ModelAsk) -> Order {
         Order {
             action,
@@ -27,10 +27,10 @@
         }
     }
 
-    /// Begins an order that is to be sent.
+    /// Reserves what a new order needs and stores it as pending.
     pub(super) fn begin(&mut self, order: &Order) {
         self.reserve(order);
-        // Hosts stop sending before the engine begins to drop what they ask for.
+        // Hosts must stop sending requests before the engine starts to unload.
         if order.action == Action::Unload {
             match &order.ask.adapter {
                 Some(_) => drop(self.adapters.shift_remove(&order.ask)),
@@ -44,7 +44,7 @@
         });
     }
 
-    /// Takes the answer to the order under way.
+    /// Updates the engine from the answer to its pending order.
     pub(super) fn take_answer(
         &mut self,
         now: Millis,
@@ -56,7 +56,8 @@
             OrderAnswer::Accepted | OrderAnswer::AlreadyDone => {
                 self.pending = None;
                 self.order_count += u64::from(answer == OrderAnswer::Accepted);
-                // An adapter that nobody uses is dropped at once, which is answered as done but counted.
+                // An engine unloads an unused adapter immediately. It answers such an order as
+                // already done, but counts it.
                 let is_quick_unload = order.action == Action::Unload && order.ask.adapter.is_some();
                 self.order_count +=
                     u64::from(answer == OrderAnswer::AlreadyDone && is_quick_unload);
@@ -66,7 +67,8 @@
                 self.pending = None;
                 self.undo(order);
                 if order.action == Action::Load && order.ask.adapter.is_none() {
-                    // The unload before it is not done; the memory is still meant for this model.
+                    // The unload that should have freed the memory is not done yet; the reservation
+                    // stays.
                     self.intended = Some((order.ask.model.clone(), now + INTENDED_MS));
                 }
                 self.is_doubtful = true;
@@ -82,7 +84,7 @@
                 self.rests_until = now + REST_MS;
             }
             OrderAnswer::NotSent => self.take_not_sent(now, order),
-            // The engine is dropped.
+            // The caller removes the engine.
             OrderAnswer::OtherLifetime => {}
         }
     }
@@ -137,7 +139,8 @@
         }
     }
 
-    /// Counts what an order may bring, until it is known to be in vain.
+    /// Reserves the memory for what an order may load, until it is known that the order has no
+    /// effect.
     pub(super) fn reserve(&mut self, order: &Order) {
         if order.action == Action::Load {
             match &order.ask.adapter {
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Takes back what was assumed of an order that did not take effect.
+    /// Reverts the assumptions of an order that had no effect.
     pub(super) fn undo(&mut self, order: &Order) {
         match (order.action, &order.ask.adapter) {
             (Action::Load, Some(_)) => {
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -1,8 +1,8 @@
-//! When what callers wait for will be ready.
+//! Predicts when a model or adapter that callers wait for will be ready.
 //!
-//! Answers the pattern of callers that wait for a model which is not ready: those that cannot be served in time are
-//! refused at once and told when to come back, so the time must count the turn at the weight store, loads that slow each
-//! other, and loads that take longer than stated.
+//! Callers that cannot be served in time are refused immediately and told when to retry. The
+//! prediction therefore includes the queue at the weight store, loads that slow each other, and
+//! loads that take longer than stated.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::census::ServiceCensus;
@@ -11,30 +11,35 @@
 use crate::ordering::planner::Planner;
 use crate::prelude::*;
 
-/// How long an adapter takes from the wish to the engine's readiness: an order, the fetch, and the word of it.
+/// The time from the decision to load an adapter until it can run: the order, the fetch and the
+/// notification of hosts.
 const ADAPTER_IN_MS: Millis = Millis(30);
-/// By which part of its time so far a load that is overdue is expected to go on: one that waits for others has no end
-/// that could be told, and callers are told to come back then.
+/// An overdue load is expected to take this fraction (one in so many) of its time so far in
+/// addition. A load that waits for others has no predictable end, and callers are told to retry
+/// then.
 const OVERDUE_PART: u64 = 4;
-/// When an engine that unloads a model takes orders again: the unload and the report of it.
+/// The time until an engine that unloads a model accepts orders again: the unload and its report.
 const UNLOADED_IN_MS: Millis = Millis(550);
-/// The time of a load from the engine's memory or disk beyond what is stated: the report of its end lags.
+/// The time after a load from memory or disk until the report shows its end.
 const REPORT_LAG_MS: Millis = Millis(250);
 
-/// How fast orders take effect.
+/// What the predictions assume about the orderer and the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// How many loads at once the weight store serves at full speed.
+    /// How many concurrent loads the weight store serves at full speed.
     pub store_loads_at_once: usize,
-    /// How long until orders may be sent: a new orderer waits until its predecessor's last one is long past.
+    /// How long until orders may be sent. A new orderer waits until its predecessor's orders can no
+    /// longer take effect.
     pub orders_in_ms: Millis,
 }
 
-/// The models that callers wait for and no engine holds or is to hold, with how many wait.
+/// Models that callers wait for and that no engine holds or will hold, with the number of waiting
+/// requests.
 type Row<'a> = IndexMap<&'a Name, u32>;
 
 impl Planner<'_> {
-    /// Returns how long until what callers wait for is ready, as far as that can be told.
+    /// Returns the expected time until each model or adapter that callers wait for is ready. Those
+    /// without a prediction are left out.
     pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelAsk, Millis)> {
         let Some(census) = self.ledger.census(self.service) else {
             return Vec::new();
@@ -53,7 +58,7 @@
             .collect()
     }
 
-    /// Tells whether a model is on an engine, on its way, or about to be.
+    /// Returns whether a model is on an engine, is being loaded, or has memory reserved.
     fn will_be_held(&self, census: &ServiceCensus, model: &str) -> bool {
         let mut intending = self.ledger.intending(self.now);
         self.holders(census, model).next().is_some()
@@ -82,22 +87,23 @@
         let soonest = self.holders(census, &ask.model).filter_map(model_in).min();
         let model_ms = match soonest {
             Some(in_ms) => in_ms,
-            // An engine of which no report was read may hold the model.
+            // An engine that has not reported yet may hold the model.
             None if self.has_unknown(census) => return None,
             None => pace.orders_in_ms + self.load_in(census, &ask.model, at_once, row),
         };
         Some(model_ms + adapter_ms)
     }
 
-    /// Tells whether there are engines of which no report was read.
+    /// Returns whether any engine that is not excluded has not reported yet.
     fn has_unknown(&self, census: &ServiceCensus) -> bool {
         let unused = self.unused_engines().filter(|engine| !engine.is_known);
         census.unknown() > unused.count()
     }
 
-    /// Returns how long until a load under way is done; nothing when the copy is not being loaded, or its order may not
-    /// have taken effect. Loads from the weight store beyond those at full speed slow each other in proportion. One
-    /// that is overdue all the same is taken to need a quarter of its time so far in addition.
+    /// Returns the remaining time of a load; `None` if the copy is not being loaded or its order
+    /// may not have taken effect. Loads from the weight store beyond the number that it serves at
+    /// full speed slow each other in proportion. A load that is overdue nevertheless is expected to
+    /// take a quarter of its time so far in addition.
     fn loaded_in(&self, model: &str, copy: &Copy, store_loads_at_once: usize) -> Option<Millis> {
         let Copy::Loading {
             since,
@@ -126,7 +132,7 @@
         Some(left_ms + REPORT_LAG_MS)
     }
 
-    /// Returns how long until an engine takes orders again.
+    /// Returns how long until an engine accepts orders again.
     fn free_in(&self, engine: &Engine, store_loads_at_once: usize) -> Millis {
         let ends = engine
             .copies
@@ -135,7 +141,8 @@
         ends.max().unwrap_or(UNLOADED_IN_MS)
     }
 
-    /// Returns how long a load that has not begun will take, with the wait for its turn at the weight store.
+    /// Returns the time until a load that has not started will be done, including the wait at the
+    /// weight store.
     fn load_in(
         &self,
         census: &ServiceCensus,
@@ -158,8 +165,8 @@
         }
     }
 
-    /// Returns how long until a load may begin at the weight store: when one of those under way ends, and after the
-    /// loads of models that more callers wait for.
+    /// Returns how long until a load may start at the weight store: a running load must end, and
+    /// models with more waiting requests are loaded first.
     fn turn_in(
         &self,
         model: &Name,
--- a/src/ordering/gather.rs
+++ b/src/ordering/gather.rs
@@ -1,4 +1,4 @@
-//! What a relay tells the orderer of the hosts that speak through it.
+//! Aggregates, on a relay, the reports of the hosts that it relays for.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::demand::{AskCount, MAX_ASKS};
@@ -6,16 +6,16 @@
 use crate::prelude::*;
 use crate::routing::pick::Work;
 
-/// The demand and the work of the hosts of one relay.
+/// The demand and the request load of the hosts that report through one relay.
 #[derive(Clone, Debug, Default)]
 pub struct Gather {
-    /// What was asked since the orderer was told last.
+    /// Requests since the relay's last message to the orderer.
     asked: IndexMap<ModelAsk, AskCount>,
     hosts: HostReports,
 }
 
 impl Gather {
-    /// Takes one host's message.
+    /// Adds one host's report. `host` is the incarnation of its process.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
             if self.asked.len() < MAX_ASKS || self.asked.contains_key(ask) {
@@ -26,7 +26,7 @@
         self.hosts.take(now, host, report);
     }
 
-    /// Returns the demand of the hosts together with the relay's own, and begins to count the next span.
+    /// Returns the demand of the hosts together with the relay's own, and starts the next interval.
     pub fn take_demand(
         &mut self,
         now: Millis,
@@ -45,12 +45,12 @@
         sum.into_iter().collect()
     }
 
-    /// Returns how many hosts speak through this one.
+    /// Returns how many hosts reported recently through this relay.
     pub fn heard(&self) -> usize {
         self.hosts.heard()
     }
 
-    /// Adds the work of all hosts but one.
+    /// Adds the request load of all hosts to `sum`, except that of host `but`.
     pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
         self.hosts.add_work(but, sum);
     }
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -1,44 +1,47 @@
-//! The last message of each host that speaks with this one.
+//! The last report of each host that reports to this one.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::demand::AskCount;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 
-/// How long a silent host's counts are used: six of the intervals at which hosts speak.
+/// How long the counts of a host that stopped reporting are used. This is six times the interval of
+/// the reports.
 const HOST_MS: Millis = Millis(1_500);
-/// Most hosts: above the largest site planned for, of which few speak with one host.
+/// The most hosts whose reports are kept. It exceeds the size of the largest planned site, of which
+/// only a few hosts report to the same one.
 const MAX_HOSTS: usize = 1_024;
 
-/// What one host tells of its callers and its work.
+/// One host's report of its callers' demand and its request load.
 #[derive(Clone, Debug, Default)]
 pub struct HostReport {
-    /// How many other hosts speak through it.
+    /// How many other hosts report through this one, if it is a relay.
     pub through: u32,
-    /// What its callers asked since its last message, and what waits or runs.
+    /// Requests since the host's last report, and those that wait or are running.
     pub demand: Vec<(ModelAsk, AskCount)>,
-    /// Its own work at each engine.
+    /// The host's own request load on each engine.
     pub work: Vec<(Name, Work)>,
 }
 
-/// What is kept of a host's message.
+/// The parts of a host's last report that are kept.
 #[derive(Clone, Debug, Default)]
 struct Kept {
     at: Millis,
     through: u32,
-    /// Requests that wait or run, by what they ask for.
+    /// Requests that wait or are running, by model and adapter.
     present: Vec<(ModelAsk, AskCount)>,
     work: IndexMap<Name, Work>,
 }
 
-/// The last messages by the incarnation of the host.
+/// The last reports, by the incarnation of the host's process.
 #[derive(Clone, Debug, Default)]
 pub struct HostReports {
     hosts: IndexMap<u64, Kept>,
 }
 
 impl HostReports {
-    /// Takes one host's message. Returns false when too many hosts speak with this one.
+    /// Stores one host's report. Returns false, without storing it, if [`MAX_HOSTS`] other hosts
+    /// report to this one.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) -> bool {
         self.expire(now);
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&host) {
@@ -56,24 +59,24 @@
         true
     }
 
-    /// Returns how many hosts were heard of late, those that speak through others included.
+    /// Returns how many hosts reported recently, including those that report through a relay.
     pub fn heard(&self) -> usize {
         let through = self.hosts.values().map(|report| report.through as usize);
         self.hosts.len() + through.sum::<usize>()
     }
 
-    /// Forgets hosts that fell silent.
+    /// Drops the reports of hosts that stopped reporting.
     pub fn expire(&mut self, now: Millis) {
         self.hosts
             .retain(|_, report| now.since(report.at) < HOST_MS);
     }
 
-    /// Returns the requests of all hosts that wait or run.
+    /// Returns the requests of all hosts that wait or are running.
     pub fn present(&self) -> impl Iterator<Item = &(ModelAsk, AskCount)> {
         self.hosts.values().flat_map(|report| &report.present)
     }
 
-    /// Adds the work of all hosts but one.
+    /// Adds the request load of all hosts to `sum`, except that of host `but`.
     pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
         let others = self.hosts.iter().filter(|(host, _)| Some(**host) != but);
         for (upstream, work) in others.flat_map(|(_, report)| &report.work) {
@@ -81,14 +84,14 @@
         }
     }
 
-    /// Returns how many requests of all hosts run at an engine.
+    /// Returns how many requests of all hosts are running on an engine.
     pub fn running_at(&self, engine: &str) -> u32 {
         let reports = self.hosts.values();
         let at_engine = reports.filter_map(|report| report.work.get(engine));
         at_engine.map(|work| work.running).sum()
     }
 
-    /// Returns how many hosts spoke with this one of late.
+    /// Returns how many hosts reported recently to this host directly.
     pub fn count(&self) -> usize {
         self.hosts.len()
     }
--- a/src/ordering/lease.rs
+++ b/src/ordering/lease.rs
@@ -1,33 +1,38 @@
-//! The lease to order loads: who may send an order, and until when.
+//! The lease that gives one host, the holder, the right to send orders to engines.
 //!
-//! A record on a stream renews the lease; it is appended only if the stream ends where the holder last saw it, so
-//! two hosts never renew in turns. What is proved by the tests: no two hosts may order within the engines' lease
-//! time of each other, whatever is lost, late or paused.
+//! A lease is claimed and renewed by appending a record to a stream. The append succeeds only if
+//! the stream ends where the writer last saw its end, so two hosts cannot renew in alternation. The
+//! tests check that no two hosts may send orders within the engines' lease time of each other,
+//! whichever messages are lost or late and whichever process is paused.
 
 use crate::group::Member;
 use crate::prelude::*;
 use crate::retry::message::Evidence;
 
-/// How long after the sending of its last acknowledged renewal a holder may order.
+/// How long after it sent its last acknowledged renewal a holder may send orders.
 pub const VALID_MS: Millis = Millis(2_000);
-/// How often a holder renews: one lost renewal is borne.
+/// The interval of renewals. It leaves time for one renewal to be lost.
 pub const RENEW_MS: Millis = Millis(800);
-/// How long a stream must not have moved before another host claims: the holder's validity, and the time of a call.
+/// How long the stream must be unchanged before another host may claim the lease: the holder's
+/// validity and the time of a call.
 pub const SILENT_MS: Millis = Millis(2_300);
-/// How long a stream must not have moved before it is read again: a little less than until it may be claimed.
+/// How long the stream must be unchanged before it is read again; a little less than until the
+/// lease may be claimed.
 const WORTH_READING_MS: Millis = Millis(1_900);
-/// How long after its last renewal a holder gives up hope and tells the others: shortly before its validity ends.
+/// How long after its last renewal a holder gives the lease up and informs the other hosts; shortly
+/// before its validity ends.
 const FAILING_MS: Millis = Millis(1_900);
-/// What is added to waits between two holders: clocks of two hosts run at slightly different speeds, and a call may
-/// be under way for a moment.
+/// Safety margin between two holders. The clocks of two hosts run at slightly different speeds, and
+/// a call may still be running for a moment.
 const MARGIN_MS: Millis = Millis(300);
 
-/// How many members are the first to claim a lease that is free.
+/// How many members are the first to claim a free lease.
 const CANDIDATES: usize = 3;
 
-/// Tells whether a host is one of the first candidates for the lease among the members: those with the most processor,
-/// since planning for a hundred engines keeps an eighth of a core busy. A host that is not listed yet is none, since hundreds of
-/// them may start at once, unless nobody is listed.
+/// Returns whether a host is one of the first to claim the lease. These are the members with the
+/// most processor capacity, because planning for a hundred engines keeps an eighth of a core busy.
+/// A host that is not listed as a member yet is not among them unless no member is listed, because
+/// hundreds of hosts may start at the same time.
 pub fn is_candidate<'a>(own: &Member, members: impl Iterator<Item = &'a Member> + Clone) -> bool {
     let mut all = members.clone().peekable();
     let is_first = all.peek().is_none();
@@ -36,50 +41,52 @@
     is_first || (is_listed && before < CANDIDATES)
 }
 
-/// A record of the stream.
+/// A record of the lease stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who wrote it.
+    /// The host that wrote the record.
     pub holder: Member,
-    /// Which of its writer's claims it belongs to; with the incarnation it names one holding.
+    /// The number of the claim that the record belongs to, counted by its writer. Together with the
+    /// writer's incarnation it identifies the holding.
     pub claim: u64,
-    /// Whether the holder gives the lease up with it.
+    /// Whether the holder gives up the lease with this record.
     pub released: bool,
-    /// What holders have learned.
+    /// What this holder and earlier ones have learned.
     #[serde(flatten)]
     pub learned: Learned,
 }
 
-/// What a holder leaves for the next one, also when all hosts restart.
+/// State that a holder passes to its successor, also across a restart of all hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Learned {
-    /// How many loads at once the weight store serves at full speed; learning it anew costs the next holder some loads'
-    /// time.
+    /// How many concurrent loads the weight store serves at full speed. To learn it again would
+    /// cost the next holder the time of several loads.
     #[serde(default)]
     pub store_loads_at_once: Option<usize>,
-    /// The requests that crash upstreams.
+    /// The requests that are known to crash upstreams.
     #[serde(default)]
     pub crashes: Vec<Evidence>,
 }
 
-/// A holder's own view of its lease.
+/// A lease as its holder sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// The host itself.
+    /// The holder itself.
     pub me: Member,
-    /// Which of its claims this is.
+    /// The number of the claim by which it got the lease.
     pub claim: u64,
-    /// The offset of its claim plus one: the fencing token, above every former holder's.
+    /// The fencing token: the offset of the claim plus one, which is higher than every earlier
+    /// holder's.
     pub fence: u64,
-    /// The end of the stream after its newest record.
+    /// The end of the stream after the holder's newest record.
     pub end: Offset,
-    /// When its newest acknowledged record was sent.
+    /// When the holder's newest acknowledged record was sent.
     pub renewed_at: Millis,
-    /// Before this point another holder may still order.
+    /// The time before which the previous holder may still send orders.
     pub orders_from: Millis,
 }
 
-/// Names one holding: the incarnation of the holder's process, and which of its claims.
+/// Identifies a holding: the incarnation of the holder's process, and the number of its claim.
 pub type HoldingName = (u64, u64);
 
 impl LeaseRecord {
@@ -88,12 +95,13 @@
     }
 }
 
-/// A holder's word to another host that it orders no more, although its record is still the newest.
+/// A former holder's statement that it sends no more orders, although its record is still the
+/// newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resignation {
     /// The holding that ended.
     pub holding: HoldingName,
-    /// How long before the word it last had the right to order.
+    /// How long ago the former holder last had the right to send orders.
     pub ordered_ago_ms: Millis,
 }
 
@@ -102,7 +110,7 @@
         (self.me.incarnation, self.claim)
     }
 
-    /// Returns the record that renews or releases it.
+    /// Returns the record that renews the lease, or releases it.
     pub fn record(&self, released: bool, learned: Learned) -> LeaseRecord {
         LeaseRecord {
             holder: self.me.clone(),
@@ -113,7 +121,7 @@
     }
 }
 
-/// One host's view of the lease.
+/// The state of the lease as one host knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
     claims: u64,
@@ -127,7 +135,8 @@
 }
 
 impl Lease {
-    /// Takes the end of the stream, and its newest record where one was read, as of `asked_at`.
+    /// Records a read of the stream, sent at `asked_at`: its end, and its newest record if one was
+    /// read.
     pub fn note_read(&mut self, asked_at: Millis, end: Offset, newest: Option<LeaseRecord>) {
         self.is_in_doubt = false;
         if self.end != Some(end) {
@@ -142,9 +151,10 @@
         }
     }
 
-    /// Takes the holder's word, which arrived at `now`, that the stream ends at `end` after a record of its own. The record was
-    /// sent before that, so the holder's validity counts from `now` at the latest. A host that hears the holder often
-    /// has seen the stream stand still from the moment on at which the holder is lost, not from its first read after.
+    /// Records the holder's statement, received at `now`, that the stream ends at `end` after its
+    /// own record. The record was sent before the statement, so the holder's validity counts from
+    /// `now` at the latest. A host that hears from the holder regularly therefore knows the stream
+    /// as unchanged since the holder's last statement, and not only since its own next read.
     pub fn note_told_end(&mut self, now: Millis, end: Offset) {
         if self.holding.is_none() && self.end.is_none_or(|known| known < end) {
             self.end = Some(end);
@@ -153,7 +163,7 @@
         }
     }
 
-    /// Tells whether the newest record is one of this holder's that keeps the lease.
+    /// Returns whether the newest record is this host's own and keeps the lease.
     fn is_own_newest(&self) -> bool {
         match (&self.holding, &self.newest) {
             (Some(holding), Some(newest)) => newest.holding() == holding.name() && !newest.released,
@@ -161,30 +171,32 @@
         }
     }
 
-    /// Returns from which offset to read the newest record.
+    /// Returns the offset from which to read the newest record.
     pub fn end(&self) -> Option<Offset> {
         self.end
     }
 
-    /// Returns the host that holds the lease, as far as this one knows.
+    /// Returns the host that holds the lease, as far as this host knows.
     pub fn holder(&self) -> Option<&Member> {
         let newest = self.newest.as_ref()?;
         (!newest.released).then_some(&newest.holder)
     }
 
-    /// Returns the condition under which to claim the lease now, if it may be claimed.
+    /// Returns the end of the stream at which a claim must be appended, if the lease may be claimed
+    /// now.
     pub fn may_claim(&self, now: Millis) -> Option<Offset> {
         let end = self.end?;
         let still_ms = now.since(self.still_since?);
         let was_released = self.newest.as_ref().is_some_and(|record| record.released);
         let has_resigned = self.resigned_at().is_some();
-        // Without its newest record a stream that has an end was written by someone who may still order.
+        // A stream that has an end but whose newest record is unknown was written by a host that
+        // may still send orders.
         let is_free = end == Offset(0) || was_released || has_resigned || still_ms >= SILENT_MS;
         (is_free && self.holding.is_none()).then_some(end)
     }
 
-    /// Tells whether a read of the stream may show that the lease is free, or by whom it is held now. While the stream is
-    /// known to have moved a moment ago it may not be claimed yet.
+    /// Returns whether a read of the stream may show that the lease is free, or who holds it now. A
+    /// stream that changed a moment ago is not read, because the lease cannot be claimed yet.
     pub fn is_worth_reading(&self, now: Millis) -> bool {
         let is_free = self.newest.as_ref().is_some_and(|newest| newest.released);
         let still_since = self.still_since.unwrap_or(Millis::ZERO);
@@ -192,18 +204,20 @@
         !is_known || now.since(still_since) >= WORTH_READING_MS
     }
 
-    /// Takes another host's word that it orders no more.
+    /// Records another host's statement that it sends no more orders.
     pub fn note_resigned(&mut self, now: Millis, resignation: Resignation) {
         let ordered_at = now - resignation.ordered_ago_ms;
         self.resigned = Some((resignation.holding, ordered_at));
     }
 
-    /// Takes note that the host taken for the holder says it is none: it may have released the lease, which a read shows.
+    /// Records that the presumed holder denies being the holder. It may have released the lease,
+    /// which a read of the stream shows.
     pub fn note_gone(&mut self) {
         self.is_in_doubt = true;
     }
 
-    /// Gives the lease up when it cannot be renewed, for as long as this process lives unless it claims anew.
+    /// Gives up the lease because it cannot be renewed. This process holds it again only after a
+    /// new claim.
     pub fn resign(&mut self, now: Millis) -> Option<Resignation> {
         let holding = self.holding.take()?;
         let ordered_until = now.min(holding.renewed_at + VALID_MS);
@@ -211,7 +225,7 @@
         self.resignation(now)
     }
 
-    /// Returns this host's own resignation, while its record is the newest that it knows.
+    /// Returns this host's own resignation if its record is still the newest that it knows.
     pub fn resignation(&self, now: Millis) -> Option<Resignation> {
         let (holding, ordered_until) = self.own_resignation?;
         let is_newest = self.newest.as_ref()?.holding() == holding;
@@ -221,7 +235,8 @@
         })
     }
 
-    /// Returns when the writer of the newest record last had the right to order, if it has resigned.
+    /// Returns when the writer of the newest record last had the right to send orders, if it has
+    /// resigned.
     fn resigned_at(&self) -> Option<Millis> {
         let newest = self.newest.as_ref()?.holding();
         let known = [self.resigned, self.own_resignation];
@@ -232,7 +247,7 @@
         own.map(|(_, ordered_at)| ordered_at)
     }
 
-    /// Returns the record of a new claim.
+    /// Returns the record for a new claim.
     pub fn claim_record(&mut self, me: Member, crashes: Vec<Evidence>) -> LeaseRecord {
         self.claims += 1;
         LeaseRecord {
@@ -246,15 +261,18 @@
         }
     }
 
-    /// Returns what former holders learned of the weight store.
+    /// Returns how many concurrent loads the weight store serves at full speed, as learned by
+    /// earlier holders.
     pub fn store_loads_at_once(&self) -> Option<usize> {
         self.newest.as_ref()?.learned.store_loads_at_once
     }
 
-    /// Takes an acknowledged claim, sent at `sent_at` under the condition `end`, now at `offset`.
+    /// Records a claim that was sent at `sent_at` and acknowledged at `offset`. `engine_lease_ms`
+    /// is the time that engines require between one host's last order and another host's first.
     ///
-    /// The former holder's last record was on the stream when its end was first read, at `still_since`, so it
-    /// orders until then plus its validity at the latest.
+    /// The previous holder's last record was on the stream when its end was first read, at
+    /// `still_since`. So the previous holder sends orders until then plus its validity at the
+    /// latest.
     pub fn note_claimed(
         &mut self,
         sent_at: Millis,
@@ -285,7 +303,7 @@
         self.still_since = Some(sent_at);
     }
 
-    /// Takes an acknowledged renewal.
+    /// Records an acknowledged renewal that was sent at `sent_at`.
     pub fn note_renewed(&mut self, sent_at: Millis, offset: Offset) {
         let end = Offset(offset.0 + 1);
         if let Some(holding) = &mut self.holding {
@@ -296,9 +314,9 @@
         self.still_since = Some(sent_at);
     }
 
-    /// Takes that the stream ends elsewhere than this holder thinks. `newest` is the record before its end. When it is
-    /// this host's own, an earlier renewal took effect without an answer, and the lease is kept; the
-    /// validity still counts from renewals that were acknowledged.
+    /// Records that the stream ends at another offset than this holder assumed. `newest` is the
+    /// record before the end. If it is this host's own, an earlier renewal took effect without an
+    /// answer, and the lease is kept; its validity still counts from the acknowledged renewals.
     pub fn note_moved(&mut self, asked_at: Millis, end: Offset, newest: LeaseRecord) {
         self.note_read(asked_at, end, Some(newest));
         if let Some(holding) = &mut self.holding {
@@ -306,31 +324,32 @@
         }
     }
 
-    /// Gives the lease up in this host's own view.
+    /// Stops holding the lease locally, without a record on the stream.
     pub fn drop_holding(&mut self) {
         self.holding = None;
     }
 
-    /// Returns this host's lease, if it has one.
+    /// Returns this host's own lease if it holds one.
     pub fn holding(&self) -> Option<&Holding> {
         self.holding.as_ref()
     }
 
-    /// Tells whether this host may send an order now.
+    /// Returns whether this host may send an order now.
     pub fn may_order(&self, now: Millis) -> bool {
         self.holding.as_ref().is_some_and(|holding| {
             now >= holding.orders_from && now < holding.renewed_at + VALID_MS
         })
     }
 
-    /// Tells whether the lease cannot be renewed: a renewal is overdue by as long as two calls take.
+    /// Returns whether renewals of the lease fail: the next one is overdue by the time of two
+    /// calls.
     pub fn is_failing(&self, now: Millis) -> bool {
         self.holding
             .as_ref()
             .is_some_and(|holding| now.since(holding.renewed_at) >= FAILING_MS)
     }
 
-    /// Tells whether a renewal is due.
+    /// Returns whether a renewal is due.
     pub fn is_renewal_due(&self, now: Millis) -> bool {
         self.holding
             .as_ref()
--- a/src/ordering/ledger.rs
+++ b/src/ordering/ledger.rs
@@ -1,8 +1,10 @@
-//! What each engine holds, what is on its way to it, and what may still become of unanswered orders.
+//! Tracks what each engine holds, what it is loading or unloading, and which orders may still take
+//! effect.
 //!
-//! An engine takes an order only if it has accepted exactly as many as the order says. So of two orders with the
-//! same number at most one takes effect, and an order without an answer is sent again unchanged: until the engine's
-//! report shows a higher number, its model counts as held, and no other order to that engine is made.
+//! An engine accepts an order only if it has accepted exactly as many orders before as the order
+//! states. So at most one of two orders with the same number takes effect, and an order without an
+//! answer can be sent again unchanged. Until the engine's report shows a higher number, the model
+//! of that order counts as held, and the engine gets no other order.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::census::{Census, ServiceCensus};
@@ -14,38 +16,41 @@
 use crate::upstreams::Lifetime;
 use std::cell::Cell;
 
-/// How long freed memory is kept for the model that it was freed for: the unload waits for what runs.
+/// How long freed memory stays reserved for the model that it was freed for. The unload waits for
+/// running requests.
 pub(super) const INTENDED_MS: Millis = Millis(3_000);
-/// How often the report of an engine is read of which no order is under way; a report costs about a sixth of an order.
+/// The interval at which the report of an engine without a running order is read. A report costs
+/// about a sixth of an order.
 const IDLE_REPORT_MS: Millis = Millis(5_000);
-/// The least time between two such reports over all engines: where there are thousands, each is asked less often.
+/// The least average time between two such reports over all engines. With thousands of engines,
+/// each is read less often.
 const EACH_REPORT_MS: Millis = Millis(5);
 
-/// What changed on the engines since it was asked for last.
+/// The changes of engines since the last call of [`Ledger::take_changes`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineChanges {
-    /// What engines hold now that may hold other things than before.
+    /// The new state of engines that may have changed.
     pub views: Vec<EngineView>,
-    /// Starts that are over.
+    /// Starts of engines that are over, because the engine was removed or started again.
     pub gone: Vec<Lifetime>,
 }
 
-/// The engines by lifetime.
+/// The state of all engines, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     engines: IndexMap<Name, Engine>,
     census: Census,
-    /// Engines that may hold other things than when [`Ledger::take_changes`] was called last.
+    /// Engines whose state may have changed since the last call of [`Ledger::take_changes`].
     changed: IndexSet<Name>,
     gone: Vec<Lifetime>,
-    /// Engines that free memory for a model, or did.
+    /// Engines that have, or had, memory reserved for a model.
     intending: IndexSet<Name>,
     lacks_engines: bool,
     looked_at: Cell<u64>,
 }
 
 impl Ledger {
-    /// Changes an engine; what is counted of the engines stays true.
+    /// Changes an engine and keeps the index and the sets of engines up to date.
     fn change<T>(&mut self, id: &str, with: impl FnOnce(&mut Engine) -> T) -> Option<T> {
         let engine = self.engines.get_mut(id)?;
         self.census.remove(engine);
@@ -78,7 +83,8 @@
         self.gone.push(engine.lifetime());
     }
 
-    /// Takes which engines there are; new ones are unknown until their report is read.
+    /// Sets the engines to those that are listed. The state of a new one is unknown until its
+    /// report is read.
     pub fn take_engines(&mut self, now: Millis, engines: impl Iterator<Item = (Lifetime, Name)>) {
         let listed: IndexMap<Name, (Lifetime, Name)> = engines
             .map(|(lifetime, service)| (lifetime.id.clone(), (lifetime, service)))
@@ -95,7 +101,7 @@
         self.lacks_engines = false;
         for (id, (lifetime, service)) in listed {
             match self.engines.get(&id).map(|engine| engine.born_at) {
-                // An engine's own report may tell of a new start before the list does.
+                // An engine's own report may show a new start before the list does.
                 Some(born_at) if born_at >= lifetime.born_at => {}
                 Some(_) => drop(self.change(&id, |engine| {
                     engine.begin_lifetime(now, lifetime.born_at);
@@ -105,12 +111,13 @@
         }
     }
 
-    /// Tells whether an engine was dropped that may be listed, so that [`Ledger::take_engines`] is to be called.
+    /// Returns whether an engine was dropped that may still be listed, so that
+    /// [`Ledger::take_engines`] must be called.
     pub fn lacks_engines(&self) -> bool {
         self.lacks_engines
     }
 
-    /// Takes unloads for done that should be.
+    /// Assumes that unloads are done whose time has passed.
     pub fn assume_unloaded(&mut self, now: Millis) {
         let engines = self.engines.values();
         let due = engines.filter(|engine| engine.is_unload_due(now));
@@ -125,7 +132,7 @@
         self.engines.get(id)
     }
 
-    /// Returns every engine.
+    /// Returns all engines.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.counted(self.engines.values())
     }
@@ -137,17 +144,19 @@
         engines.inspect(|_| self.looked_at.set(self.looked_at.get() + 1))
     }
 
-    /// Returns how many engines were given out, which is what plans cost beyond what is kept counted.
+    /// Returns how many engines the iterators of this type have returned: the cost of plans beyond
+    /// what the index answers.
     pub fn looked_at(&self) -> u64 {
         self.looked_at.get()
     }
 
-    /// Returns how many engines of a service hold what; nothing when there are none.
+    /// Returns the index of a service; `None` if it has no engines.
     pub fn census(&self, service: &str) -> Option<&ServiceCensus> {
         self.census.of(service)
     }
 
-    /// Returns some engines that follow each other, or all when there are no more than `most`; `from` chooses the first.
+    /// Returns a window of at most `most` consecutive engines, starting at position `from` modulo
+    /// their number.
     pub fn some(&self, from: u64, most: usize) -> impl Iterator<Item = &Engine> {
         let count = self.engines.len();
         let first = (from % count.max(1) as u64) as usize;
@@ -155,7 +164,7 @@
         self.counted(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
     }
 
-    /// Returns the engines of these names.
+    /// Returns the engines with these names; unknown names are left out.
     pub fn named<'a>(
         &'a self,
         ids: impl Iterator<Item = &'a Name>,
@@ -163,28 +172,30 @@
         self.counted(ids.filter_map(|id| self.engines.get(id)))
     }
 
-    /// Returns the engines that have adapters which are not ready yet, and perhaps others.
+    /// Returns engines that have changed recently. All those with adapters that are not ready yet
+    /// are among them.
     pub fn unsettled(&self) -> impl Iterator<Item = &Engine> {
         self.named(self.changed.iter())
     }
 
-    /// Returns the engines that free memory for a model, with the model.
+    /// Returns the engines on which memory is reserved for a model, with that model.
     pub fn intending(&self, now: Millis) -> impl Iterator<Item = (&Engine, &Name)> {
         let engines = self.intending.iter().filter_map(|id| self.engines.get(id));
         engines.filter_map(move |engine| Some((engine, engine.intended(now)?)))
     }
 
-    /// Returns how many loads from the weight store are under way.
+    /// Returns how many loads from the weight store are running.
     pub fn store_loads(&self) -> usize {
         self.census.store_loads()
     }
 
-    /// Returns the engines with loads from the weight store.
+    /// Returns the engines that are loading from the weight store.
     pub fn loading(&self) -> impl Iterator<Item = &Engine> {
         self.named(self.census.loading())
     }
 
-    /// Notes at each load under way how many run beside it.
+    /// Updates each running load from the weight store with the number of loads that run at the
+    /// same time.
     fn count_store_loads(&mut self) {
         let loads = self.store_loads();
         for id in self.census.loading() {
@@ -197,8 +208,8 @@
         }
     }
 
-    /// Makes an order that is to be sent; the caller sends it and tells the answer. `makes_way_for` is the model that
-    /// is to be loaded next in the memory that it frees.
+    /// Creates an order for an engine and reserves what it needs. `makes_way_for` is the model to
+    /// load next into the memory that the order frees.
     pub fn begin(
         &mut self,
         now: Millis,
@@ -215,7 +226,8 @@
         })
     }
 
-    /// Returns the orders that are to be sent now, new ones and unanswered ones, and counts them as sent.
+    /// Returns the orders to send now, which are new ones and unanswered ones, and marks them as
+    /// being sent.
     pub fn due(&mut self, now: Millis) -> Vec<(Name, Order)> {
         let mut due = Vec::new();
         for engine in self.engines.values_mut() {
@@ -232,7 +244,8 @@
         due
     }
 
-    /// Takes the answer to an order. `load` is how long a load that it began should take, and from where.
+    /// Updates an engine from its answer to an order. `load` is the expected time and source of the
+    /// load that the order starts.
     pub fn take_answer(
         &mut self,
         now: Millis,
@@ -265,8 +278,8 @@
         Millis(EACH_REPORT_MS.0 * self.engines.len() as u64).max(IDLE_REPORT_MS)
     }
 
-    /// Returns the engines whose reports are to be read now: all that an order's outcome is waited for of, and `idle_most`
-    /// others.
+    /// Returns the engines whose reports are to be read now: all that have an order whose outcome
+    /// is awaited, and at most `idle_most` others.
     pub fn due_reports(&mut self, now: Millis, idle_most: usize) -> Vec<Name> {
         let is_due = |engine: &&Engine| !engine.in_report && now >= engine.report_at;
         let due = self.engines.values().filter(is_due);
@@ -284,7 +297,8 @@
         due
     }
 
-    /// Takes an engine's report, or that there is none.
+    /// Updates an engine from its report; `None` means that the report could not be read. Returns
+    /// the loads that the report shows as finished.
     pub fn take_report(
         &mut self,
         now: Millis,
@@ -302,7 +316,7 @@
         loaded.unwrap_or_default()
     }
 
-    /// Returns what changed on the engines since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self, now: Millis) -> EngineChanges {
         let mut changes = EngineChanges {
             views: Vec::new(),
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -16,99 +16,104 @@
 use crate::routing::pick::Work;
 use crate::upstreams::HeldModel;
 
-/// What an engine is told to do.
+/// An operation that the orderer requests from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Loads a model or an adapter.
+    /// Loads a model or an adapter into memory.
     Load,
-    /// Drops a model or an adapter.
+    /// Removes a model or an adapter from memory.
     Unload,
 }
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// What to do.
+    /// The operation.
     pub action: Action,
-    /// With which model or adapter.
+    /// The model or adapter to load or unload.
     pub ask: ModelAsk,
-    /// How many orders the engine has accepted; it refuses the order when there are more.
+    /// The number of orders that the engine must have accepted before this one. The engine refuses
+    /// the order with a conflict if it has accepted more.
     pub after_orders: u64,
-    /// The start of the engine that the order is for; one of the same name that started later has other counts.
+    /// The start of the engine, in Unix time, that the order is meant for. An engine that was
+    /// restarted under the same name counts its orders from zero again.
     pub born_at: Millis,
 }
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAnswer {
-    /// It carries the order out.
+    /// The engine started to carry out the order.
     Accepted,
-    /// It already is as ordered.
+    /// The engine already is in the ordered state.
     AlreadyDone,
-    /// Another order is under way, or it has accepted more orders than the order says.
+    /// Another order is being carried out, or the engine has accepted more orders than
+    /// [`Order::after_orders`] says.
     Conflict,
-    /// A higher fencing token was seen.
+    /// The engine has seen a higher fencing token.
     Fenced,
-    /// Another lifetime has its address.
+    /// The engine at this address has another name or another start than the order is meant for.
     OtherLifetime,
     /// The order cannot be carried out.
     Invalid,
-    /// There was no answer; the order may be carried out now, later or never.
+    /// No answer arrived. The order may have been carried out, may be carried out later, or never.
     Silent,
-    /// The order was not sent: this host may not order any more.
+    /// The order was not sent, because this host no longer has the right to send orders.
     NotSent,
 }
 
-/// What an engine reports of itself.
+/// An engine's report of its own state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The Unix time of the engine's start; zero where it does not say.
+    /// The engine's start in Unix time; zero if the engine does not report it.
     pub born_at: Millis,
-    /// How many orders it has accepted.
+    /// The number of orders that it has accepted since its start.
     pub order_count: u64,
-    /// Whether it is carrying one out.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// The models and adapters that it holds.
+    /// The models that it holds, with their adapters.
     pub models: Vec<HeldModel>,
-    /// Adapters on their way to it.
+    /// Adapters that it is loading.
     pub coming: Vec<ModelAsk>,
-    /// Models whose weights it has on disk or in memory, where it says so.
+    /// Models whose weights it has cached on disk or in memory; `None` if it does not report that.
     pub at_hand: Option<Vec<Name>>,
 }
 
-/// What a host tells the orderer, or a relay that tells it the orderer.
+/// A host's periodic message to the orderer, or to a relay that passes its content on to the
+/// orderer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncAsk {
     /// The incarnation of the host's process.
     pub incarnation: u64,
-    /// Whether the host that is asked is taken for the orderer, not for a relay.
+    /// Whether the sender takes the receiver for the orderer; otherwise for a relay.
     pub is_for_orderer: bool,
-    /// Whether the orderer is to hear it at once: a request waits for a model, or a long prompt begins or ends.
+    /// Whether a relay should contact the orderer at once instead of at its next interval: a
+    /// request waits for a model, or a long prompt starts or ends.
     pub is_urgent: bool,
-    /// The version of what it knows of the engines.
+    /// The version of the engines' state that the sender has.
     pub view_version: EnginesVersion,
-    /// The generation of its list of hosts.
+    /// The generation of the member list that the sender has.
     pub members_generation: u64,
-    /// What its callers asked since the last message.
+    /// The requests of the sender's callers since its last message.
     pub demand: Vec<(ModelAsk, AskCount)>,
-    /// Its own work at each engine.
+    /// The sender's own request load on each engine.
     pub work: Vec<(Name, Work)>,
-    /// From where it wants rows of the list of upstreams.
+    /// The offset from which the sender needs rows of the list of upstreams.
     pub upstreams_from: Option<Offset>,
-    /// How many other hosts speak through it.
+    /// How many other hosts report through the sender, if it is a relay.
     pub through: u32,
-    /// What organisations used at these hosts, as far as it was not reported.
+    /// What organisations used at these hosts and was not reported before.
     pub usage: Vec<Usage>,
-    /// Requests that were under way at crashes of upstreams.
+    /// Requests that were running when an upstream crashed.
     pub crashes: CrashReport,
-    /// The limits that upstreams named, and what they got.
+    /// The rate limits that upstreams announced, and what was sent to these upstreams.
     pub upstream_limits: UpstreamLimitsReport,
 }
 
 impl SyncAsk {
-    /// Takes out what the host tells of its callers and its work.
+    /// Moves the demand and the request load out of the message.
     pub fn take_report(&mut self) -> HostReport {
         HostReport {
             through: self.through,
@@ -118,90 +123,94 @@
     }
 }
 
-/// What the orderer knows, for one host.
+/// The orderer's state as sent to one host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrdererNews {
-    /// How long ago the orderer said so; zero from the orderer itself.
+    /// The age of the orderer's state; zero in a message from the orderer itself.
     pub age_ms: Millis,
-    /// Where the stream of leases ends after the orderer's newest record; from the orderer itself only.
+    /// The end of the lease stream after the orderer's newest record; only in a message from the
+    /// orderer itself.
     pub lease_end: Option<Offset>,
-    /// The orderer.
+    /// The current orderer.
     pub orderer: Member,
-    /// What the engines hold, as far as it changed since the asker's version.
+    /// What the engines hold: the changes since the version that the receiver has.
     pub engines: EnginesNews,
-    /// The other hosts' work at each engine.
+    /// The request load of all other hosts on each engine.
     pub work: Vec<(Name, Work)>,
-    /// How long until models are expected to be ready.
+    /// The expected time until each model or adapter that callers wait for is ready.
     pub ready_in_ms: Vec<(ModelAsk, Millis)>,
-    /// The models whose copies are kept apart for long and for short prompts.
+    /// The models that use separate copies for long and for short prompts.
     pub separate: Vec<Name>,
-    /// How new the platform's tables are.
+    /// How far the store's tables reach, and their newest rows.
     pub tables: TablesWord,
-    /// How the list of hosts changed, when the asker's is older.
+    /// The changes of the member list, if the receiver has an older generation.
     pub members: Option<MembersNews>,
-    /// What hosts add up, with or without an orderer.
+    /// Values that are aggregated over hosts, with or without an orderer.
     pub totals: Totals,
 }
 
-/// What hosts add up of their counts, at the orderer or at a relay in its place.
+/// Values that the orderer, or a relay in its absence, aggregates over the hosts that report to it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Totals {
-    /// What is left of the limits of organisations.
+    /// What is left of the rate limits of organisations.
     pub limits: Option<LimitsNews>,
-    /// The requests that crash upstreams.
+    /// The requests that are known to crash upstreams.
     pub crashes: CrashNews,
-    /// The limits that upstreams named, and what is left of them.
+    /// The rate limits that upstreams announced, and what is left of them.
     pub upstream_limits: UpstreamLimitsNews,
 }
 
-/// A call between hosts.
+/// A call from one host to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerCall {
-    /// Telling what this host's callers ask.
+    /// Reports the demand of the sender's callers and asks for the orderer's state.
     Sync(SyncAsk),
-    /// Appending a record to the stream of leases in place of a host that does not reach the store.
+    /// Appends a record to the lease stream for a host that cannot reach the store.
     AppendLease {
-        /// Where the stream must end.
+        /// The offset at which the stream must end for the append to succeed.
         end: Offset,
-        /// The record.
+        /// The encoded record.
         record: Vec<u8>,
     },
-    /// Asking for a part of the list of upstreams.
+    /// Requests a part of the list of upstreams.
     List(ListAsk),
-    /// Asking for the newest desired state.
+    /// Requests the newest desired state.
     Desired,
 }
 
 /// The answer to a call between hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// To [`PeerCall::Sync`].
+    /// The answer to [`PeerCall::Sync`].
     Sync(SyncReply),
-    /// To [`PeerCall::AppendLease`]: nothing when the store did not answer here either.
+    /// The answer to [`PeerCall::AppendLease`]; `None` if the store did not answer the called host
+    /// either.
     AppendedLease(Option<AppendOutcome>),
-    /// To [`PeerCall::List`]: nothing when the host that was asked does not have it itself, or relays for no others.
+    /// The answer to [`PeerCall::List`]; `None` if the called host does not have the list itself or
+    /// is no relay.
     List(Option<ListPart>),
-    /// To [`PeerCall::Desired`]: nothing when the host that was asked relays for no others, or has read no state since it does.
+    /// The answer to [`PeerCall::Desired`]; `None` if the called host is no relay, or has read no
+    /// desired state since it became one.
     Desired(Option<DesiredCopy>),
 }
 
-/// What the orderer or a relay answers a host.
+/// The orderer's or a relay's answer to a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum SyncReply {
-    /// The host that was asked neither orders nor relays.
+    /// The called host is neither the orderer nor a relay.
     NotOrderer {
-        /// The host that perhaps does.
+        /// The host that may be the orderer, as far as the called host knows.
         holder: Option<Member>,
-        /// Its word that it did and does no more.
+        /// Set if the called host was the orderer and has given up its lease.
         resignation: Option<Resignation>,
-        /// The requests that crash upstreams.
+        /// The requests that are known to crash upstreams.
         crashes: CrashNews,
     },
-    /// The host that was asked relays, but has not heard of an orderer.
+    /// The called host is a relay that has not yet heard from an orderer.
     NoNews {
-        /// What the hosts of this relay add up.
+        /// Values that the relay aggregates over its hosts.
         totals: Totals,
     },
-    /// What the orderer knows.
+    /// The orderer's state.
     News(Box<OrdererNews>),
 }
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -1,9 +1,16 @@
-//! Which engine holds which model: one host at a time orders loads and unloads, the others tell it what callers ask.
+//! Decides which engine holds which model.
 //!
-//! Everything here decides without network: [`lease`] who may order, [`ledger`] what engines hold and what is on
-//! its way, [`census`] how many of them hold what, [`ceiling`] how many loads the weight store gets, [`planner`] what to
-//! order next, [`adapters`] also of adapters, [`estimates`] when what callers wait for is ready, [`gather`] and [`published`] what
-//! goes up to the orderer and down from it.
+//! One host at a time, the orderer, plans loads and unloads and sends them to the engines as
+//! orders. It holds a lease that the other hosts observe. All other hosts report the demand of
+//! their callers to the orderer, directly or through a relay, and receive the state of the engines
+//! in return. A copy is one model on one engine.
+//!
+//! Nothing in this module does any network I/O. [`lease`] decides who may send orders. [`ledger`]
+//! tracks what each engine holds, is loading or unloading; [`census`] counts it per model.
+//! [`ceiling`] limits loads from the weight store. [`planner`] chooses the next order for a model,
+//! [`adapters`] for an adapter. [`estimates`] predicts when a model that callers wait for is ready.
+//! [`demand`], [`host_reports`], [`gather`] and [`book`] add up what hosts report to the orderer;
+//! [`published`] and [`view`] carry the state of the engines back to the hosts.
 
 pub mod adapters;
 pub mod book;
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -1,10 +1,11 @@
-//! What to order next.
+//! Chooses the next order of the orderer.
 //!
-//! Answers the pattern of many models of which few are busy at a time, the busy ones changing every few seconds, with
-//! engines that together hold most but not all of them: a load from the weight store takes longer than most
-//! callers wait, a load from an engine's own disk about half a second. So free memory is filled before anyone
-//! asks, a model that comes back goes where its weights are at hand, and what makes way for it is what is asked
-//! for least.
+//! A site has many models, of which few are busy at a time, and the busy ones change every few
+//! seconds. The engines together hold most models but not all. A load from the weight store takes
+//! longer than most callers wait; a load from an engine's own disk takes about half a second.
+//! Therefore free memory is filled before models are requested, a model that is requested again is
+//! loaded where its weights are cached, and the models with the least demand are unloaded to make
+//! room for it.
 
 use crate::desired::{EngineSpec, ModelSpec};
 use crate::entry::platform::ModelAsk;
@@ -17,97 +18,100 @@
 use crate::ordering::message::Action;
 use crate::prelude::*;
 
-/// Prompt tokens that an engine reads in a second for a large model; smaller ones are faster in proportion to
-/// their weights. From the engines' stated speed.
+/// The prompt tokens per second that an engine reads for a large model, as stated for the engines.
+/// Smaller models are read faster, in inverse proportion to their weights.
 const PROMPT_TOKENS_PER_S: f64 = 38_000.0;
 /// The weights of a model that is read at that speed, in megabytes.
 const LARGE_MB: f64 = 34_000.0;
-/// The share of an engine's time that a model may need on each engine that holds it before it gets one more: with
-/// random arrivals waits grow steeply above it.
+/// The fraction of an engine's time that a model's prompts may take on each engine that holds it
+/// before it gets another copy. Above this fraction, waits grow steeply with random arrivals.
 const BUSY_SHARE: f64 = 0.35;
-/// The share of an engine's slots that one model's requests may take on each engine that holds it before it gets one
-/// more copy. Above it arrivals in clusters find all slots taken: with 24 slots, first events began to come late when
-/// 28 requests were at an engine, and a load takes a second or more in which the demand grows.
+/// The fraction of an engine's slots that one model's requests may take on each engine that holds
+/// it before it gets another copy. Above this fraction, clustered arrivals find all slots taken.
+/// With 24 slots, first events came late from 28 requests at an engine on, and demand keeps growing
+/// during a load of a second or more.
 const SLOT_SHARE: f64 = 0.6;
-/// Most engines that hold the same model by demand, as a part of all.
+/// The largest fraction of all engines that hold the same model because of demand.
 const COPIES_PART: f64 = 0.5;
-/// How long ago a model was asked for at most to be loaded, or to get another copy.
+/// A model is loaded, or gets another copy, only if it was requested within this time.
 pub(super) const RECENT_MS: Millis = Millis(2_500);
-/// The weights in megabytes from which a model that is asked with long and with short prompts gets a copy for each: prompts
-/// of smaller ones are read so fast that streams are seldom late.
+/// A model with at least this many megabytes of weights, and with enough long and short prompts,
+/// gets a copy for each kind. Prompts of smaller models are read so fast that streams are seldom
+/// late.
 const SEPARATE_MB: f64 = 20_000.0;
-/// How long a model that was loaded stays at least: callers come back for it within seconds.
+/// How long a loaded model is kept at least, because callers return within seconds.
 const STAY_MS: Millis = Millis(3_000);
-/// How long a model must not have been asked for to make way for one that is asked for.
+/// How long a model must be without requests before it may be unloaded for a requested one.
 const IDLE_MS: Millis = Millis(1_500);
-/// What an engine is worse by, in prompt tokens a second, for each model with adapters in demand that it holds while a
-/// model is loaded there: it takes no adapters meanwhile.
+/// The cost of a load on an engine, in prompt tokens per second, for each model on it with adapters
+/// in demand. The engine loads no adapters during the load of a model.
 const BLOCKED_ADAPTERS: f64 = 2_000.0;
-/// What a load from the weight store costs against one from the engine's disk, in prompt tokens a second of what
-/// makes way.
+/// The additional cost of a load from the weight store over one from the engine's disk, in prompt
+/// tokens per second of the models that are unloaded.
 const STORE_LOAD: f64 = 4_000.0;
 
-/// How many times over the engines hold all models where no model is to be on one engine alone.
+/// If the engines' memory is at least this many times the weights of all models, each model is
+/// loaded on at least two engines.
 const PLENTY: f64 = 16.0;
-/// Most models that nobody asks for of which a place is looked for in one question.
+/// The most models without requests that are considered in one call of [`Planner::next`].
 const MOST_UNASKED: usize = 4;
 
-/// An order that the planner wants.
+/// An order that the planner wants to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Planned {
-    /// The engine.
+    /// The name of the engine.
     pub engine: Name,
-    /// What to do.
+    /// The operation.
     pub action: Action,
-    /// With what.
+    /// The model or adapter to load or unload.
     pub ask: ModelAsk,
-    /// The model that is to be loaded next in the memory that an unload frees.
+    /// For an unload: the model to load next into the freed memory.
     pub makes_way_for: Option<Name>,
-    /// Why, for the log.
+    /// The reason, written to the log.
     pub why: &'static str,
 }
 
-/// What the planner looks at.
+/// The inputs of a plan for one service.
 pub struct Planner<'a> {
-    /// The present time.
+    /// The current time.
     pub now: Millis,
     /// The service whose engines are planned.
     pub service: &'a str,
-    /// What its engines can hold.
+    /// The capacity of the service's engines and the models that they may hold.
     pub spec: &'a EngineSpec,
-    /// What they hold.
+    /// The state of the engines.
     pub ledger: &'a Ledger,
-    /// What is asked for.
+    /// The demand of all hosts.
     pub book: &'a Book,
     /// Engines that are leaving or cannot be reached.
     pub unusable: &'a IndexSet<Name>,
 }
 
-/// A model with its demand and its copies.
+/// A model with its demand and the number of its copies.
 #[derive(Clone, Copy)]
 pub(super) struct Need<'a> {
     pub(super) model: &'a Name,
     pub(super) demand: ModelDemand,
-    /// Engines that hold it, or will.
+    /// The number of engines that hold the model or will hold it.
     pub(super) copies: usize,
-    /// Engines that hold it now.
+    /// The number of engines that hold the model now.
     held: usize,
-    /// Engines that are to hold it.
+    /// The number of engines that should hold the model.
     pub(super) wanted: usize,
 }
 
 impl Need<'_> {
-    /// Tells whether anyone asks for the model.
+    /// Returns whether the model has requests.
     fn is_asked(&self) -> bool {
         self.demand.waiting > 0 || self.demand.last_at.is_some()
     }
 }
 
-/// The needs of all models.
+/// The needs of all models of the service.
 pub(super) type Needs<'a> = IndexMap<&'a Name, Need<'a>>;
 
 impl Planner<'_> {
-    /// Returns the next order, if there is one to make now.
+    /// Returns the order to send next; `None` if there is none now.
     pub fn next(&self, ceiling: &mut Ceiling) -> Option<Planned> {
         let census = self.ledger.census(self.service)?;
         if let Some(order) = self.adapter_order(census) {
@@ -124,12 +128,13 @@
         engine.used_mb(self.now, self.spec)
     }
 
-    /// Tells whether an engine has memory for weights of this size.
+    /// Returns whether an engine has free memory for weights of this size.
     pub(super) fn has_room(&self, engine: &Engine, weights_mb: f64) -> bool {
         self.used_mb(engine) + weights_mb <= self.spec.weights_mb
     }
 
-    /// Loads the model that is most wanted and not on enough engines.
+    /// Returns the order for the neediest model with too few copies, if one can be placed. A model
+    /// without any copy comes first, then the one with the most waiting requests.
     fn model_order(
         &self,
         census: &ServiceCensus,
@@ -154,7 +159,7 @@
         tried.find_map(|need| self.place_model(census, &need, needs, ceiling))
     }
 
-    /// Goes on where memory was freed for a model: loads it, or frees more.
+    /// Continues where memory was freed for a model: loads the model, or frees more memory.
     fn intended_order(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<Planned> {
         let mut intending = self.ledger.intending(self.now);
         intending.find_map(|(engine, model)| {
@@ -208,8 +213,9 @@
         needs
     }
 
-    /// Returns how many engines are to hold a model of which nobody asks: one that is lost with its engine takes a load's time
-    /// to come back, so where the engines hold all models many times over each is on two of them.
+    /// Returns how many engines should hold a model without requests. If an engine is lost, its
+    /// models take the time of a load to return. So where the memory exceeds the weights of all
+    /// models many times over, each model is on two engines.
     fn least_copies(&self, engines: usize) -> usize {
         let all_mb: f64 = self.spec.models.values().map(|spec| spec.weights_mb).sum();
         match engines as f64 * self.spec.weights_mb >= all_mb * PLENTY {
@@ -218,7 +224,7 @@
         }
     }
 
-    /// Returns how many engines are to hold a model that is asked for.
+    /// Returns how many engines should hold a model because of its demand.
     fn wanted(&self, spec: &ModelSpec, demand: &ModelDemand, most: usize) -> usize {
         let asked_of_late = demand
             .last_at
@@ -235,14 +241,15 @@
             .min(most)
     }
 
-    /// Returns how many engines a model's requests need so that none of them runs out of slots. Requests that wait for the
-    /// model itself are among those that run.
+    /// Returns how many engines a model needs so that none of them runs out of slots. `running`
+    /// includes the requests that wait for the model itself.
     fn copies_by_slots(&self, running: u32) -> usize {
         let slots = f64::from(self.spec.slots.max(1)) * SLOT_SHARE;
         (f64::from(running) / slots).ceil() as usize
     }
 
-    /// Chooses the engine for one more copy: the least that makes way, weights at hand before the weight store.
+    /// Chooses the engine for another copy of a model by the least cost: the demand of unloaded
+    /// models, cached weights before the weight store, and the engine's other work.
     fn place_model(
         &self,
         census: &ServiceCensus,
@@ -250,7 +257,7 @@
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
     ) -> Option<Planned> {
-        // One more copy helps only where it finds slots.
+        // Another copy helps only on an engine with free slots.
         let has_slots = |engine: &&Engine| need.copies == 0 || self.used_slots(engine) < SLOT_SHARE;
         let may_use_store = self.may_use_store(need, ceiling);
         if may_use_store {
@@ -275,7 +282,7 @@
         }
     }
 
-    /// Returns the share of an engine's slots that are taken, by what hosts say.
+    /// Returns the fraction of an engine's slots that are taken, according to the hosts' reports.
     fn used_slots(&self, engine: &Engine) -> f64 {
         let running = f64::from(self.book.running_at(&engine.id));
         running / f64::from(self.spec.slots.max(1))
@@ -327,8 +334,9 @@
         })
     }
 
-    /// Chooses what makes way on an engine: the least asked for first, and nothing that is in use or wanted as much as
-    /// what comes. Returns it with the prompt tokens a second that are lost, or nothing when too little may go.
+    /// Chooses the models to unload from an engine, the least requested first. A model that is in
+    /// use or in as much demand as the new one stays. Returns the models and the lost demand in
+    /// prompt tokens per second; `None` if they do not free enough memory.
     fn victims(
         &self,
         engine: &Engine,
@@ -365,7 +373,8 @@
         None
     }
 
-    /// Returns what a copy of a model is worth, in prompt tokens a second; nothing when it must stay.
+    /// Returns the value of a model's copy on an engine in prompt tokens per second; `None` if it
+    /// must stay.
     fn value(&self, engine: &Engine, held: &Need<'_>, need: &Need<'_>) -> Option<f64> {
         let demand = &held.demand;
         let copies = held.held.max(1);
@@ -374,10 +383,11 @@
             && demand
                 .last_at
                 .is_none_or(|at| self.now.since(at) >= IDLE_MS);
-        // A model in use stays, unless other engines hold it too, the one that comes is on none, and nothing runs at
-        // this engine: an unload waits for what runs, and the engine refuses requests for the model meanwhile.
+        // A model in use stays, because its unload waits for running requests and the engine
+        // refuses requests for it meanwhile. It may go if other engines hold it too, the new model
+        // is on no engine, and nothing runs on this engine.
         let is_spare = copies > 2 && need.copies == 0 && self.book.running_at(&engine.id) == 0;
-        // A copy beyond what the demand needs serves few requests; the others take them.
+        // A copy beyond what the demand needs serves few requests, which other copies can take.
         let is_beyond = copies > held.wanted.max(1) && demand.running as usize <= copies;
         let may_go = is_idle || is_spare || is_beyond;
         may_go.then(|| demand.tokens_per_s / copies as f64)
@@ -392,25 +402,27 @@
         in_demand.count() as f64 * BLOCKED_ADAPTERS
     }
 
-    /// Returns the prompt tokens a second that an engine is expected to read for the models that it holds.
+    /// Returns the prompt tokens per second that an engine is expected to read for the models on
+    /// it.
     pub(super) fn demand_at(&self, engine: &Engine, needs: &Needs<'_>) -> f64 {
         let needs = engine.copies.keys().filter_map(|model| needs.get(model));
         let shares = needs.map(|need| need.demand.tokens_per_s / need.copies.max(1) as f64);
         shares.sum()
     }
 
-    /// Returns how long the load of an order takes, and whether it is one from the weight store.
+    /// Returns how long the load of a planned order takes, and where the weights come from.
     pub fn load_time(&self, planned: &Planned) -> LoadTime {
         load_time(self.spec, self.ledger, &planned.engine, &planned.ask)
     }
 }
 
-/// Returns the prompt tokens that an engine reads in a second for a model.
+/// Returns the prompt tokens per second that an engine reads for a model.
 pub(super) fn prompt_speed(spec: &ModelSpec) -> f64 {
     PROMPT_TOKENS_PER_S * LARGE_MB / spec.weights_mb.max(1.0)
 }
 
-/// Returns how long the load of a model on an engine takes.
+/// Returns how long the load of a model on an engine takes, and where the weights come from. An
+/// adapter takes the default, zero.
 pub fn load_time(spec: &EngineSpec, ledger: &Ledger, engine: &str, ask: &ModelAsk) -> LoadTime {
     let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
         return LoadTime::default();
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -1,8 +1,10 @@
-//! What engines hold, as it is passed from the orderer to every host: only what changed since the receiver's version.
+//! The engines' state as the orderer publishes it to all hosts, with only the changes since the
+//! version that a host has.
 //!
-//! Answers the pattern of some hundred engines with a dozen models and adapters each, of which a few change a second,
-//! and hundreds of hosts that are to know it within half a second. The whole takes some 30 KB: told each time, it
-//! filled a link of 20 Mbit/s at the orderer of 195 hosts; the changes take a few hundred bytes.
+//! A site may have some hundred engines, each with a dozen models and adapters, of which a few
+//! change per second, and hundreds of hosts that need the changes within half a second. The full
+//! state is about 30 KB. If each message contained it, it would fill a link of 20 Mbit/s at the
+//! orderer of 195 hosts; the changes are a few hundred bytes.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::ledger::EngineChanges;
@@ -10,32 +12,32 @@
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
-/// Most engines that are gone and remembered for hosts that may still know them; a host that knows an older version gets
-/// the whole.
+/// The most removed engines that are remembered, so that hosts which still know them are told. A
+/// host with an older version receives the full state.
 const MAX_GONE: usize = 256;
 
 /// What one engine holds, as the orderer knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineView {
-    /// The start of the engine that this is known of.
+    /// The start of the engine that `held` belongs to.
     pub engine: Lifetime,
-    /// What it holds: models by themselves, and adapters.
+    /// The models, each without an adapter, and the adapters that the engine holds.
     pub held: Vec<ModelAsk>,
 }
 
-/// The fence of the orderer, and its count of changes.
+/// The version of the engines' state: the fencing token of the orderer, and its number of changes.
 pub type EnginesVersion = (u64, u64);
 
-/// What a host with an older version is told.
+/// An update of the engines' state for a host with an older version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EnginesNews {
-    /// The version that it has then.
+    /// The version that the host has after the update.
     pub version: EnginesVersion,
-    /// Whether this is all; else what changed.
+    /// Whether `engines` is the full state; otherwise only the changes.
     pub is_whole: bool,
-    /// Engines that hold other things than before.
+    /// The engines whose state changed; all engines if the update is the full state.
     pub engines: Vec<EngineView>,
-    /// Engines that are gone.
+    /// The engines that were removed.
     pub gone: Vec<Lifetime>,
 }
 
@@ -51,36 +53,39 @@
     }
 }
 
-/// What the engines hold, with the version of each one's last change.
+/// The engines' state, with the version of each engine's last change. The orderer builds it with
+/// [`PublishedEngines::update`], other hosts with [`PublishedEngines::apply`].
 #[derive(Clone, Debug, Default)]
 pub struct PublishedEngines {
     version: EnginesVersion,
     engines: IndexMap<Lifetime, Published>,
     gone: VecDeque<(u64, Lifetime)>,
-    /// From this version on every change is known.
+    /// From this version on, all changes are known.
     complete_from: u64,
 }
 
 impl PublishedEngines {
-    /// Returns the version.
+    /// Returns the current version.
     pub fn version(&self) -> EnginesVersion {
         self.version
     }
 
-    /// Returns what an engine holds; nothing when this start of it is not known.
+    /// Returns what an engine holds; `None` if this start of it is not known.
     pub fn held(&self, engine: &Lifetime) -> Option<&IndexSet<ModelAsk>> {
         Some(&self.engines.get(engine)?.held)
     }
 
-    /// Returns the engines that hold a model or adapter, of those that are told of.
+    /// Returns the engines that hold a model or adapter, among those whose state is published.
     pub fn holders<'a>(&'a self, ask: &'a ModelAsk) -> impl Iterator<Item = &'a Lifetime> {
         let holding = self.engines.iter();
         let holding = holding.filter(|(_, published)| published.held.contains(ask));
         holding.map(|(engine, _)| engine)
     }
 
-    /// Takes what changed on the engines, at the orderer with this fence. An engine that its entry in the list of upstreams
-    /// describes is not told of, until it was told of once: every host has the entry.
+    /// Adds the orderer's changes to the published state. `fence` is the fencing token of the
+    /// orderer; a new one starts from an empty state. An engine whose state is as in its entry in
+    /// the list of upstreams is left out until it was published once, because every host has the
+    /// list.
     pub fn update(
         &mut self,
         fence: u64,
@@ -130,7 +135,8 @@
         }
     }
 
-    /// Returns what a host with a version is told: nothing new when it knows as much.
+    /// Returns the update for a host that has version `known`; an empty one if that is not older
+    /// than this version.
     pub fn since(&self, known: EnginesVersion) -> EnginesNews {
         if known >= self.version {
             return EnginesNews {
@@ -158,7 +164,8 @@
         }
     }
 
-    /// Takes another host's news. Older ones than what is known change nothing.
+    /// Applies an update from the orderer or a relay. One that is not newer than the own version is
+    /// ignored.
     pub fn apply(&mut self, news: EnginesNews) {
         if news.version <= self.version {
             return;
--- a/src/ordering/spare.rs
+++ b/src/ordering/spare.rs
@@ -1,4 +1,4 @@
-//! What memory that is free is used for, before anyone asks.
+//! Uses free memory before models are requested.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::ceiling::Ceiling;
@@ -7,15 +7,16 @@
 use crate::ordering::planner::{Need, Needs, Planned, Planner, RECENT_MS, prompt_speed};
 use crate::prelude::*;
 
-/// The share of an engine's time that a model's prompts must take on each engine that holds it for another copy in memory
-/// that is free. Two prompts of some 9,000 tokens that are read in a row hold up the streams beside them for half a
-/// second; at a twentieth of the time one in fifty meets another.
+/// The fraction of an engine's time that a model's prompts must take on each engine that holds it
+/// before it gets another copy in free memory. Two prompts of some 9,000 tokens that are read in a
+/// row delay the streams on the same engine for half a second. At a twentieth of the time, one
+/// prompt in fifty coincides with another.
 const SPARE_SHARE: f64 = 0.05;
-/// Most missing models for which a place in free memory is looked for in one question.
+/// The most missing models that are considered in one call of [`Planner::next`].
 const MOST_MISSING: usize = 64;
 
 impl Planner<'_> {
-    /// Fills free memory with models that no engine holds, before anyone asks for them.
+    /// Loads models that no engine holds into free memory, before they are requested.
     pub(super) fn spare_order(
         &self,
         census: &ServiceCensus,
@@ -30,7 +31,8 @@
             let place = self
                 .candidates(census, model)
                 .filter(|engine| self.has_room(engine, spec.weights_mb))
-                // The tightest fit leaves room for the largest.
+                // The engine with the least free memory is used, to keep room for the largest
+                // models.
                 .max_by(|a, b| self.used_mb(a).total_cmp(&self.used_mb(b)));
             let Some(engine) = place else { continue };
             let is_at_hand = engine.at_hand.contains(model);
@@ -58,8 +60,9 @@
         None
     }
 
-    /// Gives a model in demand another copy where memory is free and its weights are at hand. It costs an order and is the
-    /// first to make way; prompts that are spread over more engines meet less often.
+    /// Gives a busy model another copy where memory is free and its weights are cached. The load
+    /// costs one order, and the copy is the first to be unloaded. Prompts that are spread over more
+    /// engines coincide less often.
     pub(super) fn spare_copy(&self, census: &ServiceCensus, needs: &Needs<'_>) -> Option<Planned> {
         let pressed = needs.values().filter(|need| {
             let spec = self.spec.models.get(need.model);
@@ -91,7 +94,7 @@
                 let beside = self.demand_at(engine, needs);
                 (beside + self.blocked_adapters(engine), engine)
             })
-            // An engine that has as much to read already takes nothing off the others.
+            // An engine that already reads as many prompt tokens takes no work off the others.
             .filter(|(cost, _)| *cost < per_copy);
         let (_, engine) = places.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
         Some(Planned {
--- a/src/ordering/tests.rs
+++ b/src/ordering/tests.rs
@@ -1,4 +1,4 @@
-//! The lease, the ledger, the ceiling and the plan, without network.
+//! Tests of the ordering decisions, which need no network.
 
 mod ceiling;
 mod fake_engine;
--- a/src/ordering/tests/ceiling.rs
+++ b/src/ordering/tests/ceiling.rs
@@ -1,11 +1,13 @@
-//! Loads in any window over all holders stay under the bound.
+//! The load limiter keeps the start rate below the store's limit and adapts the number of
+//! concurrent loads.
 
 use crate::ordering::ceiling::Ceiling;
 use crate::prelude::*;
 
 const LOADS_PER_S: f64 = 2.1;
 const WINDOW_MS: Millis = Millis(5_000);
-/// What is allowed in a window: the rate with a tenth in excess, and three.
+/// The loads that the store allows in one window: the rate with an excess of a tenth, and three
+/// more.
 const ALLOWED: f64 = LOADS_PER_S * 5.0 * 1.1 + 3.0;
 
 #[test]
@@ -18,7 +20,8 @@
             now += Millis(u.int_in_range(0..=400u64)?);
             match u.int_in_range(0..=30u8)? {
                 0 => {
-                    // A new holder orders no sooner than the engines' lease time after the last one.
+                    // A new holder sends no order before the engines' lease time after the previous
+                    // holder's last.
                     now += Millis(3_000);
                     ceiling = Ceiling::new(now, None);
                 }
@@ -99,7 +102,7 @@
 #[test]
 fn one_late_load_does_not_leave_the_store_idle() {
     let mut ceiling = Ceiling::new(Millis::ZERO, Some(4));
-    // Its engine was slow: it took as long as ten loads at once would.
+    // The engine itself was slow: the load took as long as with ten concurrent loads.
     ceiling.note_done(Millis(15_000), Millis(6_000), 4);
     assert_eq!(ceiling.at_once(), 3);
     for _ in 0..10 {
@@ -108,7 +111,8 @@
     assert_eq!(ceiling.at_once(), 4);
 }
 
-/// Guards against loads two by two before a store that serves thousands of engines.
+/// Regression test: a store that serves thousands of engines received only two loads at a time at
+/// first.
 #[test]
 fn a_store_with_a_high_rate_gets_many_loads_at_once_from_the_start() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
@@ -120,7 +124,7 @@
     assert!(ceiling.at_once() > 100);
 }
 
-/// Guards against a stated rate that is taken for the number of loads at full speed.
+/// Regression test: the stated rate was taken for the number of concurrent loads at full speed.
 #[test]
 fn a_store_that_serves_few_loads_in_spite_of_its_rate_soon_gets_few() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
@@ -131,5 +135,9 @@
         let passed_ms = Millis(13_200 * (at_once as u64 / served_at_once));
         ceiling.note_overdue(passed_ms, Millis(13_200), at_once);
     }
-    assert!(ceiling.at_once() <= 8, "{} at once", ceiling.at_once());
+    assert!(
+        ceiling.at_once() <= 8,
+        "{} concurrent loads",
+        ceiling.at_once()
+    );
 }
--- a/src/ordering/tests/fake_engine.rs
+++ b/src/ordering/tests/fake_engine.rs
@@ -1,5 +1,5 @@
-//! An engine as far as orders see it: it takes an order only after the stated number of others, and fails when it is told
-//! to hold more than it can.
+//! A fake engine that counts orders as real engines do, accepts an order only after the stated
+//! number of others, and panics if it is told to hold more than it can.
 
 use crate::desired::{EngineSpec, ModelSpec};
 use crate::entry::platform::ModelAsk;
@@ -7,7 +7,8 @@
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime};
 
-/// Models named `m0`, `m1` and so on with these sizes, on engines of this capacity.
+/// Returns the spec of engines with this capacity that may hold models `m0`, `m1` and so on of
+/// these sizes.
 pub fn spec(capacity_mb: f64, sizes_mb: &[f64]) -> EngineSpec {
     let model = |(n, weights_mb): (usize, &f64)| {
         let model = ModelSpec {
@@ -31,7 +32,7 @@
     }
 }
 
-/// An engine that does not say when it started.
+/// Returns the lifetime of an engine that does not report its start.
 pub fn only_start(id: Name) -> Lifetime {
     Lifetime {
         id,
@@ -39,22 +40,22 @@
     }
 }
 
-/// The engine.
+/// A fake engine.
 #[derive(Debug)]
 pub struct FakeEngine {
     spec: EngineSpec,
-    /// The Unix time of its start.
+    /// The engine's start in Unix time.
     pub born_at: Millis,
     count: u64,
     models: IndexSet<Name>,
     adapters: IndexSet<ModelAsk>,
     changing: Option<(Order, Millis)>,
-    /// Loads of models that it began.
+    /// The number of model loads that it started.
     pub loads: usize,
 }
 
 impl FakeEngine {
-    /// Makes an engine that holds some models.
+    /// Creates an engine that holds some models.
     pub fn new(spec: EngineSpec, models: &[&str]) -> Self {
         Self {
             spec,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Starts again under the same name: it holds nothing and has taken no orders.
+    /// Restarts the engine under the same name. It then holds nothing and has accepted no orders.
     pub fn restart(&mut self, born_at: Millis) {
         let loads = self.loads;
         *self = Self {
@@ -77,7 +78,7 @@
         };
     }
 
-    /// Takes an order. It cannot tell one that was meant for a former start of it.
+    /// Answers an order. The engine cannot tell whether the order was meant for its previous start.
     pub fn order(&mut self, now: Millis, order: &Order) -> OrderAnswer {
         self.advance(now);
         if order.after_orders != self.count || self.changing.is_some() {
@@ -114,7 +115,7 @@
         OrderAnswer::Accepted
     }
 
-    /// Returns its report.
+    /// Returns the engine's report.
     pub fn report(&mut self, now: Millis) -> EngineReport {
         self.advance(now);
         let held = |model: &Name| HeldModel {
--- a/src/ordering/tests/gather.rs
+++ b/src/ordering/tests/gather.rs
@@ -1,4 +1,5 @@
-//! The orderer hears the same through a relay as from each host itself.
+//! A relay passes on the same demand and request load as its hosts would report to the orderer
+//! directly.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::demand::AskCount;
--- a/src/ordering/tests/lease.rs
+++ b/src/ordering/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Two hosts never order within the engines' lease time of each other, whatever is lost, late or paused.
+//! No two hosts send orders within the engines' lease time of each other, whichever messages are
+//! lost or late and whichever host is paused.
 
 use crate::group::Member;
 use crate::ordering::lease::{Learned, Lease, LeaseRecord, is_candidate};
@@ -22,7 +23,7 @@
     }
 }
 
-/// An append that is on its way to the log; it may arrive late, and its answer may be lost.
+/// An append on its way to the lease stream. It may arrive late, and its answer may be lost.
 struct Flight {
     host: usize,
     life: u64,
@@ -101,7 +102,7 @@
         });
     }
 
-    /// Lets an append take effect; `is_heard` tells whether its sender gets the answer.
+    /// Delivers an append. `is_heard` is whether the sender receives the answer.
     fn land(&mut self, flight: usize, is_heard: bool) {
         let flight = self.flights.remove(flight);
         let fits = flight.end == self.end();
@@ -121,7 +122,11 @@
             (true, false) => lease.note_renewed(flight.sent_at, offset),
             (false, true) => {}
             (false, false) => {
-                let newest = self.log.last().cloned().expect("the end has moved");
+                let newest = self
+                    .log
+                    .last()
+                    .cloned()
+                    .expect("a stream whose end has moved");
                 let end = Offset(self.log.len() as u64);
                 lease.note_moved(self.now, end, newest);
             }
@@ -149,14 +154,20 @@
         if !self.leases[host].may_order(self.now) {
             return;
         }
-        let fence = self.leases[host].holding().expect("it holds").fence;
+        let fence = self.leases[host]
+            .holding()
+            .expect("the lease is held")
+            .fence;
         if let Some((former, former_fence, at)) = self.last_order
             && former != host
         {
             self.takeovers += 1;
             let apart_ms = self.now - at;
-            assert!(apart_ms >= ENGINE_LEASE_MS, "two holders within {apart_ms}");
-            assert!(fence > former_fence, "a lower fence after a higher one");
+            assert!(
+                apart_ms >= ENGINE_LEASE_MS,
+                "two holders sent orders within {apart_ms}"
+            );
+            assert!(fence > former_fence, "the fencing token did not increase");
         }
         self.last_order = Some((host, fence, self.now));
         self.orders += 1;
@@ -183,7 +194,7 @@
         19 => world.resign(host),
         20 => world.hear_resignation(host, u.choose_index(HOSTS)?),
         _ => {
-            // A long step is a host that stands still while others go on.
+            // A long step stands for a host that is paused while the others continue.
             let most = if u.ratio(1, 8)? { 4_000 } else { 300 };
             world.now += Millis(u.int_in_range(1..=most)?);
         }
@@ -201,7 +212,8 @@
     Ok((world.orders, world.takeovers))
 }
 
-/// The same with words of holders where the stream ends, which arrive late or never.
+/// As [`drive`], with additional statements of holders about the end of the stream, which arrive
+/// late or never.
 fn drive_with_words(
     u: &mut arbtest::arbitrary::Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<(usize, usize)> {
@@ -234,7 +246,7 @@
 #[test]
 fn no_two_hosts_order_within_the_engines_lease_time() {
     let (orders, takeovers): (Vec<_>, Vec<_>) = seeded(4_000, drive).into_iter().unzip();
-    // The interleavings reach what they are about.
+    // Checks that the generated interleavings contain orders and changes of the holder.
     assert!(orders.iter().sum::<usize>() > 1_000);
     assert!(takeovers.iter().sum::<usize>() > 30);
 }
@@ -322,7 +334,8 @@
     assert!(is_candidate(&host(95), std::iter::empty()));
 }
 
-/// Guards against hundreds of hosts that all read the lease and claim it while the group lists the first of them only.
+/// Regression test: while the member list named only the first of hundreds of new hosts, all of
+/// them read and claimed the lease.
 #[test]
 fn of_a_thousand_hosts_that_start_those_that_are_not_listed_do_not_claim() {
     let hosts: Vec<Member> = (0..1_000)
@@ -335,7 +348,7 @@
     }
 }
 
-/// A plan for a hundred engines keeps an eighth of a core busy.
+/// Planning for a hundred engines keeps an eighth of a core busy.
 #[test]
 fn hosts_with_the_most_processor_are_the_first_to_claim() {
     let member = test_support::member;
@@ -355,15 +368,16 @@
     assert_eq!(first, [3, 5, 6]);
 }
 
-/// A host that hears the holder until it is lost may claim as soon as the stream has stood still since then; one that
-/// began to look only after the silence would wait for a second more.
+/// Regression test: a host that has heard from the holder until its loss may claim as soon as the
+/// stream has been unchanged since then. If it counted only from its own first read, it would wait
+/// for a second longer.
 #[test]
 fn a_host_that_heard_the_holder_counts_from_its_last_word() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
     world.land(0, true);
-    let end = world.leases[0].end().expect("it claimed");
+    let end = world.leases[0].end().expect("a claimed lease");
     let told_at = world.now;
     world.leases[1].note_told_end(told_at, end);
     assert!(!world.leases[1].is_worth_reading(told_at + Millis(1_000)));
@@ -373,7 +387,8 @@
     assert_eq!(world.leases[1].may_claim(world.now), Some(end));
     world.claim(1);
     world.land(0, true);
-    // The holder's last record was sent before its word; engines let another one in after their lease time on top.
+    // The holder's last record was sent before its statement. Engines accept another host only
+    // after their lease time on top of the holder's validity.
     world.now = told_at + Millis(2_000) + ENGINE_LEASE_MS;
     assert!(!world.leases[1].may_order(world.now));
 }
@@ -385,7 +400,7 @@
     world.claim(0);
     world.land(0, true);
     world.read(1);
-    let end = world.leases[1].end().expect("it read");
+    let end = world.leases[1].end().expect("a stream that was read");
     world.leases[1].note_told_end(world.now + Millis(500), end);
     assert_eq!(world.leases[1].holder(), world.leases[0].holder());
 }
--- a/src/ordering/tests/ledger.rs
+++ b/src/ordering/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Memory and adapter places are never exceeded, whatever answers are lost and whatever orders take effect late.
+//! Memory and adapter slots are never exceeded, whichever answers are lost and whichever orders
+//! take effect late.
 
 use super::fake_engine::{FakeEngine, spec};
 use crate::entry::platform::ModelAsk;
@@ -30,14 +31,14 @@
 struct World {
     now: Millis,
     engines: IndexMap<Name, FakeEngine>,
-    /// The starts that the list names; it lags.
+    /// The engines' starts according to the list, which lags.
     listed: IndexMap<Name, Millis>,
     ledger: Ledger,
     book: Book,
     ceiling: Ceiling,
-    /// Orders that were sent and have not arrived; each may also have been given up by its sender.
+    /// Orders on their way to an engine, each with whether its sender still waits for the answer.
     flights: Vec<(Name, Order, bool)>,
-    /// What hosts were told of the engines by changes alone.
+    /// The engines' state as a host knows it that receives changes only.
     told: IndexMap<Lifetime, IndexSet<ModelAsk>>,
 }
 
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Counts anew what the ledger keeps counted, and compares what hosts were told with what the engines hold.
+    /// Compares the index with a full count over all engines, and the state that hosts were sent
+    /// with that of the engines.
     fn check_kept_counts(&mut self) {
         let mut census = Census::default();
         for engine in self.ledger.iter() {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The sender gives an order up that is still on its way.
+    /// Lets the sender of an order time out while the order is still on its way.
     fn time_out(&mut self, flight: usize) {
         let (id, order, is_waited_for) = self.flights[flight].clone();
         self.flights[flight].2 = false;
@@ -157,7 +159,12 @@
     }
 
     fn report(&mut self, engine: usize) {
-        let id = self.engines.get_index(engine).expect("it exists").0.clone();
+        let id = self
+            .engines
+            .get_index(engine)
+            .expect("a fake engine")
+            .0
+            .clone();
         let report = self.engines[engine].report(self.now);
         self.ledger.take_report(self.now, &id, Some(report));
     }
@@ -182,7 +189,7 @@
                 self.report(engine);
             }
             9 => {
-                // A new holder of the lease knows nothing of its predecessor's orders.
+                // A new holder of the lease does not know its predecessor's orders.
                 if u.ratio(1, 10)? {
                     self.ledger = Ledger::default();
                     self.told.clear();
@@ -214,10 +221,16 @@
     }
 
     fn restart(&mut self, engine: usize, later_by_ms: Millis) {
-        let id = self.engines.get_index(engine).expect("it exists").0.clone();
+        let id = self
+            .engines
+            .get_index(engine)
+            .expect("a fake engine")
+            .0
+            .clone();
         let born_at = self.engines[engine].born_at + later_by_ms;
         self.engines[engine].restart(born_at);
-        // Of the calls under way only the newest may still be carried out: earlier ones had ended before it was made.
+        // Of the calls on their way, only the newest may still be carried out: the earlier ones
+        // ended before it started.
         let newest = self.flights.iter().rposition(|(to, ..)| *to == id);
         let mut at = 0;
         self.flights.retain(|(to, ..)| {
@@ -228,16 +241,21 @@
     }
 
     fn list(&mut self, engine: usize) {
-        let (id, engine) = self.engines.get_index(engine).expect("it exists");
+        let (id, engine) = self.engines.get_index(engine).expect("a fake engine");
         self.listed.insert(id.clone(), engine.born_at);
     }
 
     fn take_old(&mut self, engine: usize, report: EngineReport) {
-        let id = self.engines.get_index(engine).expect("it exists").0.clone();
+        let id = self
+            .engines
+            .get_index(engine)
+            .expect("a fake engine")
+            .0
+            .clone();
         let known = self.ledger.get(&id).map(|engine| engine.born_at);
         self.ledger.take_report(self.now, &id, Some(report));
         let after = self.ledger.get(&id).map(|engine| engine.born_at);
-        assert!(after >= known, "an old report undid a newer start");
+        assert!(after >= known, "an outdated report replaced a newer start");
     }
 }
 
@@ -249,8 +267,8 @@
     Ok(world.loads())
 }
 
-/// Besides, engines start again under their names, one millisecond or more after their former start, and the list and
-/// old reports tell of it late.
+/// As [`drive`], with engines that restart under their names one millisecond or more after their
+/// previous start. The list and outdated reports show it late.
 fn drive_restarts(
     u: &mut arbtest::arbitrary::Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<(usize, usize)> {
@@ -278,7 +296,7 @@
 #[test]
 fn engines_are_never_told_to_hold_more_than_they_can() {
     let loads: usize = seeded(2_000, drive).into_iter().sum();
-    // The interleavings reach what they are about.
+    // Checks that the generated interleavings contain loads.
     assert!(loads > 2_000, "{loads} loads");
 }
 
@@ -290,7 +308,7 @@
     assert!(loads.iter().sum::<usize>() > 1_000);
 }
 
-/// Guards against calls for reports that grow with the engines.
+/// Regression test: the number of report calls grew with the number of engines.
 #[test]
 fn reports_of_idle_engines_are_spread_and_do_not_hold_up_those_that_are_waited_for() {
     let engines = 2_000;
@@ -302,7 +320,11 @@
     };
     let mut ledger = Ledger::default();
     ledger.take_engines(now, (0..engines).map(|n| (start(n), Name::from("s"))));
-    assert_eq!(ledger.due_reports(now, 100).len(), 100, "so many at once");
+    assert_eq!(
+        ledger.due_reports(now, 100).len(),
+        100,
+        "at most as many as asked for"
+    );
     assert_eq!(ledger.due_reports(now, engines).len(), engines - 100);
     for n in 0..engines {
         ledger.take_report(now, &id(n), Some(EngineReport::default()));
@@ -314,7 +336,7 @@
         adapter: None,
     };
     let order = ledger.begin(later, &id(7), Action::Load, ask, None);
-    let order = order.expect("it is known");
+    let order = order.expect("a known engine");
     ledger.due(later);
     let load = LoadTime::default();
     ledger.take_answer(later, &id(7), &order, OrderAnswer::Silent, load);
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -1,4 +1,4 @@
-//! Which adapters are brought to which engine, and which make way.
+//! Tests which adapters are loaded on which engine, and which are unloaded.
 
 use super::*;
 
@@ -30,7 +30,7 @@
     );
 }
 
-/// Answers the pattern of an orderer that is lost for some seconds while callers ask for one adapter after the other.
+/// While the orderer is lost for some seconds, callers may request one adapter after the other.
 #[test]
 fn adapters_are_brought_before_anyone_asks_as_long_as_places_are_free() {
     let mut spec = spec(80_000.0, &[30_000.0, 30_000.0]);
@@ -50,7 +50,11 @@
     for step in 0..40 {
         let now = NOW + Millis(20 * step);
         while let Some(planned) = site.next(now) {
-            assert_eq!(planned.action, Action::Load, "nothing makes way for it");
+            assert_eq!(
+                planned.action,
+                Action::Load,
+                "nothing is unloaded for a prefetch"
+            );
             let Planned { engine, ask, .. } = planned;
             let order = site
                 .ledger
@@ -60,17 +64,18 @@
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
             site.ledger.take_answer(now, &engine, &order, answer, load);
-            assert!(brought.insert(ask), "an adapter is brought once");
+            assert!(brought.insert(ask), "each adapter is loaded once");
         }
     }
-    // Three places an engine, one of them kept free: four of the five of m0, both of m1.
+    // Each engine has three slots, of which one stays free: four of the five adapters of m0 and
+    // both of m1 are loaded.
     assert_eq!(brought.len(), 6);
     for engine in site.ledger.iter() {
         assert!(engine.adapters.len() <= 2);
     }
 }
 
-/// Guards against an adapter that counts as brought because an engine which leaves has it.
+/// Regression test: an adapter counted as available because an engine that is leaving holds it.
 #[test]
 fn an_adapter_on_a_leaving_engine_alone_is_brought_to_another() {
     let mut site = Site::new(spec(200.0, &[50.0]), &[&["m0"], &["m0"]]);
@@ -82,7 +87,7 @@
     let (answer, load) = (OrderAnswer::Accepted, LoadTime::default());
     site.ledger.take_answer(NOW, "e0", &order, answer, load);
     site.ask(1, NOW, &[(asked.clone(), waiting(1))]);
-    assert_eq!(site.next(NOW), None, "it is there");
+    assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
     let planner = planner(NOW, &site.spec, &site.ledger, &site.book, &leaving);
     let planned = planner.next(&mut site.ceiling).expect("callers wait");
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -1,4 +1,4 @@
-//! How many engines hold a model, and which copy makes way.
+//! Tests how many engines hold a model, and which copy is unloaded.
 
 use super::*;
 
@@ -18,7 +18,7 @@
         site.ask(1, at, &[(model("m0"), count)]);
     }
     let planned = site.plan_all();
-    assert_eq!(planned.len(), 1, "half of the engines at most");
+    assert_eq!(planned.len(), 1, "at most half of the engines");
     assert!(planned.iter().all(|planned| planned.action == Action::Load));
 }
 
@@ -46,8 +46,9 @@
     assert_eq!((planned.action, &*planned.engine), (Action::Unload, "e1"));
 }
 
-/// The pattern: one busy model of which the answers keep slots for seconds, with prompts that are read quickly. Counted at
-/// a site of 24 slots an engine: 150 requests under way at five engines, half of their first events late.
+/// Regression test: the answers of one busy model occupy slots for seconds, while its prompts are
+/// read quickly. With 24 slots per engine, 150 requests running on five engines had half of their
+/// first events late.
 #[test]
 fn a_model_gets_copies_for_the_slots_that_its_requests_keep() {
     let copies = |running| {
@@ -64,15 +65,17 @@
         site.ask(1, NOW, &[(model("m0"), busy)]);
         1 + site.plan_all().len()
     };
-    // Slots are filled to 0.6, and half of the engines get copies of one model at most.
+    // Slots are used up to a fraction of 0.6, and at most half of the engines get copies of one
+    // model.
     assert_eq!(copies(14), 1);
     assert_eq!(copies(15), 2);
     assert_eq!(copies(50), 4);
     assert_eq!(copies(500), 5);
 }
 
-/// The pattern: busy models change every few seconds, and the engines of formerly busy ones never stand still, since they
-/// run other models' requests.
+/// Regression test: copies of formerly busy models were never unloaded. Busy models change every
+/// few seconds, and the engines of formerly busy models are never idle, because they run requests
+/// of other models.
 #[test]
 fn a_copy_beyond_what_its_demand_needs_makes_way_for_a_busier_model() {
     let engines: [&[&str]; 4] = [&["m0", "m1"], &["m1"], &["m1"], &["m1"]];
@@ -83,7 +86,7 @@
         running,
         ..waiting(0)
     };
-    // Every engine runs something for the model that is fading.
+    // Every engine runs a request of the model with declining demand.
     let work = |n: usize| {
         let work = Work {
             running: 1,
@@ -99,7 +102,7 @@
     assert_eq!(planned.makes_way_for.as_deref(), Some("m0"));
 }
 
-/// One more copy of a busy model at an engine whose slots are taken would help nobody.
+/// Another copy of a busy model does not help on an engine without free slots.
 #[test]
 fn an_extra_copy_goes_to_an_engine_with_free_slots() {
     let engines: [&[&str]; 4] = [&["m0"], &["m1"], &["m1"], &["m1"]];
@@ -125,9 +128,10 @@
     assert_eq!(&*planned.engine, "e2");
 }
 
-/// Answers a model that becomes busy within a second while much memory is free: prompts of 9,000 tokens that meet at its
-/// few copies hold up every stream there. What is asked for is reading 6% of an engine's time, far below the share
-/// for which another model would have to make way.
+/// Regression test: a model gets busy within a second while much memory is free, and prompts of
+/// 9,000 tokens that coincide on its few copies delay all streams there. The demand takes 6% of an
+/// engine's time for reading, far below the fraction from which another model would be unloaded for
+/// it.
 #[test]
 fn a_model_in_demand_gets_a_copy_in_free_memory_where_its_weights_are_at_hand() {
     let engines: [&[&str]; 3] = [&["m0"], &[], &[]];
@@ -151,7 +155,7 @@
     assert_eq!(site.plan_all().len(), 1);
 }
 
-/// An engine that reads as much for another model would only move the wait.
+/// A copy on an engine that reads as many tokens for another model would not shorten any wait.
 #[test]
 fn a_copy_in_free_memory_does_not_go_to_an_engine_that_is_as_busy() {
     let engines: [&[&str]; 2] = [&["m0"], &["m1"]];
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -1,4 +1,4 @@
-//! What is loaded into memory that is free, and what makes way for a model that is asked for.
+//! Tests what is loaded into free memory, and what is unloaded for a requested model.
 
 use super::*;
 
@@ -76,7 +76,7 @@
     );
 }
 
-/// Answers the pattern of many models that take turns on one engine, whose disk keeps the copies of a few.
+/// Many models take turns on one engine, whose disk caches the weights of a few.
 #[test]
 fn weights_that_an_engine_has_dropped_are_not_at_hand() {
     let mut site = Site::new(spec(40_000.0, &[30_000.0, 30_000.0]), &[&["m0"], &[]]);
@@ -95,7 +95,7 @@
     assert!(load(&site).from_store);
 }
 
-/// Guards against a crash that takes the only copy of a model although there is room for many.
+/// Regression test: a crash took the only copy of a model although there was memory for many.
 #[test]
 fn where_engines_hold_all_models_many_times_over_each_is_on_two() {
     let (busy, seldom): (&[&str], &[&str]) = (&["m0"], &["m1"]);
@@ -110,7 +110,7 @@
     assert_eq!(
         unloaded,
         [&model("m0")],
-        "a spare copy makes way for a second one"
+        "a surplus copy is unloaded to make room for a second copy"
     );
     assert_eq!(planned[0].makes_way_for.as_deref(), Some("m1"));
 }
@@ -122,7 +122,8 @@
     assert_eq!(site.plan_all(), []);
 }
 
-/// Guards against models that nobody asks for, find no place, and keep a copy from one that callers ask for.
+/// Regression test: models without requests that could not be placed kept a requested model from
+/// getting another copy.
 #[test]
 fn models_that_nobody_asks_for_do_not_hold_up_those_that_are_asked_for() {
     let (busy, seldom, none): (&[&str], &[&str], &[&str]) = (&["m0"], &["m1"], &[]);
@@ -130,7 +131,8 @@
     let held: Vec<&[&str]> = held.collect();
     let mut site = Site::new(spec(100.0, &[100.0; 8]), &held);
     site.has_at_hand(131, "m1");
-    // The weight store takes no load now, so the six models on no engine cannot come.
+    // The weight store admits no load now, so the six models that are on no engine cannot be
+    // loaded.
     site.ceiling = Ceiling::new(NOW, None);
     let asked = AskCount {
         asked: 100,
@@ -138,11 +140,12 @@
         ..AskCount::default()
     };
     site.ask(1, NOW, &[(model("m1"), asked)]);
-    let planned = site.next(NOW).expect("its weights are at hand");
+    let planned = site.next(NOW).expect("its weights are cached");
     assert_eq!((planned.ask, &*planned.engine), (model("m1"), "e131"));
 }
 
-/// Guards against a load from the weight store because the engine with the weights is not among those that are weighed.
+/// Regression test: a model was loaded from the weight store because the engine that caches its
+/// weights was not among the compared candidates.
 #[test]
 fn in_a_large_site_a_model_goes_where_its_weights_are_at_hand() {
     let none: &[&str] = &[];
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -1,4 +1,4 @@
-//! What is loaded for which demand.
+//! Tests of the planner and its estimates.
 
 mod adapters;
 mod copies;
@@ -22,7 +22,7 @@
 use crate::upstreams::HeldModel;
 
 const NOW: Millis = Millis(1_000_000);
-/// An orderer that may order, before a weight store that serves one load at a time.
+/// An orderer that may send orders, and a weight store that serves one load at a time.
 const PACE: Pace = Pace {
     store_loads_at_once: 1,
     orders_in_ms: Millis::ZERO,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A site of engines `e0`, `e1` and so on that hold these models.
+/// A site of engines `e0`, `e1` and so on that hold the given models.
 struct Site {
     spec: EngineSpec,
     ledger: Ledger,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Lets an engine that holds nothing report that it has a model's weights on its disk.
+    /// Reports for an engine without models that it caches a model's weights on disk.
     fn has_at_hand(&mut self, engine: usize, model: &str) {
         let report = EngineReport {
             at_hand: Some(vec![model.into()]),
@@ -117,7 +117,8 @@
         planner(now, &self.spec, &self.ledger, &self.book, &unusable).ready_in_ms(pace)
     }
 
-    /// Carries out what is planned until nothing is, with engines that accept every order and have not finished.
+    /// Sends planned orders until there are none. The engines accept every order and do not finish
+    /// any.
     fn plan_all(&mut self) -> Vec<Planned> {
         let mut all = Vec::new();
         while let Some(planned) = self.next(NOW) {
@@ -140,7 +141,7 @@
             self.ledger
                 .take_answer(NOW, &engine, &order, OrderAnswer::Accepted, load);
             all.push(planned);
-            assert!(all.len() < 100, "the plan does not end");
+            assert!(all.len() < 100, "the planner did not stop");
         }
         all
     }
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -1,4 +1,4 @@
-//! When callers are told that what they wait for will be ready.
+//! Tests the predictions of when a model or adapter is ready.
 
 use super::*;
 
@@ -45,7 +45,8 @@
     assert!(ready(&site).is_empty());
 }
 
-/// An order without an answer may load from the weight store now or later; it keeps its place there.
+/// An order without an answer may start a load from the weight store now or later, so it counts as
+/// a running load.
 #[test]
 fn a_load_whose_order_got_no_answer_takes_a_place_at_the_weight_store() {
     let mut site = Site::new(spec(40_000.0, &[30_000.0]), &[&[]]);
--- a/src/ordering/tests/published.rs
+++ b/src/ordering/tests/published.rs
@@ -1,4 +1,5 @@
-//! What hosts know of the engines is always one state that the orderer had, whichever relays they heard it through.
+//! A host always knows a state that the orderer once had, whichever relays it received updates
+//! through.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::ledger::EngineChanges;
@@ -47,7 +48,7 @@
     held.collect()
 }
 
-/// Tells an orderer all that the engines hold; none of it stands in a list that the hosts have.
+/// Publishes the state of all engines at an orderer; no engine is as in the list of upstreams.
 fn update(orderer: &mut PublishedEngines, fence: u64, views: Vec<EngineView>) {
     update_listed(orderer, fence, views, |_| false);
 }
@@ -72,7 +73,7 @@
     let taken = seeded(300, |u| {
         let mut fence = 1;
         let mut orderer = PublishedEngines::default();
-        // Two relays and a host that hears through either.
+        // Two relays, and a host that receives updates from either.
         let mut hosts = vec![PublishedEngines::default(); 3];
         let mut states: IndexMap<EnginesVersion, State> = IndexMap::new();
         states.insert(orderer.version(), state(&orderer));
@@ -95,7 +96,8 @@
                 }
                 _ if !under_way.is_empty() => {
                     let (to, news) = under_way.swap_remove(u.choose_index(under_way.len())?);
-                    // News that are late are for an older version than the host has by then.
+                    // A late update may have been made for an older version than the host has by
+                    // now.
                     hosts[to].apply(news);
                     let known = &hosts[to];
                     assert_eq!(Some(&state(known)), states.get(&known.version()));
@@ -126,10 +128,11 @@
     assert!(!news.is_whole);
     let same = orderer.version();
     update(&mut orderer, 1, vec![view(0, "a"), view(1, "b")]);
-    assert_eq!(orderer.version(), same, "nothing changed");
+    assert_eq!(orderer.version(), same, "no engine changed");
 }
 
-/// Guards against telling hosts of every engine what the list of upstreams tells them too.
+/// Regression test: hosts were sent the state of every engine although the list of upstreams
+/// already contains it.
 #[test]
 fn an_engine_is_told_of_from_when_it_holds_other_things_than_its_entry_says() {
     let mut orderer = PublishedEngines::default();
@@ -141,7 +144,7 @@
     let changed = listed().skip(1).chain([view(0, "loaded")]);
     update_listed(&mut orderer, 1, changed.collect(), is_as_listed);
     assert_eq!(orderer.since(known).engines, [view(0, "loaded")]);
-    // Its entry catches up; a host may still have the former one.
+    // The engine's entry in the list catches up, but a host may still have the former entry.
     update_listed(&mut orderer, 1, listed().collect(), is_as_listed);
     assert_eq!(orderer.since((0, 0)).engines, [view(0, "listed")]);
 }
--- a/src/ordering/tests/view.rs
+++ b/src/ordering/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a host believes of engines when the orderer's word and the engines' own differ.
+//! A host handles refusals by engines that contradict the orderer's state.
 
 use super::fake_engine::only_start;
 use crate::entry::platform::ModelAsk;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Answers the pattern of an orderer that is lost while engines change: hosts go by its last word for seconds.
+/// While the orderer is lost, engines change and hosts use its last state for seconds.
 #[test]
 fn an_engine_that_lacks_a_model_is_passed_over_while_the_orderers_word_is_old() {
     let mut view = View::default();
@@ -37,13 +37,15 @@
     view.note_lacking(now, &engine, &ask("m"));
     assert!(view.is_lacking(now + Millis(2_000), &engine, &ask("m")));
     assert!(!view.is_lacking(now + Millis(2_000), &engine, &ask("other")));
-    // It is tried again after some seconds in any case, and as soon as the orderer says something new.
+    // The engine is tried again after some seconds in any case, and as soon as the orderer sends a
+    // new state.
     assert!(!view.is_lacking(now + Millis(5_000), &engine, &ask("m")));
     view.take_engines(word((2, 1), &["m"]));
     assert!(!view.is_lacking(now + Millis(2_000), &engine, &ask("m")));
 }
 
-/// An adapter that is ready a little later than expected is tried again soon while the orderer speaks.
+/// An adapter that is ready slightly later than expected is tried again soon while the orderer is
+/// reachable.
 #[test]
 fn an_engine_that_lacks_a_model_is_tried_again_soon_while_the_orderer_speaks() {
     let mut view = View::default();
--- a/src/ordering/view.rs
+++ b/src/ordering/view.rs
@@ -1,4 +1,4 @@
-//! What the orderer tells every host.
+//! The orderer's state as one host knows it.
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::published::{EnginesNews, EnginesVersion, PublishedEngines};
@@ -6,20 +6,22 @@
 use crate::routing::pick::Work;
 use crate::upstreams::Lifetime;
 
-/// How long an engine is passed over for a model that it said it lacks: about the age of what hosts know.
+/// How long an engine is avoided for a model after it refused a request because it lacks the model.
+/// This is about the age of what hosts know.
 const LACKING_MS: Millis = Millis(150);
-/// For how long while the orderer is silent and its last word is the one that was wrong: the host would else send each
-/// request to the same engine twice and refuse it.
+/// The same while the orderer is silent and the state that proved wrong is its newest. Otherwise
+/// the host would send each request to the same engine twice and refuse it.
 const LACKING_BY_OLD_WORD_MS: Millis = Millis(5_000);
-/// From what age on the orderer's word is old: hosts of a site of some 80 speak with it each second.
+/// The age from which the orderer's state is stale. At a site of some 80 hosts, each exchanges
+/// messages with the orderer once per second.
 const OLD_WORD_MS: Millis = Millis(1_200);
 
-/// What a host knows from the orderer, corrected by refusals of the engines.
+/// The orderer's state as this host received it, corrected by the engines' refusals.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// When the orderer said last what this host knows.
+    /// When the orderer was in the state that this host knows; `None` before the first answer.
     pub answered_at: Option<Millis>,
-    /// How often it answered.
+    /// The number of updates received so far.
     pub answers: u64,
     engines: PublishedEngines,
     work: IndexMap<Name, Work>,
@@ -28,7 +30,8 @@
     lacking: IndexMap<(Name, ModelAsk), Lacking>,
 }
 
-/// When an engine said that it lacks a model, and the version of the word that had it there.
+/// A refusal of an engine that lacks a model, and the version of the engines' state in which it
+/// held the model.
 #[derive(Clone, Copy, Debug)]
 struct Lacking {
     at: Millis,
@@ -36,42 +39,42 @@
 }
 
 impl View {
-    /// Returns the version of what the engines hold; a new orderer's is higher.
+    /// Returns the version of the engines' state. A new orderer's versions are higher.
     pub fn version(&self) -> EnginesVersion {
         self.engines.version()
     }
 
-    /// Takes what the engines hold.
+    /// Applies an update of the engines' state.
     pub fn take_engines(&mut self, news: EnginesNews) {
         self.engines.apply(news);
     }
 
-    /// Returns what the engines hold, for a host that knows a version of it.
+    /// Returns the update of the engines' state for a host that has version `known`.
     pub fn engines_since(&self, known: EnginesVersion) -> EnginesNews {
         self.engines.since(known)
     }
 
-    /// Forgets what a former start of an engine said that it lacks.
+    /// Drops the refusals of an engine that was started again.
     pub fn forget_lacking(&mut self, upstream: &str) {
         self.lacking.retain(|(other, _), _| &**other != upstream);
     }
 
-    /// Takes the other hosts' work at each engine.
+    /// Replaces the request load of other hosts on each engine.
     pub fn take_work(&mut self, work: Vec<(Name, Work)>) {
         self.work = work.into_iter().collect();
     }
 
-    /// Takes the models whose copies are kept apart for long and for short prompts.
+    /// Replaces the models that use separate copies for long and for short prompts.
     pub fn take_separate(&mut self, models: Vec<Name>) {
         self.separate = models.into_iter().collect();
     }
 
-    /// Tells whether the copies of a model are kept apart for long and for short prompts.
+    /// Returns whether a model uses separate copies for long and for short prompts.
     pub fn is_separate(&self, model: &str) -> bool {
         self.separate.contains(model)
     }
 
-    /// Takes when models are expected to be ready.
+    /// Replaces the expected times until models and adapters are ready, as of `now`.
     pub fn take_ready(&mut self, now: Millis, ready_in_ms: Vec<(ModelAsk, Millis)>) {
         self.ready_at = ready_in_ms
             .into_iter()
@@ -79,7 +82,7 @@
             .collect();
     }
 
-    /// Takes note that an engine said it lacks a model.
+    /// Records that an engine refused a request because it lacks the model.
     pub fn note_lacking(&mut self, now: Millis, upstream: &Name, ask: &ModelAsk) {
         self.lacking
             .retain(|_, lacking| now.since(lacking.at) < LACKING_BY_OLD_WORD_MS);
@@ -91,18 +94,19 @@
             .insert((upstream.clone(), ask.clone()), lacking);
     }
 
-    /// Tells whether an engine holds a model, by the orderer's word; nothing when the orderer does not know this start of
-    /// the engine.
+    /// Returns whether an engine holds a model, according to the orderer; `None` if the orderer
+    /// does not know this start of the engine.
     pub fn holds(&self, upstream: &Lifetime, ask: &ModelAsk) -> Option<bool> {
         Some(self.engines.held(upstream)?.contains(ask))
     }
 
-    /// Returns the engines that hold a model by the orderer's word.
+    /// Returns the engines that hold a model, according to the orderer.
     pub fn holders<'a>(&'a self, ask: &'a ModelAsk) -> impl Iterator<Item = &'a Lifetime> {
         self.engines.holders(ask)
     }
 
-    /// Tells whether an engine said that it lacks a model, a moment ago or since a word of the orderer that is old.
+    /// Returns whether an engine recently refused a request because it lacks the model. While the
+    /// orderer's state is stale and has not changed since, the refusal counts for longer.
     pub fn is_lacking(&self, now: Millis, upstream: &Name, ask: &ModelAsk) -> bool {
         let key = (upstream.clone(), ask.clone());
         let Some(lacking) = self.lacking.get(&key) else {
@@ -116,19 +120,19 @@
         age_ms < LACKING_MS || (is_same_word && is_old_word && age_ms < LACKING_BY_OLD_WORD_MS)
     }
 
-    /// Returns the other hosts' work at an engine.
+    /// Returns the request load of other hosts on an engine.
     pub fn work(&self, upstream: &str) -> Work {
         self.work.get(upstream).copied().unwrap_or_default()
     }
 
-    /// Adds the other hosts' work, as the orderer said it.
+    /// Adds the request load of other hosts, as the orderer reported it, to `sum`.
     pub fn add_work(&self, sum: &mut IndexMap<Name, Work>) {
         for (upstream, work) in &self.work {
             *sum.entry(upstream.clone()).or_default() += *work;
         }
     }
 
-    /// Returns how long until models are expected to be ready.
+    /// Returns the expected time until each model or adapter that callers wait for is ready.
     pub fn ready_in_ms(&self, now: Millis) -> Vec<(ModelAsk, Millis)> {
         let ready_at = self.ready_at.iter();
         ready_at
@@ -136,12 +140,12 @@
             .collect()
     }
 
-    /// Returns the models whose copies are kept apart for long and for short prompts.
+    /// Returns the models that use separate copies for long and for short prompts.
     pub fn separate(&self) -> Vec<Name> {
         self.separate.iter().cloned().collect()
     }
 
-    /// Returns when a model is expected to be ready.
+    /// Returns when a model or adapter is expected to be ready; `None` if unknown.
     pub fn ready_at(&self, ask: &ModelAsk) -> Option<Millis> {
         self.ready_at.get(ask).copied()
     }
