--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -5,7 +5,7 @@
 //! without an orderer for seconds.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::census::ServiceCensus;
+use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::message::Action;
 use crate::ordering::planner::{Planned, Planner};
 use crate::prelude::*;
@@ -14,66 +14,67 @@
 /// The most adapters that are prefetched concurrently over all engines. This is half of what the
 /// smallest weight store fetches at full speed, so that adapters that callers wait for are not
 /// slowed.
-const AHEAD_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_PREFETCHES: usize = 4;
 /// Adapter slots of each engine that prefetching leaves free for adapters that callers wait for.
-const PLACES_KEPT_FREE: usize = 1;
+const RESERVED_SLOTS: usize = 1;
 
 /// The number of excluded engines that hold each adapter.
 #[derive(Default)]
-struct UnusedAdapters<'a>(IndexMap<&'a ModelAsk, usize>);
+struct ExcludedAdapters<'a>(IndexMap<&'a ModelAsk, usize>);
 
-impl UnusedAdapters<'_> {
+impl ExcludedAdapters<'_> {
     /// Returns whether an engine that is not excluded has an adapter or is loading it.
-    fn is_held_elsewhere(&self, census: &ServiceCensus, ask: &ModelAsk) -> bool {
-        let unused = self.0.get(ask).copied().unwrap_or_default();
-        census.adapter(ask) > unused
+    fn is_held_elsewhere(&self, index: &ServiceIndex, ask: &ModelAsk) -> bool {
+        let excluded = self.0.get(ask).copied().unwrap_or_default();
+        index.adapter(ask) > excluded
     }
 }
 
 impl Planner<'_> {
     /// Loads an adapter that callers wait for on an engine that holds its model. If all slots are
     /// taken, the least recently requested adapter is unloaded first.
-    pub(super) fn adapter_order(&self, census: &ServiceCensus) -> Option<Planned> {
+    pub(super) fn requested_adapter_order(&self, index: &ServiceIndex) -> Option<Planned> {
         let mut waiting: Vec<_> = self
             .book
             .iter()
-            .filter(|(ask, asked)| ask.adapter.is_some() && asked.waiting > 0)
+            .filter(|(ask, demand)| ask.adapter.is_some() && demand.waiting > 0)
             .collect();
         if waiting.is_empty() {
             return None;
         }
-        let unused = self.unused_adapters();
-        waiting.retain(|(ask, _)| !unused.is_held_elsewhere(census, ask));
-        waiting.sort_by_key(|(_, asked)| std::cmp::Reverse(asked.waiting));
+        let excluded = self.excluded_adapters();
+        waiting.retain(|(ask, _)| !excluded.is_held_elsewhere(index, ask));
+        waiting.sort_by_key(|(_, demand)| std::cmp::Reverse(demand.waiting));
         let separate = self.book.separate(self.now);
         waiting
             .into_iter()
-            .find_map(|(ask, _)| self.place_adapter(census, ask, &separate))
+            .find_map(|(ask, _)| self.place_adapter(index, ask, &separate))
     }
 
-    fn unused_adapters(&self) -> UnusedAdapters<'_> {
-        let mut unused = UnusedAdapters::default();
+    /// Counts the adapters on the excluded engines.
+    fn excluded_adapters(&self) -> ExcludedAdapters<'_> {
+        let mut excluded = ExcludedAdapters::default();
         for ask in self
-            .unused_engines()
+            .excluded_engines()
             .flat_map(|engine| engine.adapters.keys())
         {
-            *unused.0.entry(ask).or_default() += 1;
+            *excluded.0.entry(ask).or_default() += 1;
         }
-        unused
+        excluded
     }
 
     /// Chooses the engine for one adapter. `separate` are the models that use separate copies for
     /// long and for short prompts.
     fn place_adapter(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         ask: &ModelAsk,
         separate: &[Name],
     ) -> Option<Planned> {
         let spec = self.spec.models.get(&ask.model)?;
-        let places = self.spec.adapter_slots as usize;
+        let slots = self.spec.adapter_slots as usize;
         let holders = || {
-            self.holders(census, &ask.model)
+            self.holders(index, &ask.model)
                 .filter(|engine| engine.holds_model(&ask.model))
         };
         let holding = || holders().filter(|engine| engine.is_free(self.now));
@@ -81,12 +82,12 @@
             true => short_copies(&ask.model, holders().map(|engine| &engine.id)),
             false => Vec::new(),
         };
-        let with_place = holding()
-            .filter(|engine| engine.adapter_places(self.now) < places)
+        let with_free_slot = holding()
+            .filter(|engine| engine.used_adapter_slots(self.now) < slots)
             .filter(|engine| self.has_room(engine, spec.adapter_mb))
             // Most requests for adapters have short prompts.
             .min_by_key(|engine| (!for_short.contains(&&engine.id), engine.adapters.len()));
-        if let Some(engine) = with_place {
+        if let Some(engine) = with_free_slot {
             return Some(Planned {
                 engine: engine.id.clone(),
                 action: Action::Load,
@@ -95,21 +96,22 @@
                 why: "callers wait for the adapter",
             });
         }
-        let victims = holding().filter_map(|engine| {
-            let unused = engine
+        let candidates = holding().filter_map(|engine| {
+            let idle = engine
                 .adapters
                 .iter()
                 .filter(|(_, ready_at)| **ready_at != Millis::NEVER);
-            let unused = unused.map(|(other, _)| (other, self.book.asked(other)));
-            let unused = unused.filter(|(_, asked)| asked.running == 0 && asked.waiting == 0);
-            let oldest = unused.min_by_key(|(_, asked)| asked.last_at)?;
-            Some((oldest.1.last_at, engine, oldest.0))
+            let idle = idle.map(|(other, _)| (other, self.book.demand_for(other)));
+            let idle = idle.filter(|(_, demand)| demand.running == 0 && demand.waiting == 0);
+            let least_recent = idle.min_by_key(|(_, demand)| demand.last_request_at)?;
+            Some((least_recent.1.last_request_at, engine, least_recent.0))
         });
-        let (_, engine, victim) = victims.min_by_key(|(last_at, ..)| *last_at)?;
+        let (_, engine, least_recent) =
+            candidates.min_by_key(|(last_request_at, ..)| *last_request_at)?;
         Some(Planned {
             engine: engine.id.clone(),
             action: Action::Unload,
-            ask: victim.clone(),
+            ask: least_recent.clone(),
             makes_way_for: None,
             why: "another adapter needs its place",
         })
@@ -118,7 +120,7 @@
     /// Loads adapters that no engine holds into free slots before they are requested, the most
     /// requested ones first. An adapter that is loaded can be used without an orderer, which a site
     /// may lack for seconds.
-    pub(super) fn adapter_ahead(&self, census: &ServiceCensus) -> Option<Planned> {
+    pub(super) fn prefetch_order(&self, index: &ServiceIndex) -> Option<Planned> {
         let models = self.spec.models.iter();
         let missing = models.flat_map(|(model, spec)| {
             spec.adapters.iter().map(|adapter| ModelAsk {
@@ -126,34 +128,35 @@
                 adapter: Some(adapter.clone()),
             })
         });
-        let unused = self.unused_adapters();
+        let excluded = self.excluded_adapters();
         let mut missing: Vec<(f64, ModelAsk)> = missing
-            .filter(|ask| !unused.is_held_elsewhere(census, ask))
-            .map(|ask| (self.book.asked(&ask).per_s(self.now), ask))
+            .filter(|ask| !excluded.is_held_elsewhere(index, ask))
+            .map(|ask| (self.book.demand_for(&ask).requests_per_s(self.now), ask))
             .collect();
         if missing.is_empty() {
             return None;
         }
-        let unsettled = self.ledger.unsettled();
-        let unsettled = unsettled.filter(|engine| self.is_used(engine));
-        let adapters = unsettled.flat_map(|engine| engine.adapters.values());
-        let on_their_way = adapters.filter(|ready_at| **ready_at > self.now);
-        if on_their_way.count() >= AHEAD_AT_ONCE {
+        let recently_changed = self.ledger.recently_changed();
+        let recently_changed = recently_changed.filter(|engine| self.is_eligible(engine));
+        let adapters = recently_changed.flat_map(|engine| engine.adapters.values());
+        let loading = adapters.filter(|ready_at| **ready_at > self.now);
+        if loading.count() >= MAX_CONCURRENT_PREFETCHES {
             return None;
         }
         missing.sort_by(|(a, _), (b, _)| b.total_cmp(a));
         missing
             .into_iter()
-            .find_map(|(_, ask)| self.place_ahead(census, ask))
+            .find_map(|(_, ask)| self.place_prefetch(index, ask))
     }
 
-    fn place_ahead(&self, census: &ServiceCensus, ask: ModelAsk) -> Option<Planned> {
+    /// Chooses the engine that prefetches one adapter.
+    fn place_prefetch(&self, index: &ServiceIndex, ask: ModelAsk) -> Option<Planned> {
         let adapter_mb = self.spec.models.get(&ask.model)?.adapter_mb;
-        let places = (self.spec.adapter_slots as usize).saturating_sub(PLACES_KEPT_FREE);
+        let slots = (self.spec.adapter_slots as usize).saturating_sub(RESERVED_SLOTS);
         let engine = self
-            .holders(census, &ask.model)
+            .holders(index, &ask.model)
             .filter(|engine| engine.is_free(self.now) && engine.holds_model(&ask.model))
-            .filter(|engine| engine.adapter_places(self.now) < places)
+            .filter(|engine| engine.used_adapter_slots(self.now) < slots)
             .filter(|engine| self.has_room(engine, adapter_mb))
             .min_by_key(|engine| engine.adapters.len())?;
         Some(Planned {
--- a/src/ordering/book.rs
+++ b/src/ordering/book.rs
@@ -8,68 +8,68 @@
 use crate::routing::roles::has_both_kinds;
 
 /// The half-life of the request rates. It is short because busy models change every few seconds.
-const HALF_LIFE_MS: f64 = 5_000.0;
+const RATE_HALF_LIFE_MS: f64 = 5_000.0;
 /// How long a model without requests is remembered. The time of its last request decides what is
 /// unloaded first.
-const REMEMBER_MS: Millis = Millis(120_000);
+const RETENTION_MS: Millis = Millis(120_000);
 
 /// The demand for one model or adapter over all hosts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
+pub struct TargetDemand {
     /// Requests that currently wait for it.
     pub waiting: u32,
     /// Requests that are currently running.
     pub running: u32,
     /// The time of the last request.
-    pub last_at: Option<Millis>,
-    asked: f64,
-    long: f64,
+    pub last_request_at: Option<Millis>,
+    requests: f64,
+    long_requests: f64,
     tokens: f64,
     updated_at: Millis,
 }
 
-impl Asked {
+impl TargetDemand {
     /// Returns the recent requests per second.
-    pub fn per_s(&self, now: Millis) -> f64 {
-        per_s(self.asked * self.decay(now))
+    pub fn requests_per_s(&self, now: Millis) -> f64 {
+        rate_per_s(self.requests * self.decay(now))
     }
 
     /// Returns the recent prompt tokens per second.
     pub fn tokens_per_s(&self, now: Millis) -> f64 {
-        per_s(self.tokens * self.decay(now))
+        rate_per_s(self.tokens * self.decay(now))
     }
 
     /// Returns the recent requests per second that have long prompts.
-    pub fn long_per_s(&self, now: Millis) -> f64 {
-        per_s(self.long * self.decay(now))
+    pub fn long_requests_per_s(&self, now: Millis) -> f64 {
+        rate_per_s(self.long_requests * self.decay(now))
     }
 
     fn decay(&self, now: Millis) -> f64 {
-        0.5f64.powf(now.since(self.updated_at).0 as f64 / HALF_LIFE_MS)
+        0.5f64.powf(now.since(self.updated_at).0 as f64 / RATE_HALF_LIFE_MS)
     }
 
     fn add(&mut self, now: Millis, count: &AskCount) {
         let decay = self.decay(now);
-        self.asked = self.asked * decay + f64::from(count.asked);
-        self.long = self.long * decay + f64::from(count.long);
+        self.requests = self.requests * decay + f64::from(count.asked);
+        self.long_requests = self.long_requests * decay + f64::from(count.long);
         self.tokens = self.tokens * decay + count.tokens as f64;
         self.updated_at = now;
         if count.asked > 0 || count.waiting > 0 {
-            self.last_at = Some(now);
+            self.last_request_at = Some(now);
         }
     }
 }
 
 /// Converts an exponentially decayed count to a rate per second. The mean age of the counted events
 /// is the half-life divided by ln 2.
-fn per_s(decayed: f64) -> f64 {
-    decayed * std::f64::consts::LN_2 * 1_000.0 / HALF_LIFE_MS
+fn rate_per_s(decayed: f64) -> f64 {
+    decayed * std::f64::consts::LN_2 * 1_000.0 / RATE_HALF_LIFE_MS
 }
 
 /// The demand of all hosts, by model and adapter.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    asked: IndexMap<ModelAsk, Asked>,
+    demands: IndexMap<ModelAsk, TargetDemand>,
     hosts: HostReports,
 }
 
@@ -77,56 +77,59 @@
     /// Adds one host's report. `host` is the incarnation of its process.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
-            self.asked.entry(ask.clone()).or_default().add(now, count);
+            self.demands.entry(ask.clone()).or_default().add(now, count);
         }
-        self.hosts.take(now, host, report);
-        self.add_up(now);
+        self.hosts.record(now, host, report);
+        self.update_current(now);
     }
 
     /// Drops hosts that stopped reporting and models without recent requests.
     pub fn expire(&mut self, now: Millis) {
-        self.add_up(now);
-        self.asked.retain(|_, asked| {
-            asked
-                .last_at
-                .is_some_and(|last_at| now.since(last_at) < REMEMBER_MS)
+        self.update_current(now);
+        self.demands.retain(|_, demand| {
+            demand
+                .last_request_at
+                .is_some_and(|last_request_at| now.since(last_request_at) < RETENTION_MS)
         });
     }
 
     /// Returns the demand for a model or adapter; zero if there is none.
-    pub fn asked(&self, ask: &ModelAsk) -> Asked {
-        self.asked.get(ask).copied().unwrap_or_default()
+    pub fn demand_for(&self, ask: &ModelAsk) -> TargetDemand {
+        self.demands.get(ask).copied().unwrap_or_default()
     }
 
     /// Returns whether there was any request within the last `within_ms`.
-    pub fn is_asked_of_late(&self, now: Millis, within_ms: Millis) -> bool {
-        let mut last = self.asked.values().filter_map(|asked| asked.last_at);
+    pub fn had_requests_within(&self, now: Millis, within_ms: Millis) -> bool {
+        let mut last = self
+            .demands
+            .values()
+            .filter_map(|demand| demand.last_request_at);
         last.any(|at| now.since(at) < within_ms)
     }
 
     /// Returns the demand for each model and adapter that had requests.
-    pub fn iter(&self) -> impl Iterator<Item = (&ModelAsk, &Asked)> {
-        self.asked.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&ModelAsk, &TargetDemand)> {
+        self.demands.iter()
     }
 
     /// Returns the demand for each model, with that for its adapters included.
-    pub fn models(&self, now: Millis) -> IndexMap<&Name, ModelDemand> {
+    pub fn model_demands(&self, now: Millis) -> IndexMap<&Name, ModelDemand> {
         let mut models: IndexMap<&Name, ModelDemand> = IndexMap::new();
-        for (ask, asked) in &self.asked {
-            let demand = models.entry(&ask.model).or_default();
-            demand.waiting += asked.waiting;
-            demand.running += asked.running;
-            demand.per_s += asked.per_s(now);
-            demand.long_per_s += asked.long_per_s(now);
-            demand.tokens_per_s += asked.tokens_per_s(now);
-            demand.last_at = demand.last_at.max(asked.last_at);
+        for (ask, demand) in &self.demands {
+            let total = models.entry(&ask.model).or_default();
+            total.waiting += demand.waiting;
+            total.running += demand.running;
+            total.requests_per_s += demand.requests_per_s(now);
+            total.long_requests_per_s += demand.long_requests_per_s(now);
+            total.tokens_per_s += demand.tokens_per_s(now);
+            total.last_request_at = total.last_request_at.max(demand.last_request_at);
         }
         models
     }
 
     /// Returns the models that use separate copies for long and for short prompts.
     pub fn separate(&self, now: Millis) -> Vec<Name> {
-        let models = self.models(now).into_iter();
+        let models = self.model_demands(now).into_iter();
         let separate = models.filter(|(_, demand)| demand.has_both_kinds());
         separate.map(|(model, _)| model.clone()).collect()
     }
@@ -145,23 +148,23 @@
 
     /// Returns how many hosts reported recently, including those that report through a relay.
     pub fn heard(&self) -> usize {
-        self.hosts.heard()
+        self.hosts.live_hosts()
     }
 
     /// Returns how many hosts reported recently to this host directly.
     pub fn hosts(&self) -> usize {
-        self.hosts.count()
+        self.hosts.reporting_hosts()
     }
 
-    fn add_up(&mut self, now: Millis) {
+    fn update_current(&mut self, now: Millis) {
         self.hosts.expire(now);
-        for asked in self.asked.values_mut() {
-            (asked.waiting, asked.running) = (0, 0);
+        for demand in self.demands.values_mut() {
+            (demand.waiting, demand.running) = (0, 0);
         }
-        for (ask, count) in self.hosts.present() {
-            if let Some(asked) = self.asked.get_mut(ask) {
-                asked.waiting += count.waiting;
-                asked.running += count.running;
+        for (ask, count) in self.hosts.current() {
+            if let Some(demand) = self.demands.get_mut(ask) {
+                demand.waiting += count.waiting;
+                demand.running += count.running;
             }
         }
     }
@@ -175,18 +178,21 @@
     /// Requests that are currently running.
     pub running: u32,
     /// Recent requests per second.
-    pub per_s: f64,
-    /// The part of `per_s` that has long prompts.
-    pub long_per_s: f64,
+    pub requests_per_s: f64,
+    /// The part of `requests_per_s` that has long prompts.
+    pub long_requests_per_s: f64,
     /// Recent prompt tokens per second.
     pub tokens_per_s: f64,
     /// The time of the last request.
-    pub last_at: Option<Millis>,
+    pub last_request_at: Option<Millis>,
 }
 
 impl ModelDemand {
     /// Returns whether the model gets enough long and enough short prompts to use separate copies.
     pub fn has_both_kinds(&self) -> bool {
-        has_both_kinds(self.long_per_s, self.per_s - self.long_per_s)
+        has_both_kinds(
+            self.long_requests_per_s,
+            self.requests_per_s - self.long_requests_per_s,
+        )
     }
 }
--- a/src/ordering/copy.rs
+++ b/src/ordering/copy.rs
@@ -7,7 +7,7 @@
 
 /// The state of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Copy {
+pub enum ModelCopy {
     /// The copy can run requests.
     Held,
     /// The copy is being loaded.
@@ -26,9 +26,9 @@
     Unloading,
 }
 
-impl Copy {
+impl ModelCopy {
     /// Returns whether the copy is being loaded from the weight store.
-    pub fn is_from_store(&self) -> bool {
+    pub fn is_loading_from_store(&self) -> bool {
         matches!(
             self,
             Self::Loading {
@@ -39,7 +39,7 @@
     }
 
     /// Returns the progress of the load of `model`; `None` if the copy is not being loaded.
-    pub(super) fn as_load(&self, now: Millis, model: &Name) -> Option<Loaded> {
+    pub(super) fn progress(&self, now: Millis, model: &Name) -> Option<Loaded> {
         match *self {
             Self::Loading {
                 since,
@@ -59,7 +59,7 @@
     /// Returns whether the copy can presumably run requests. A load from the engine's own disk
     /// takes the stated time, and the report of its end lags by some hundred milliseconds. An
     /// engine that is not ready yet refuses the request.
-    pub fn should_run(&self, now: Millis) -> bool {
+    pub fn should_be_ready(&self, now: Millis) -> bool {
         match self {
             Self::Held => true,
             Self::Loading {
--- a/src/ordering/demand.rs
+++ b/src/ordering/demand.rs
@@ -5,7 +5,7 @@
 
 /// The most models and adapters that a host counts between two messages to the orderer. Requests
 /// that wait for one that was left out are counted in a later message.
-pub const MAX_ASKS: usize = 4_096;
+pub const MAX_COUNTED_MODELS: usize = 4_096;
 
 /// The requests for one model or adapter at one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,14 +24,14 @@
 
 impl AskCount {
     /// Adds the requests that another count received since its last message.
-    pub fn add_asked(&mut self, other: &Self) {
+    pub fn add_arrivals(&mut self, other: &Self) {
         self.asked += other.asked;
         self.long += other.long;
         self.tokens += other.tokens;
     }
 
     /// Adds the requests of another count that wait or are running.
-    pub fn add_present(&mut self, other: &Self) {
+    pub fn add_current(&mut self, other: &Self) {
         self.waiting += other.waiting;
         self.running += other.running;
     }
@@ -45,9 +45,9 @@
 
 impl Demand {
     /// Returns the counts of a model or adapter for an update; `None` if the host already counts
-    /// [`MAX_ASKS`] others.
+    /// [`MAX_COUNTED_MODELS`] others.
     pub fn count(&mut self, ask: &ModelAsk) -> Option<&mut AskCount> {
-        if self.counts.len() >= MAX_ASKS && !self.counts.contains_key(ask) {
+        if self.counts.len() >= MAX_COUNTED_MODELS && !self.counts.contains_key(ask) {
             return None;
         }
         Some(self.counts.entry(ask.clone()).or_default())
--- a/src/ordering/engine.rs
+++ b/src/ordering/engine.rs
@@ -3,32 +3,32 @@
 
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
-use crate::ordering::copy::{Copy, Loaded};
+use crate::ordering::copy::{Loaded, ModelCopy};
 use crate::ordering::message::{Action, EngineReport, Order};
 use crate::ordering::published::EngineView;
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime};
 
 /// The interval at which an engine's report is read while the outcome of an order is awaited.
-pub(super) const BUSY_REPORT_MS: Millis = Millis(250);
+pub(super) const BUSY_REPORT_INTERVAL_MS: Millis = Millis(250);
 /// The back-off of an engine after an order that was not answered or not sent, and the wait for the
 /// next report after a failed one.
-pub(super) const REST_MS: Millis = Millis(400);
+pub(super) const BACKOFF_MS: Millis = Millis(400);
 /// How long after a restart an unanswered order to the engine's previous start may still be carried
 /// out. The platform's stated delay is in the order of seconds.
-const VOID_ORDER_MS: Millis = Millis(10_000);
+const STALE_ORDER_MS: Millis = Millis(10_000);
 /// The largest age of the state that a report shows. Reports lag by some hundred milliseconds.
-const REPORT_LAG_AT_MOST_MS: Millis = Millis(2_000);
+const MAX_REPORT_LAG_MS: Millis = Millis(2_000);
 
 /// An order whose outcome is not known yet.
 #[derive(Clone, Debug)]
-pub struct Pending {
+pub struct PendingOrder {
     /// The order.
     pub order: Order,
     /// Whether a call that sends it is running.
-    pub in_call: bool,
+    pub is_sending: bool,
     /// Whether a call got no answer, so that the order may still take effect later.
-    pub is_uncertain: bool,
+    pub may_take_effect: bool,
 }
 
 /// The state of one engine.
@@ -42,33 +42,38 @@
     /// The service that the engine belongs to.
     pub service: Name,
     /// The models on the engine, including those that are being loaded or unloaded.
-    pub copies: IndexMap<Name, Copy>,
+    pub copies: IndexMap<Name, ModelCopy>,
     /// The adapters on the engine, with the time from which each can run; [`Millis::NEVER`] if the
     /// order that loads it is not answered.
     pub adapters: IndexMap<ModelAsk, Millis>,
     /// When this host's orders finished loading models.
     pub loaded_at: IndexMap<Name, Millis>,
     /// Models whose weights the engine has cached in memory or on disk.
-    pub at_hand: IndexSet<Name>,
+    pub cached_models: IndexSet<Name>,
     /// The order whose outcome is not known yet.
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingOrder>,
     /// An unanswered order to the engine's previous start, and until when it may arrive. The
     /// restarted engine carries it out if it has accepted the matching number of orders by then.
-    pub(super) void: Option<(Order, Millis)>,
+    pub(super) stale_order: Option<(Order, Millis)>,
     /// The model that memory is being freed for, and until when that memory is reserved.
-    pub(super) intended: Option<(Name, Millis)>,
+    pub(super) reserved_for: Option<(Name, Millis)>,
     /// Whether a report was read since this host became the orderer.
     pub is_known: bool,
     /// Whether a call for the report is running.
-    pub in_report: bool,
+    pub is_reading_report: bool,
+    /// The number of orders that the engine has accepted since its start.
     pub(super) order_count: u64,
     /// Since when reports show a lower order count than is known here.
     lower_count_since: Option<Millis>,
-    pub(super) is_doubtful: bool,
-    pub(super) unloaded_at: Option<Millis>,
-    pub(super) rests_until: Millis,
+    /// Whether the state is uncertain after a refused order, until a report is read.
+    pub(super) needs_report: bool,
+    /// When the current unload of a model should be done.
+    pub(super) unload_done_at: Option<Millis>,
+    /// Until when the engine gets no order.
+    pub(super) backoff_until: Millis,
     /// When the report is to be read next.
-    pub report_at: Millis,
+    pub next_report_at: Millis,
+    /// Whether the engine was last known or assumed to be carrying out an order.
     pub(super) was_busy: bool,
 }
 
@@ -81,18 +86,18 @@
             copies: IndexMap::new(),
             adapters: IndexMap::new(),
             loaded_at: IndexMap::new(),
-            at_hand: IndexSet::new(),
+            cached_models: IndexSet::new(),
             pending: None,
-            void: None,
-            intended: None,
+            stale_order: None,
+            reserved_for: None,
             is_known: false,
-            in_report: false,
+            is_reading_report: false,
             order_count: 0,
             lower_count_since: None,
-            is_doubtful: false,
-            unloaded_at: None,
-            rests_until: Millis::ZERO,
-            report_at: Millis::ZERO,
+            needs_report: false,
+            unload_done_at: None,
+            backoff_until: Millis::ZERO,
+            next_report_at: Millis::ZERO,
             was_busy: false,
         }
     }
@@ -100,63 +105,63 @@
     /// Returns whether the engine accepts a new order now.
     pub fn is_free(&self, now: Millis) -> bool {
         self.is_known
-            && !self.is_doubtful
+            && !self.needs_report
             && self.pending.is_none()
             && !self.is_busy()
-            && now >= self.rests_until
+            && now >= self.backoff_until
     }
 
     /// Returns whether the engine is carrying out an order for a whole model.
     pub fn is_busy(&self) -> bool {
-        let changes = |copy: &Copy| !matches!(copy, Copy::Held);
-        self.was_busy || self.copies.values().any(changes)
+        let is_changing = |copy: &ModelCopy| !matches!(copy, ModelCopy::Held);
+        self.was_busy || self.copies.values().any(is_changing)
     }
 
     /// Returns whether an unload should be done by now.
     pub(super) fn is_unload_due(&self, now: Millis) -> bool {
-        self.unloaded_at.is_some_and(|at| now >= at)
+        self.unload_done_at.is_some_and(|at| now >= at)
     }
 
     /// Assumes that an unload is done. If it is not, the engine refuses the next order.
     pub(super) fn assume_unloaded(&mut self) {
-        self.unloaded_at = None;
+        self.unload_done_at = None;
         self.was_busy = false;
-        self.copies.retain(|_, copy| *copy != Copy::Unloading);
+        self.copies.retain(|_, copy| *copy != ModelCopy::Unloading);
     }
 
     /// Returns whether the state that hosts are sent changes with time alone: a load from the
     /// engine's own disk or of an adapter is, or may be, about to finish.
-    pub(super) fn will_change(&self, now: Millis) -> bool {
-        let is_loading = |copy: &Copy| match copy {
-            Copy::Loading {
+    pub(super) fn changes_with_time(&self, now: Millis) -> bool {
+        let is_loading = |copy: &ModelCopy| match copy {
+            ModelCopy::Loading {
                 ready_at,
                 from_store: false,
                 ..
-            } => *ready_at != Millis::NEVER && !copy.should_run(now),
-            Copy::Loading { .. } | Copy::Held | Copy::Unloading => false,
+            } => *ready_at != Millis::NEVER && !copy.should_be_ready(now),
+            ModelCopy::Loading { .. } | ModelCopy::Held | ModelCopy::Unloading => false,
         };
         self.adapters.values().any(|at| *at > now) || self.copies.values().any(is_loading)
     }
 
     /// Returns whether the engine can run requests of a model.
     pub fn holds_model(&self, model: &str) -> bool {
-        matches!(self.copies.get(model), Some(Copy::Held))
+        matches!(self.copies.get(model), Some(ModelCopy::Held))
     }
 
     /// Returns the model that memory is being freed for on this engine.
-    pub fn intended(&self, now: Millis) -> Option<&Name> {
-        let (model, until) = self.intended.as_ref()?;
+    pub fn reserved_for(&self, now: Millis) -> Option<&Name> {
+        let (model, until) = self.reserved_for.as_ref()?;
         (now < *until).then_some(model)
     }
 
     /// Returns whether a model is on the engine, is being loaded, or has memory reserved.
     pub fn will_hold(&self, now: Millis, model: &str) -> bool {
         let copy = self.copies.get(model);
-        let stays = copy.is_some_and(|copy| *copy != Copy::Unloading);
+        let stays = copy.is_some_and(|copy| *copy != ModelCopy::Unloading);
         stays
             || self
-                .intended(now)
-                .is_some_and(|intended| &**intended == model)
+                .reserved_for(now)
+                .is_some_and(|reserved_for| &**reserved_for == model)
     }
 
     /// Returns the memory in use, including models and adapters that are being loaded and those
@@ -169,26 +174,26 @@
         };
         let models: f64 = self.copies.keys().map(|model| mb(model)).sum();
         let adapters: f64 = self.adapters.keys().map(adapter_mb).sum();
-        let void = self.void_load(now).map_or(0.0, |ask| match ask.adapter {
+        let stale_order = self.stale_load(now).map_or(0.0, |ask| match ask.adapter {
             Some(_) => adapter_mb(ask),
             None => mb(&ask.model),
         });
-        models + adapters + void
+        models + adapters + stale_order
     }
 
     /// Returns the model or adapter that an order to the engine's previous start may still load.
-    pub fn void_load(&self, now: Millis) -> Option<&ModelAsk> {
-        let (order, until) = self.void.as_ref()?;
-        let may_bring = order.action == Action::Load && now < *until;
-        may_bring.then_some(&order.ask)
+    pub fn stale_load(&self, now: Millis) -> Option<&ModelAsk> {
+        let (order, until) = self.stale_order.as_ref()?;
+        let may_load = order.action == Action::Load && now < *until;
+        may_load.then_some(&order.ask)
     }
 
     /// Returns the adapter slots in use, including adapters that are being loaded and one that an
     /// order to the previous start may still load.
-    pub fn adapter_places(&self, now: Millis) -> usize {
-        let void = self.void_load(now);
-        let void_places = usize::from(void.is_some_and(|ask| ask.adapter.is_some()));
-        self.adapters.len() + void_places
+    pub fn used_adapter_slots(&self, now: Millis) -> usize {
+        let stale_order = self.stale_load(now);
+        let stale_slots = usize::from(stale_order.is_some_and(|ask| ask.adapter.is_some()));
+        self.adapters.len() + stale_slots
     }
 
     /// Returns the adapters of a model on the engine.
@@ -201,8 +206,8 @@
     pub fn loads_under_way(&self, now: Millis) -> impl Iterator<Item = Loaded> {
         let reported = self.was_busy && self.is_known;
         let copies = self.copies.iter().filter(move |_| reported);
-        let from_store = copies.filter(|(_, copy)| copy.is_from_store());
-        from_store.filter_map(move |(model, copy)| copy.as_load(now, model))
+        let from_store = copies.filter(|(_, copy)| copy.is_loading_from_store());
+        from_store.filter_map(move |(model, copy)| copy.progress(now, model))
     }
 
     /// Returns the engine's name and the start that its state belongs to.
@@ -221,30 +226,30 @@
             ..self.lifetime()
         };
         let pending = self.pending.take().map(|pending| pending.order);
-        let void = pending
-            .map(|order| (order, now + VOID_ORDER_MS))
-            .or(self.void.take());
+        let stale_order = pending
+            .map(|order| (order, now + STALE_ORDER_MS))
+            .or(self.stale_order.take());
         *self = Self {
-            void,
+            stale_order,
             ..Self::new(lifetime, self.service.clone())
         };
     }
 
     /// Returns whether the outcome of an order is awaited.
-    pub fn is_waited_for(&self) -> bool {
-        self.was_busy || self.is_doubtful || self.pending.is_some()
+    pub fn awaits_outcome(&self) -> bool {
+        self.was_busy || self.needs_report || self.pending.is_some()
     }
 
     /// Records that the report could not be read.
-    pub(super) fn note_unreported(&mut self, now: Millis) {
-        self.in_report = false;
-        self.report_at = now + REST_MS;
+    pub(super) fn record_report_failure(&mut self, now: Millis) {
+        self.is_reading_report = false;
+        self.next_report_at = now + BACKOFF_MS;
     }
 
     /// Returns whether a report is outdated: of an earlier start, or from before the last order. A
     /// lower order count that persists for longer than a report can lag means that the engine was
     /// restarted and does not report its start.
-    fn is_old_report(&mut self, now: Millis, report: &EngineReport) -> bool {
+    fn is_outdated(&mut self, now: Millis, report: &EngineReport) -> bool {
         let says_start = report.born_at != Millis::ZERO;
         if says_start && report.born_at < self.born_at {
             return true;
@@ -254,25 +259,25 @@
             return false;
         }
         let since = *self.lower_count_since.get_or_insert(now);
-        now.since(since) < REPORT_LAG_AT_MOST_MS
+        now.since(since) < MAX_REPORT_LAG_MS
     }
 
     /// Updates the engine from its report. An engine updates its order count and its state together
     /// when it accepts an order. So a report with the order count that is known here shows the
     /// effect of all orders, and one with a lower count is outdated. `idle_ms` is the time until
     /// the next report if no order is running.
-    pub(super) fn take_report(
+    pub(super) fn record_report(
         &mut self,
         now: Millis,
         report: EngineReport,
         idle_ms: Millis,
     ) -> Vec<Loaded> {
-        self.in_report = false;
+        self.is_reading_report = false;
         if report.born_at > self.born_at {
             self.begin_lifetime(now, report.born_at);
         }
-        if self.is_old_report(now, &report) {
-            self.report_at = now + BUSY_REPORT_MS;
+        if self.is_outdated(now, &report) {
+            self.next_report_at = now + BUSY_REPORT_INTERVAL_MS;
             return Vec::new();
         }
         if report.order_count < self.order_count {
@@ -280,10 +285,10 @@
         }
         match report.at_hand {
             // An engine evicts the cached weights that it used least recently.
-            Some(at_hand) => self.at_hand = at_hand.into_iter().collect(),
+            Some(at_hand) => self.cached_models = at_hand.into_iter().collect(),
             None => {
                 let held = report.models.iter().map(|held| held.name.clone());
-                self.at_hand.extend(held);
+                self.cached_models.extend(held);
             }
         }
         if report.order_count > self.order_count || !self.is_known {
@@ -291,34 +296,34 @@
         }
         self.order_count = report.order_count;
         self.is_known = true;
-        self.is_doubtful = false;
-        self.unloaded_at = None;
+        self.needs_report = false;
+        self.unload_done_at = None;
         self.was_busy = report.busy;
-        self.report_at = now
-            + match self.is_waited_for() {
-                true => BUSY_REPORT_MS,
+        self.next_report_at = now
+            + match self.awaits_outcome() {
+                true => BUSY_REPORT_INTERVAL_MS,
                 false => idle_ms,
             };
-        let under_way: Vec<(Name, Copy)> = self
+        let unfinished: Vec<(Name, ModelCopy)> = self
             .copies
             .iter()
-            .filter(|(_, copy)| **copy != Copy::Held)
+            .filter(|(_, copy)| **copy != ModelCopy::Held)
             .map(|(model, copy)| (model.clone(), *copy))
             .collect();
-        self.take_models(report.models, report.coming);
+        self.set_models(report.models, report.coming);
         if report.busy {
-            self.copies.extend(under_way);
+            self.copies.extend(unfinished);
             return Vec::new();
         }
         let pending = self.pending.clone();
-        if let Some(pending) = pending.filter(|pending| pending.is_uncertain) {
+        if let Some(pending) = pending.filter(|pending| pending.may_take_effect) {
             self.reserve(&pending.order);
         }
-        let loaded = under_way
+        let loaded = unfinished
             .into_iter()
             .filter(|(model, _)| self.holds_model(model));
         let loaded: Vec<Loaded> = loaded
-            .filter_map(|(model, copy)| copy.as_load(now, &model))
+            .filter_map(|(model, copy)| copy.progress(now, &model))
             .collect();
         for load in &loaded {
             self.loaded_at.insert(load.model.clone(), now);
@@ -326,7 +331,9 @@
         loaded
     }
 
-    fn take_models(&mut self, models: Vec<HeldModel>, coming: Vec<ModelAsk>) {
+    /// Replaces the models and adapters with those of a report. Adapters that were known keep the
+    /// time from which they can run.
+    fn set_models(&mut self, models: Vec<HeldModel>, coming: Vec<ModelAsk>) {
         let former = std::mem::take(&mut self.adapters);
         self.copies.clear();
         for held in models {
@@ -338,7 +345,7 @@
                 let ready_at = former.get(&ask).copied().unwrap_or(Millis::ZERO);
                 self.adapters.insert(ask, ready_at);
             }
-            self.copies.insert(held.name, Copy::Held);
+            self.copies.insert(held.name, ModelCopy::Held);
         }
         for ask in coming {
             let ready_at = former.get(&ask).copied().unwrap_or(Millis::ZERO);
@@ -350,7 +357,7 @@
     pub(super) fn view(&self, now: Millis) -> EngineView {
         let held = self.copies.iter();
         let models = held
-            .filter(|(_, copy)| copy.should_run(now))
+            .filter(|(_, copy)| copy.should_be_ready(now))
             .map(|(model, _)| ModelAsk {
                 model: model.clone(),
                 adapter: None,
--- a/src/ordering/census.rs
+++ b/src/ordering/engine_index.rs
@@ -5,7 +5,7 @@
 //! everything else that it does.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::copy::Copy;
+use crate::ordering::copy::ModelCopy;
 use crate::ordering::engine::Engine;
 use crate::prelude::*;
 
@@ -17,7 +17,7 @@
     /// How many of `engines` hold it now.
     held: usize,
     /// Engines that have its weights cached.
-    at_hand: IndexSet<Name>,
+    cached: IndexSet<Name>,
 }
 
 impl Holders {
@@ -37,33 +37,33 @@
     }
 
     /// Returns the engines that have the weights cached in memory or on disk.
-    pub fn at_hand(&self) -> impl Iterator<Item = &Name> {
-        self.at_hand.iter()
+    pub fn cached(&self) -> impl Iterator<Item = &Name> {
+        self.cached.iter()
     }
 
     fn is_empty(&self) -> bool {
-        self.engines.is_empty() && self.at_hand.is_empty()
+        self.engines.is_empty() && self.cached.is_empty()
     }
 }
 
 /// The index of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ServiceCensus {
+pub struct ServiceIndex {
     engines: usize,
-    unknown: usize,
+    unreported: usize,
     models: IndexMap<Name, Holders>,
     adapters: IndexMap<ModelAsk, usize>,
 }
 
-impl ServiceCensus {
+impl ServiceIndex {
     /// Returns how many engines the service has.
     pub fn engines(&self) -> usize {
         self.engines
     }
 
     /// Returns how many engines have not reported yet.
-    pub fn unknown(&self) -> usize {
-        self.unknown
+    pub fn unreported(&self) -> usize {
+        self.unreported
     }
 
     /// Returns the engines that hold a model or have its weights cached; `None` if there are none.
@@ -78,15 +78,15 @@
 
     fn add(&mut self, engine: &Engine) {
         self.engines += 1;
-        self.unknown += usize::from(!engine.is_known);
-        for (model, copy) in staying(engine) {
+        self.unreported += usize::from(!engine.is_known);
+        for (model, copy) in staying_copies(engine) {
             let holders = self.models.entry(model.clone()).or_default();
             holders.engines.insert(engine.id.clone());
-            holders.held += usize::from(*copy == Copy::Held);
+            holders.held += usize::from(*copy == ModelCopy::Held);
         }
-        for model in &engine.at_hand {
+        for model in &engine.cached_models {
             let holders = self.models.entry(model.clone()).or_default();
-            holders.at_hand.insert(engine.id.clone());
+            holders.cached.insert(engine.id.clone());
         }
         for ask in engine.adapters.keys() {
             *self.adapters.entry(ask.clone()).or_default() += 1;
@@ -94,19 +94,19 @@
     }
 
     /// Removes an engine. `engine` must be in the state in which it was added by
-    /// [`ServiceCensus::add`].
+    /// [`ServiceIndex::add`].
     fn remove(&mut self, engine: &Engine) {
         self.engines -= 1;
-        self.unknown -= usize::from(!engine.is_known);
-        for (model, copy) in staying(engine) {
-            self.change_holders(model, |holders| {
+        self.unreported -= usize::from(!engine.is_known);
+        for (model, copy) in staying_copies(engine) {
+            self.update_holders(model, |holders| {
                 holders.engines.swap_remove(&engine.id);
-                holders.held -= usize::from(*copy == Copy::Held);
+                holders.held -= usize::from(*copy == ModelCopy::Held);
             });
         }
-        for model in &engine.at_hand {
-            self.change_holders(model, |holders| {
-                holders.at_hand.swap_remove(&engine.id);
+        for model in &engine.cached_models {
+            self.update_holders(model, |holders| {
+                holders.cached.swap_remove(&engine.id);
             });
         }
         for ask in engine.adapters.keys() {
@@ -119,11 +119,11 @@
         }
     }
 
-    fn change_holders(&mut self, model: &Name, change: impl FnOnce(&mut Holders)) {
+    fn update_holders(&mut self, model: &Name, update: impl FnOnce(&mut Holders)) {
         let Some(holders) = self.models.get_mut(model) else {
             return;
         };
-        change(holders);
+        update(holders);
         if holders.is_empty() {
             self.models.swap_remove(model);
         }
@@ -132,16 +132,16 @@
 
 /// The index of all services.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Census {
-    services: IndexMap<Name, ServiceCensus>,
+pub struct EngineIndex {
+    services: IndexMap<Name, ServiceIndex>,
     store_loads: usize,
     /// The engines that are loading from the weight store.
     loading: IndexSet<Name>,
 }
 
-impl Census {
+impl EngineIndex {
     /// Returns the index of a service; `None` if it has no engines.
-    pub fn of(&self, service: &str) -> Option<&ServiceCensus> {
+    pub fn service(&self, service: &str) -> Option<&ServiceIndex> {
         self.services.get(service)
     }
 
@@ -181,12 +181,12 @@
 }
 
 /// Returns the copies on an engine that are not being unloaded.
-fn staying(engine: &Engine) -> impl Iterator<Item = (&Name, &Copy)> {
+fn staying_copies(engine: &Engine) -> impl Iterator<Item = (&Name, &ModelCopy)> {
     let copies = engine.copies.iter();
-    copies.filter(|(_, copy)| **copy != Copy::Unloading)
+    copies.filter(|(_, copy)| **copy != ModelCopy::Unloading)
 }
 
 fn store_loads(engine: &Engine) -> usize {
     let copies = engine.copies.values();
-    copies.filter(|copy| copy.is_from_store()).count()
+    copies.filter(|copy| copy.is_loading_from_store()).count()
 }
--- a/src/ordering/engine_orders.rs
+++ b/src/ordering/engine_orders.rs
@@ -1,20 +1,20 @@
 //! Orders to one engine: the memory that they reserve, and the effect of their answers.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::copy::{Copy, LoadTime};
-use crate::ordering::engine::{BUSY_REPORT_MS, Engine, Pending, REST_MS};
-use crate::ordering::ledger::INTENDED_MS;
+use crate::ordering::copy::{LoadTime, ModelCopy};
+use crate::ordering::engine::{BACKOFF_MS, BUSY_REPORT_INTERVAL_MS, Engine, PendingOrder};
+use crate::ordering::ledger::RESERVATION_MS;
 use crate::ordering::message::{Action, Order, OrderAnswer};
 use crate::prelude::*;
 
 /// The time from an adapter's accepted order until the engine runs requests with it, when few
 /// adapters are being loaded. The fetch itself takes 5 to 7 ms.
-const ADAPTER_MS: Millis = Millis(9);
+const ADAPTER_LOAD_MS: Millis = Millis(9);
 /// The duration of an unload of an unused model. The next order is then tried; an engine that is
 /// not done refuses it.
 const UNLOAD_MS: Millis = Millis(130);
 /// How long an engine that refused an order gets no other one, so that its report can be read.
-const REFUSED_REST_MS: Millis = Millis(100);
+const REFUSED_BACKOFF_MS: Millis = Millis(100);
 
 impl Engine {
     /// Creates the order for an action.
@@ -34,18 +34,21 @@
         if order.action == Action::Unload {
             match &order.ask.adapter {
                 Some(_) => drop(self.adapters.shift_remove(&order.ask)),
-                None => drop(self.copies.insert(order.ask.model.clone(), Copy::Unloading)),
+                None => drop(
+                    self.copies
+                        .insert(order.ask.model.clone(), ModelCopy::Unloading),
+                ),
             }
         }
-        self.pending = Some(Pending {
+        self.pending = Some(PendingOrder {
             order: order.clone(),
-            in_call: false,
-            is_uncertain: false,
+            is_sending: false,
+            may_take_effect: false,
         });
     }
 
     /// Updates the engine from the answer to its pending order.
-    pub(super) fn take_answer(
+    pub(super) fn record_answer(
         &mut self,
         now: Millis,
         order: &Order,
@@ -58,10 +61,11 @@
                 self.order_count += u64::from(answer == OrderAnswer::Accepted);
                 // An engine unloads an unused adapter immediately. It answers such an order as
                 // already done, but counts it.
-                let is_quick_unload = order.action == Action::Unload && order.ask.adapter.is_some();
+                let is_adapter_unload =
+                    order.action == Action::Unload && order.ask.adapter.is_some();
                 self.order_count +=
-                    u64::from(answer == OrderAnswer::AlreadyDone && is_quick_unload);
-                self.take_effect(now, order, answer, load);
+                    u64::from(answer == OrderAnswer::AlreadyDone && is_adapter_unload);
+                self.apply(now, order, answer, load);
             }
             OrderAnswer::Conflict | OrderAnswer::Fenced | OrderAnswer::Invalid => {
                 self.pending = None;
@@ -69,52 +73,54 @@
                 if order.action == Action::Load && order.ask.adapter.is_none() {
                     // The unload that should have freed the memory is not done yet; the reservation
                     // stays.
-                    self.intended = Some((order.ask.model.clone(), now + INTENDED_MS));
+                    self.reserved_for = Some((order.ask.model.clone(), now + RESERVATION_MS));
                 }
-                self.is_doubtful = true;
-                self.report_at = now;
-                self.rests_until = now + REFUSED_REST_MS;
+                self.needs_report = true;
+                self.next_report_at = now;
+                self.backoff_until = now + REFUSED_BACKOFF_MS;
             }
             OrderAnswer::Silent => {
                 if let Some(pending) = &mut self.pending {
-                    pending.in_call = false;
-                    pending.is_uncertain = true;
+                    pending.is_sending = false;
+                    pending.may_take_effect = true;
                 }
-                self.report_at = now;
-                self.rests_until = now + REST_MS;
+                self.next_report_at = now;
+                self.backoff_until = now + BACKOFF_MS;
             }
-            OrderAnswer::NotSent => self.take_not_sent(now, order),
+            OrderAnswer::NotSent => self.record_not_sent(now, order),
             // The caller removes the engine.
             OrderAnswer::OtherLifetime => {}
         }
     }
 
-    fn take_not_sent(&mut self, now: Millis, order: &Order) {
+    /// Reverts an order that was not sent, unless an earlier call of it may still take effect.
+    fn record_not_sent(&mut self, now: Millis, order: &Order) {
         match &mut self.pending {
-            Some(pending) if pending.is_uncertain => pending.in_call = false,
+            Some(pending) if pending.may_take_effect => pending.is_sending = false,
             _ => {
                 self.pending = None;
                 self.undo(order);
             }
         }
-        self.rests_until = now + REST_MS;
+        self.backoff_until = now + BACKOFF_MS;
     }
 
-    fn take_effect(&mut self, now: Millis, order: &Order, answer: OrderAnswer, load: LoadTime) {
+    /// Applies the effect of an accepted order, or of one that was already done.
+    fn apply(&mut self, now: Millis, order: &Order, answer: OrderAnswer, load: LoadTime) {
         let is_done = answer == OrderAnswer::AlreadyDone;
         match (order.action, &order.ask.adapter) {
             (Action::Load, Some(_)) => {
-                let ready_at = if is_done { now } else { now + ADAPTER_MS };
+                let ready_at = if is_done { now } else { now + ADAPTER_LOAD_MS };
                 self.adapters.insert(order.ask.clone(), ready_at);
             }
             (Action::Unload, Some(_)) => {
                 self.adapters.shift_remove(&order.ask);
             }
             (Action::Load, None) if is_done => {
-                self.copies.insert(order.ask.model.clone(), Copy::Held);
+                self.copies.insert(order.ask.model.clone(), ModelCopy::Held);
             }
             (Action::Load, None) => {
-                let copy = Copy::Loading {
+                let copy = ModelCopy::Loading {
                     since: now,
                     ready_at: now + load.takes_ms,
                     from_store: load.from_store,
@@ -122,19 +128,20 @@
                 };
                 self.copies.insert(order.ask.model.clone(), copy);
                 self.was_busy = true;
-                self.report_at = now + load.takes_ms;
+                self.next_report_at = now + load.takes_ms;
             }
             (Action::Unload, None) => {
                 self.adapters.retain(|ask, _| ask.model != order.ask.model);
                 match is_done {
                     true => drop(self.copies.shift_remove(&order.ask.model)),
                     false => {
-                        self.copies.insert(order.ask.model.clone(), Copy::Unloading);
+                        self.copies
+                            .insert(order.ask.model.clone(), ModelCopy::Unloading);
                         self.was_busy = true;
-                        self.unloaded_at = Some(now + UNLOAD_MS);
+                        self.unload_done_at = Some(now + UNLOAD_MS);
                     }
                 }
-                self.report_at = now + BUSY_REPORT_MS;
+                self.next_report_at = now + BUSY_REPORT_INTERVAL_MS;
             }
         }
     }
@@ -151,8 +158,8 @@
                 ),
                 None => {
                     let model = order.ask.model.clone();
-                    let from_store = !self.at_hand.contains(&model);
-                    self.copies.entry(model).or_insert(Copy::Loading {
+                    let from_store = !self.cached_models.contains(&model);
+                    self.copies.entry(model).or_insert(ModelCopy::Loading {
                         since: Millis::NEVER,
                         ready_at: Millis::NEVER,
                         from_store,
@@ -178,7 +185,7 @@
                 self.adapters.insert(order.ask.clone(), Millis::ZERO);
             }
             (Action::Unload, None) => {
-                self.copies.insert(order.ask.model.clone(), Copy::Held);
+                self.copies.insert(order.ask.model.clone(), ModelCopy::Held);
             }
         }
     }
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -5,21 +5,21 @@
 //! loads that take longer than stated.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::census::ServiceCensus;
-use crate::ordering::copy::Copy;
+use crate::ordering::copy::ModelCopy;
 use crate::ordering::engine::Engine;
+use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::planner::Planner;
 use crate::prelude::*;
 
 /// The time from the decision to load an adapter until it can run: the order, the fetch and the
 /// notification of hosts.
-const ADAPTER_IN_MS: Millis = Millis(30);
+const ADAPTER_READY_MS: Millis = Millis(30);
 /// An overdue load is expected to take this fraction (one in so many) of its time so far in
 /// addition. A load that waits for others has no predictable end, and callers are told to retry
 /// then.
-const OVERDUE_PART: u64 = 4;
+const OVERDUE_DIVISOR: u64 = 4;
 /// The time until an engine that unloads a model accepts orders again: the unload and its report.
-const UNLOADED_IN_MS: Millis = Millis(550);
+const UNLOAD_AND_REPORT_MS: Millis = Millis(550);
 /// The time after a load from memory or disk until the report shows its end.
 const REPORT_LAG_MS: Millis = Millis(250);
 
@@ -35,77 +35,84 @@
 
 /// Models that callers wait for and that no engine holds or will hold, with the number of waiting
 /// requests.
-type Row<'a> = IndexMap<&'a Name, u32>;
+type LoadQueue<'a> = IndexMap<&'a Name, u32>;
 
 impl Planner<'_> {
     /// Returns the expected time until each model or adapter that callers wait for is ready. Those
     /// without a prediction are left out.
     pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelAsk, Millis)> {
-        let Some(census) = self.ledger.census(self.service) else {
+        let Some(index) = self.ledger.census(self.service) else {
             return Vec::new();
         };
         let waited_for = || {
-            let waiting = self.book.iter().filter(|(_, asked)| asked.waiting > 0);
+            let waiting = self.book.iter().filter(|(_, demand)| demand.waiting > 0);
             waiting.filter(|(ask, _)| self.spec.models.contains_key(&ask.model))
         };
-        let mut row = Row::new();
-        for (ask, asked) in waited_for() {
-            *row.entry(&ask.model).or_default() += asked.waiting;
+        let mut queue = LoadQueue::new();
+        for (ask, demand) in waited_for() {
+            *queue.entry(&ask.model).or_default() += demand.waiting;
         }
-        row.retain(|model, _| !self.will_be_held(census, model));
+        queue.retain(|model, _| !self.will_be_held(index, model));
         waited_for()
-            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(census, ask, pace, &row)?)))
+            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(index, ask, pace, &queue)?)))
             .collect()
     }
 
     /// Returns whether a model is on an engine, is being loaded, or has memory reserved.
-    fn will_be_held(&self, census: &ServiceCensus, model: &str) -> bool {
-        let mut intending = self.ledger.intending(self.now);
-        self.holders(census, model).next().is_some()
-            || intending.any(|(engine, intended)| self.is_used(engine) && &**intended == model)
+    fn will_be_held(&self, index: &ServiceIndex, model: &str) -> bool {
+        let mut reservations = self.ledger.reservations(self.now);
+        self.holders(index, model).next().is_some()
+            || reservations
+                .any(|(engine, reserved_for)| self.is_eligible(engine) && &**reserved_for == model)
     }
 
+    /// Returns how long until a model or adapter is ready; `None` if that is unknown.
     fn ready_in(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         ask: &ModelAsk,
         pace: Pace,
-        row: &Row<'_>,
+        queue: &LoadQueue<'_>,
     ) -> Option<Millis> {
         let at_once = pace.store_loads_at_once;
         let adapter_ms = match &ask.adapter {
-            Some(_) => ADAPTER_IN_MS.max(pace.orders_in_ms),
+            Some(_) => ADAPTER_READY_MS.max(pace.orders_in_ms),
             None => Millis::ZERO,
         };
         let model_in = |engine: &Engine| match engine.copies.get(&ask.model)? {
-            Copy::Held if engine.is_busy() && ask.adapter.is_some() => {
-                Some(self.free_in(engine, at_once))
+            ModelCopy::Held if engine.is_busy() && ask.adapter.is_some() => {
+                Some(self.free_in_ms(engine, at_once))
             }
-            Copy::Held => Some(Millis::ZERO),
-            copy => self.loaded_in(&ask.model, copy, at_once),
+            ModelCopy::Held => Some(Millis::ZERO),
+            copy => self.remaining_load_ms(&ask.model, copy, at_once),
         };
-        let soonest = self.holders(census, &ask.model).filter_map(model_in).min();
+        let soonest = self.holders(index, &ask.model).filter_map(model_in).min();
         let model_ms = match soonest {
             Some(in_ms) => in_ms,
             // An engine that has not reported yet may hold the model.
-            None if self.has_unknown(census) => return None,
-            None => pace.orders_in_ms + self.load_in(census, &ask.model, at_once, row),
+            None if self.has_unreported(index) => return None,
+            None => pace.orders_in_ms + self.new_load_ms(index, &ask.model, at_once, queue),
         };
         Some(model_ms + adapter_ms)
     }
 
     /// Returns whether any engine that is not excluded has not reported yet.
-    fn has_unknown(&self, census: &ServiceCensus) -> bool {
-        let unused = self.unused_engines().filter(|engine| !engine.is_known);
-        census.unknown() > unused.count()
+    fn has_unreported(&self, index: &ServiceIndex) -> bool {
+        let excluded = self.excluded_engines().filter(|engine| !engine.is_known);
+        index.unreported() > excluded.count()
     }
 
     /// Returns the remaining time of a load; `None` if the copy is not being loaded or its order
     /// may not have taken effect. Loads from the weight store beyond the number that it serves at
     /// full speed slow each other in proportion. A load that is overdue nevertheless is expected to
     /// take a quarter of its time so far in addition.
-    fn loaded_in(&self, model: &str, copy: &Copy, store_loads_at_once: usize) -> Option<Millis> {
-        let Copy::Loading {
+    fn remaining_load_ms(
+        &self,
+        model: &str,
+        copy: &ModelCopy,
+        store_loads_at_once: usize,
+    ) -> Option<Millis> {
+        let ModelCopy::Loading {
             since,
             ready_at,
             from_store,
@@ -127,39 +134,39 @@
         };
         let left_ms = match ready_at > self.now {
             true => ready_at - self.now,
-            false => Millis(self.now.since(since).0 / OVERDUE_PART),
+            false => Millis(self.now.since(since).0 / OVERDUE_DIVISOR),
         };
         Some(left_ms + REPORT_LAG_MS)
     }
 
     /// Returns how long until an engine accepts orders again.
-    fn free_in(&self, engine: &Engine, store_loads_at_once: usize) -> Millis {
+    fn free_in_ms(&self, engine: &Engine, store_loads_at_once: usize) -> Millis {
         let ends = engine
             .copies
             .iter()
-            .filter_map(|(model, copy)| self.loaded_in(model, copy, store_loads_at_once));
-        ends.max().unwrap_or(UNLOADED_IN_MS)
+            .filter_map(|(model, copy)| self.remaining_load_ms(model, copy, store_loads_at_once));
+        ends.max().unwrap_or(UNLOAD_AND_REPORT_MS)
     }
 
     /// Returns the time until a load that has not started will be done, including the wait at the
     /// weight store.
-    fn load_in(
+    fn new_load_ms(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         model: &Name,
         store_loads_at_once: usize,
-        row: &Row<'_>,
+        queue: &LoadQueue<'_>,
     ) -> Millis {
         let Some(spec) = self.spec.models.get(model) else {
             return Millis::NEVER;
         };
-        let is_at_hand = self
-            .having_at_hand(census, model)
+        let is_cached = self
+            .engines_caching(index, model)
             .any(|engine| !engine.is_busy());
-        match is_at_hand {
+        match is_cached {
             true => spec.from_disk_ms + REPORT_LAG_MS + REPORT_LAG_MS,
             false => {
-                let turn_ms = self.turn_in(model, spec.load_ms, store_loads_at_once, row);
+                let turn_ms = self.store_wait_ms(model, spec.load_ms, store_loads_at_once, queue);
                 turn_ms + spec.load_ms + REPORT_LAG_MS
             }
         }
@@ -167,30 +174,33 @@
 
     /// Returns how long until a load may start at the weight store: a running load must end, and
     /// models with more waiting requests are loaded first.
-    fn turn_in(
+    fn store_wait_ms(
         &self,
         model: &Name,
         load_ms: Millis,
         store_loads_at_once: usize,
-        row: &Row<'_>,
+        queue: &LoadQueue<'_>,
     ) -> Millis {
         let loading = self.ledger.loading();
         let mut ends: Vec<Millis> = loading
-            .filter(|engine| self.is_used(engine))
+            .filter(|engine| self.is_eligible(engine))
             .flat_map(|engine| engine.copies.iter())
-            .filter(|(_, copy)| copy.is_from_store())
-            .filter_map(|(other, copy)| self.loaded_in(other, copy, store_loads_at_once))
+            .filter(|(_, copy)| copy.is_loading_from_store())
+            .filter_map(|(other, copy)| self.remaining_load_ms(other, copy, store_loads_at_once))
             .collect();
         ends.sort_unstable();
-        let own = row.get(model).copied().unwrap_or_default();
-        let before = row.values().filter(|waiting| **waiting > own).count();
+        let own_waiting = queue.get(model).copied().unwrap_or_default();
+        let ahead = queue
+            .values()
+            .filter(|waiting| **waiting > own_waiting)
+            .count();
         let at_once = store_loads_at_once.max(1);
         let free = at_once.saturating_sub(ends.len());
-        if before < free {
+        if ahead < free {
             return Millis::ZERO;
         }
-        let place = before - free;
+        let position = ahead - free;
         let first_ms = ends.first().copied().unwrap_or(load_ms);
-        first_ms + Millis(load_ms.0 * (place / at_once) as u64)
+        first_ms + Millis(load_ms.0 * (position / at_once) as u64)
     }
 }
--- a/src/ordering/spare.rs
+++ b/src/ordering/free_memory.rs
@@ -2,46 +2,46 @@
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::ceiling::Ceiling;
-use crate::ordering::census::ServiceCensus;
+use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::message::Action;
-use crate::ordering::planner::{Need, Needs, Planned, Planner, RECENT_MS, prompt_speed};
+use crate::ordering::planner::{Need, Needs, Planned, Planner, RECENT_REQUEST_MS, prompt_speed};
 use crate::prelude::*;
 
 /// The fraction of an engine's time that a model's prompts must take on each engine that holds it
 /// before it gets another copy in free memory. Two prompts of some 9,000 tokens that are read in a
 /// row delay the streams on the same engine for half a second. At a twentieth of the time, one
 /// prompt in fifty coincides with another.
-const SPARE_SHARE: f64 = 0.05;
+const EXTRA_COPY_PROMPT_SHARE: f64 = 0.05;
 /// The most missing models that are considered in one call of [`Planner::next`].
-const MOST_MISSING: usize = 64;
+const MAX_MISSING: usize = 64;
 
 impl Planner<'_> {
     /// Loads models that no engine holds into free memory, before they are requested.
-    pub(super) fn spare_order(
+    pub(super) fn fill_free_memory(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
     ) -> Option<Planned> {
         let is_missing = |model: &Name| needs.get(model).is_some_and(|need| need.copies == 0);
         let models = self.spec.models.iter();
         let missing = models.filter(|(model, _)| is_missing(model));
-        let asked = self.book.is_asked_of_late(self.now, RECENT_MS);
-        for (model, spec) in missing.take(MOST_MISSING) {
+        let has_requests = self.book.had_requests_within(self.now, RECENT_REQUEST_MS);
+        for (model, spec) in missing.take(MAX_MISSING) {
             let place = self
-                .candidates(census, model)
+                .candidates(index, model)
                 .filter(|engine| self.has_room(engine, spec.weights_mb))
                 // The engine with the least free memory is used, to keep room for the largest
                 // models.
                 .max_by(|a, b| self.used_mb(a).total_cmp(&self.used_mb(b)));
             let Some(engine) = place else { continue };
-            let is_at_hand = engine.at_hand.contains(model);
-            if !is_at_hand
-                && !ceiling.admits_spare(
+            let is_cached = engine.cached_models.contains(model);
+            if !is_cached
+                && !ceiling.admits_unrequested(
                     self.now,
                     self.spec.loads_per_s,
                     self.ledger.store_loads(),
-                    asked,
+                    has_requests,
                 )
             {
                 return None;
@@ -63,39 +63,45 @@
     /// Gives a busy model another copy where memory is free and its weights are cached. The load
     /// costs one order, and the copy is the first to be unloaded. Prompts that are spread over more
     /// engines coincide less often.
-    pub(super) fn spare_copy(&self, census: &ServiceCensus, needs: &Needs<'_>) -> Option<Planned> {
-        let pressed = needs.values().filter(|need| {
+    pub(super) fn extra_copy_order(
+        &self,
+        index: &ServiceIndex,
+        needs: &Needs<'_>,
+    ) -> Option<Planned> {
+        let busy = needs.values().filter(|need| {
             let spec = self.spec.models.get(need.model);
             let share = spec.map_or(0.0, |spec| need.demand.tokens_per_s / prompt_speed(spec));
-            need.wanted > 0 && need.copies > 0 && share > SPARE_SHARE * need.copies as f64
+            need.target > 0
+                && need.copies > 0
+                && share > EXTRA_COPY_PROMPT_SHARE * need.copies as f64
         });
-        let mut pressed: Vec<&Need<'_>> = pressed.collect();
-        let by_copy = |need: &Need<'_>| need.demand.tokens_per_s / need.copies as f64;
-        pressed.sort_by(|a, b| by_copy(b).total_cmp(&by_copy(a)));
-        pressed
-            .into_iter()
-            .find_map(|need| self.place_spare(census, need, needs))
+        let mut busy: Vec<&Need<'_>> = busy.collect();
+        let tokens_per_copy = |need: &Need<'_>| need.demand.tokens_per_s / need.copies as f64;
+        busy.sort_by(|a, b| tokens_per_copy(b).total_cmp(&tokens_per_copy(a)));
+        busy.into_iter()
+            .find_map(|need| self.place_extra_copy(index, need, needs))
     }
 
-    fn place_spare(
+    /// Chooses the engine for another copy of a busy model.
+    fn place_extra_copy(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         need: &Need<'_>,
         needs: &Needs<'_>,
     ) -> Option<Planned> {
         let spec = self.spec.models.get(need.model)?;
-        let per_copy = need.demand.tokens_per_s / need.copies as f64;
+        let tokens_per_copy = need.demand.tokens_per_s / need.copies as f64;
         let places = self
-            .having_at_hand(census, need.model)
-            .filter(|engine| self.is_open(engine))
+            .engines_caching(index, need.model)
+            .filter(|engine| self.is_available(engine))
             .filter(|engine| !engine.copies.contains_key(need.model))
             .filter(|engine| self.has_room(engine, spec.weights_mb))
             .map(|engine| {
-                let beside = self.demand_at(engine, needs);
-                (beside + self.blocked_adapters(engine), engine)
+                let prompt_demand = self.prompt_demand_at(engine, needs);
+                (prompt_demand + self.blocked_adapters_cost(engine), engine)
             })
             // An engine that already reads as many prompt tokens takes no work off the others.
-            .filter(|(cost, _)| *cost < per_copy);
+            .filter(|(cost, _)| *cost < tokens_per_copy);
         let (_, engine) = places.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
         Some(Planned {
             engine: engine.id.clone(),
--- a/src/ordering/gather.rs
+++ b/src/ordering/gather.rs
@@ -1,7 +1,7 @@
 //! Aggregates, on a relay, the reports of the hosts that it relays for.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::demand::{AskCount, MAX_ASKS};
+use crate::ordering::demand::{AskCount, MAX_COUNTED_MODELS};
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Gather {
     /// Requests since the relay's last message to the orderer.
-    asked: IndexMap<ModelAsk, AskCount>,
+    counts: IndexMap<ModelAsk, AskCount>,
     hosts: HostReports,
 }
 
@@ -18,12 +18,12 @@
     /// Adds one host's report. `host` is the incarnation of its process.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
-            if self.asked.len() < MAX_ASKS || self.asked.contains_key(ask) {
-                let sum = self.asked.entry(ask.clone()).or_default();
-                sum.add_asked(count);
+            if self.counts.len() < MAX_COUNTED_MODELS || self.counts.contains_key(ask) {
+                let sum = self.counts.entry(ask.clone()).or_default();
+                sum.add_arrivals(count);
             }
         }
-        self.hosts.take(now, host, report);
+        self.hosts.record(now, host, report);
     }
 
     /// Returns the demand of the hosts together with the relay's own, and starts the next interval.
@@ -33,25 +33,25 @@
         own: Vec<(ModelAsk, AskCount)>,
     ) -> Vec<(ModelAsk, AskCount)> {
         self.hosts.expire(now);
-        let mut sum = std::mem::take(&mut self.asked);
+        let mut sum = std::mem::take(&mut self.counts);
         for (ask, count) in own {
             let entry = sum.entry(ask).or_default();
-            entry.add_asked(&count);
-            entry.add_present(&count);
+            entry.add_arrivals(&count);
+            entry.add_current(&count);
         }
-        for (ask, count) in self.hosts.present() {
-            sum.entry(ask.clone()).or_default().add_present(count);
+        for (ask, count) in self.hosts.current() {
+            sum.entry(ask.clone()).or_default().add_current(count);
         }
         sum.into_iter().collect()
     }
 
     /// Returns how many hosts reported recently through this relay.
     pub fn heard(&self) -> usize {
-        self.hosts.heard()
+        self.hosts.live_hosts()
     }
 
-    /// Adds the request load of all hosts to `sum`, except that of host `but`.
-    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
-        self.hosts.add_work(but, sum);
+    /// Adds the request load of all hosts to `sum`, except that of host `except`.
+    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+        self.hosts.add_work(except, sum);
     }
 }
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -7,7 +7,7 @@
 
 /// How long the counts of a host that stopped reporting are used. This is six times the interval of
 /// the reports.
-const HOST_MS: Millis = Millis(1_500);
+const HOST_TIMEOUT_MS: Millis = Millis(1_500);
 /// The most hosts whose reports are kept. It exceeds the size of the largest planned site, of which
 /// only a few hosts report to the same one.
 const MAX_HOSTS: usize = 1_024;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct HostReport {
     /// How many other hosts report through this one, if it is a relay.
-    pub through: u32,
+    pub relayed_hosts: u32,
     /// Requests since the host's last report, and those that wait or are running.
     pub demand: Vec<(ModelAsk, AskCount)>,
     /// The host's own request load on each engine.
@@ -25,34 +25,34 @@
 
 /// The parts of a host's last report that are kept.
 #[derive(Clone, Debug, Default)]
-struct Kept {
-    at: Millis,
-    through: u32,
+struct KeptReport {
+    received_at: Millis,
+    relayed_hosts: u32,
     /// Requests that wait or are running, by model and adapter.
-    present: Vec<(ModelAsk, AskCount)>,
+    current: Vec<(ModelAsk, AskCount)>,
     work: IndexMap<Name, Work>,
 }
 
 /// The last reports, by the incarnation of the host's process.
 #[derive(Clone, Debug, Default)]
 pub struct HostReports {
-    hosts: IndexMap<u64, Kept>,
+    hosts: IndexMap<u64, KeptReport>,
 }
 
 impl HostReports {
     /// Stores one host's report. Returns false, without storing it, if [`MAX_HOSTS`] other hosts
     /// report to this one.
-    pub fn take(&mut self, now: Millis, host: u64, report: HostReport) -> bool {
+    pub fn record(&mut self, now: Millis, host: u64, report: HostReport) -> bool {
         self.expire(now);
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&host) {
             return false;
         }
-        let is_present = |count: &AskCount| count.waiting > 0 || count.running > 0;
+        let is_current = |count: &AskCount| count.waiting > 0 || count.running > 0;
         let demand = report.demand.into_iter();
-        let kept = Kept {
-            at: now,
-            through: report.through,
-            present: demand.filter(|(_, count)| is_present(count)).collect(),
+        let kept = KeptReport {
+            received_at: now,
+            relayed_hosts: report.relayed_hosts,
+            current: demand.filter(|(_, count)| is_current(count)).collect(),
             work: report.work.into_iter().collect(),
         };
         self.hosts.insert(host, kept);
@@ -60,25 +60,28 @@
     }
 
     /// Returns how many hosts reported recently, including those that report through a relay.
-    pub fn heard(&self) -> usize {
-        let through = self.hosts.values().map(|report| report.through as usize);
-        self.hosts.len() + through.sum::<usize>()
+    pub fn live_hosts(&self) -> usize {
+        let relayed = self
+            .hosts
+            .values()
+            .map(|report| report.relayed_hosts as usize);
+        self.hosts.len() + relayed.sum::<usize>()
     }
 
     /// Drops the reports of hosts that stopped reporting.
     pub fn expire(&mut self, now: Millis) {
         self.hosts
-            .retain(|_, report| now.since(report.at) < HOST_MS);
+            .retain(|_, report| now.since(report.received_at) < HOST_TIMEOUT_MS);
     }
 
     /// Returns the requests of all hosts that wait or are running.
-    pub fn present(&self) -> impl Iterator<Item = &(ModelAsk, AskCount)> {
-        self.hosts.values().flat_map(|report| &report.present)
+    pub fn current(&self) -> impl Iterator<Item = &(ModelAsk, AskCount)> {
+        self.hosts.values().flat_map(|report| &report.current)
     }
 
-    /// Adds the request load of all hosts to `sum`, except that of host `but`.
-    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
-        let others = self.hosts.iter().filter(|(host, _)| Some(**host) != but);
+    /// Adds the request load of all hosts to `sum`, except that of host `except`.
+    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+        let others = self.hosts.iter().filter(|(host, _)| Some(**host) != except);
         for (upstream, work) in others.flat_map(|(_, report)| &report.work) {
             *sum.entry(upstream.clone()).or_default() += *work;
         }
@@ -92,7 +95,7 @@
     }
 
     /// Returns how many hosts reported recently to this host directly.
-    pub fn count(&self) -> usize {
+    pub fn reporting_hosts(&self) -> usize {
         self.hosts.len()
     }
 }
--- a/src/ordering/lease.rs
+++ b/src/ordering/lease.rs
@@ -10,24 +10,24 @@
 use crate::retry::message::Evidence;
 
 /// How long after it sent its last acknowledged renewal a holder may send orders.
-pub const VALID_MS: Millis = Millis(2_000);
+pub const VALIDITY_MS: Millis = Millis(2_000);
 /// The interval of renewals. It leaves time for one renewal to be lost.
-pub const RENEW_MS: Millis = Millis(800);
+pub const RENEWAL_INTERVAL_MS: Millis = Millis(800);
 /// How long the stream must be unchanged before another host may claim the lease: the holder's
 /// validity and the time of a call.
-pub const SILENT_MS: Millis = Millis(2_300);
+pub const CLAIM_AFTER_MS: Millis = Millis(2_300);
 /// How long the stream must be unchanged before it is read again; a little less than until the
 /// lease may be claimed.
-const WORTH_READING_MS: Millis = Millis(1_900);
+const READ_AFTER_MS: Millis = Millis(1_900);
 /// How long after its last renewal a holder gives the lease up and informs the other hosts; shortly
 /// before its validity ends.
-const FAILING_MS: Millis = Millis(1_900);
+const RENEWAL_TIMEOUT_MS: Millis = Millis(1_900);
 /// Safety margin between two holders. The clocks of two hosts run at slightly different speeds, and
 /// a call may still be running for a moment.
-const MARGIN_MS: Millis = Millis(300);
+const HANDOVER_MARGIN_MS: Millis = Millis(300);
 
 /// How many members are the first to claim a free lease.
-const CANDIDATES: usize = 3;
+const FIRST_CLAIMANTS: usize = 3;
 
 /// Returns whether a host is one of the first to claim the lease. These are the members with the
 /// most processor capacity, because planning for a hundred engines keeps an eighth of a core busy.
@@ -35,10 +35,10 @@
 /// hundreds of hosts may start at the same time.
 pub fn is_candidate<'a>(own: &Member, members: impl Iterator<Item = &'a Member> + Clone) -> bool {
     let mut all = members.clone().peekable();
-    let is_first = all.peek().is_none();
+    let is_list_empty = all.peek().is_none();
     let is_listed = all.any(|other| other.incarnation == own.incarnation);
-    let before = members.filter(|other| other.rank() < own.rank()).count();
-    is_first || (is_listed && before < CANDIDATES)
+    let better = members.filter(|other| other.rank() < own.rank()).count();
+    is_list_empty || (is_listed && better < FIRST_CLAIMANTS)
 }
 
 /// A record of the lease stream.
@@ -87,10 +87,10 @@
 }
 
 /// Identifies a holding: the incarnation of the holder's process, and the number of its claim.
-pub type HoldingName = (u64, u64);
+pub type HoldingId = (u64, u64);
 
 impl LeaseRecord {
-    fn holding(&self) -> HoldingName {
+    fn holding(&self) -> HoldingId {
         (self.holder.incarnation, self.claim)
     }
 }
@@ -100,13 +100,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resignation {
     /// The holding that ended.
-    pub holding: HoldingName,
+    pub holding: HoldingId,
     /// How long ago the former holder last had the right to send orders.
     pub ordered_ago_ms: Millis,
 }
 
 impl Holding {
-    fn name(&self) -> HoldingName {
+    fn id(&self) -> HoldingId {
         (self.me.incarnation, self.claim)
     }
 
@@ -124,13 +124,20 @@
 /// The state of the lease as one host knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
+    /// The number of this process's last claim; zero before the first.
     claims: u64,
-    resigned: Option<(HoldingName, Millis)>,
-    own_resignation: Option<(HoldingName, Millis)>,
-    is_in_doubt: bool,
+    /// The last resignation of another host, and when that host last had the right to send orders.
+    other_resignation: Option<(HoldingId, Millis)>,
+    /// The same for this host's own last resignation.
+    own_resignation: Option<(HoldingId, Millis)>,
+    /// Whether the presumed holder has denied being the holder since the last read.
+    holder_denied: bool,
     end: Option<Offset>,
+    /// The record before `end`, if it was read or written by this host.
     newest: Option<LeaseRecord>,
-    still_since: Option<Millis>,
+    /// Since when the stream is known to end at `end`.
+    unchanged_since: Option<Millis>,
+    /// This host's own lease, if it holds one.
     holding: Option<Holding>,
 }
 
@@ -138,10 +145,10 @@
     /// Records a read of the stream, sent at `asked_at`: its end, and its newest record if one was
     /// read.
     pub fn note_read(&mut self, asked_at: Millis, end: Offset, newest: Option<LeaseRecord>) {
-        self.is_in_doubt = false;
+        self.holder_denied = false;
         if self.end != Some(end) {
             self.end = Some(end);
-            self.still_since = Some(asked_at);
+            self.unchanged_since = Some(asked_at);
         }
         if newest.is_some() {
             self.newest = newest;
@@ -159,14 +166,14 @@
         if self.holding.is_none() && self.end.is_none_or(|known| known < end) {
             self.end = Some(end);
             self.newest = None;
-            self.still_since = Some(now);
+            self.unchanged_since = Some(now);
         }
     }
 
     /// Returns whether the newest record is this host's own and keeps the lease.
     fn is_own_newest(&self) -> bool {
         match (&self.holding, &self.newest) {
-            (Some(holding), Some(newest)) => newest.holding() == holding.name() && !newest.released,
+            (Some(holding), Some(newest)) => newest.holding() == holding.id() && !newest.released,
             _ => false,
         }
     }
@@ -186,12 +193,13 @@
     /// now.
     pub fn may_claim(&self, now: Millis) -> Option<Offset> {
         let end = self.end?;
-        let still_ms = now.since(self.still_since?);
+        let unchanged_ms = now.since(self.unchanged_since?);
         let was_released = self.newest.as_ref().is_some_and(|record| record.released);
         let has_resigned = self.resigned_at().is_some();
         // A stream that has an end but whose newest record is unknown was written by a host that
         // may still send orders.
-        let is_free = end == Offset(0) || was_released || has_resigned || still_ms >= SILENT_MS;
+        let is_free =
+            end == Offset(0) || was_released || has_resigned || unchanged_ms >= CLAIM_AFTER_MS;
         (is_free && self.holding.is_none()).then_some(end)
     }
 
@@ -199,29 +207,29 @@
     /// stream that changed a moment ago is not read, because the lease cannot be claimed yet.
     pub fn is_worth_reading(&self, now: Millis) -> bool {
         let is_free = self.newest.as_ref().is_some_and(|newest| newest.released);
-        let still_since = self.still_since.unwrap_or(Millis::ZERO);
-        let is_known = !self.is_in_doubt && !is_free && self.resigned_at().is_none();
-        !is_known || now.since(still_since) >= WORTH_READING_MS
+        let unchanged_since = self.unchanged_since.unwrap_or(Millis::ZERO);
+        let is_known = !self.holder_denied && !is_free && self.resigned_at().is_none();
+        !is_known || now.since(unchanged_since) >= READ_AFTER_MS
     }
 
     /// Records another host's statement that it sends no more orders.
     pub fn note_resigned(&mut self, now: Millis, resignation: Resignation) {
         let ordered_at = now - resignation.ordered_ago_ms;
-        self.resigned = Some((resignation.holding, ordered_at));
+        self.other_resignation = Some((resignation.holding, ordered_at));
     }
 
     /// Records that the presumed holder denies being the holder. It may have released the lease,
     /// which a read of the stream shows.
     pub fn note_gone(&mut self) {
-        self.is_in_doubt = true;
+        self.holder_denied = true;
     }
 
     /// Gives up the lease because it cannot be renewed. This process holds it again only after a
     /// new claim.
     pub fn resign(&mut self, now: Millis) -> Option<Resignation> {
         let holding = self.holding.take()?;
-        let ordered_until = now.min(holding.renewed_at + VALID_MS);
-        self.own_resignation = Some((holding.name(), ordered_until));
+        let ordered_until = now.min(holding.renewed_at + VALIDITY_MS);
+        self.own_resignation = Some((holding.id(), ordered_until));
         self.resignation(now)
     }
 
@@ -239,12 +247,12 @@
     /// resigned.
     fn resigned_at(&self) -> Option<Millis> {
         let newest = self.newest.as_ref()?.holding();
-        let known = [self.resigned, self.own_resignation];
-        let own = known
+        let known = [self.other_resignation, self.own_resignation];
+        let resignation = known
             .into_iter()
             .flatten()
             .find(|(holding, _)| *holding == newest);
-        own.map(|(_, ordered_at)| ordered_at)
+        resignation.map(|(_, ordered_at)| ordered_at)
     }
 
     /// Returns the record for a new claim.
@@ -271,7 +279,7 @@
     /// is the time that engines require between one host's last order and another host's first.
     ///
     /// The previous holder's last record was on the stream when its end was first read, at
-    /// `still_since`. So the previous holder sends orders until then plus its validity at the
+    /// `unchanged_since`. So the previous holder sends orders until then plus its validity at the
     /// latest.
     pub fn note_claimed(
         &mut self,
@@ -280,15 +288,16 @@
         record: LeaseRecord,
         engine_lease_ms: Millis,
     ) {
-        let still_since = self.still_since.unwrap_or(sent_at);
+        let unchanged_since = self.unchanged_since.unwrap_or(sent_at);
         let was_released = self.newest.as_ref().is_some_and(|record| record.released);
         let former_ends = match (offset, was_released, self.resigned_at()) {
             (Offset(0), ..) => None,
-            (_, true, _) => Some(still_since),
+            (_, true, _) => Some(unchanged_since),
             (_, false, Some(ordered_at)) => Some(ordered_at),
-            (_, false, None) => Some(still_since + VALID_MS),
+            (_, false, None) => Some(unchanged_since + VALIDITY_MS),
         };
-        let orders_from = former_ends.map_or(sent_at, |ends| ends + engine_lease_ms + MARGIN_MS);
+        let orders_from =
+            former_ends.map_or(sent_at, |ends| ends + engine_lease_ms + HANDOVER_MARGIN_MS);
         let end = Offset(offset.0 + 1);
         self.holding = Some(Holding {
             me: record.holder.clone(),
@@ -300,7 +309,7 @@
         });
         self.newest = Some(record);
         self.end = Some(end);
-        self.still_since = Some(sent_at);
+        self.unchanged_since = Some(sent_at);
     }
 
     /// Records an acknowledged renewal that was sent at `sent_at`.
@@ -311,7 +320,7 @@
             holding.renewed_at = holding.renewed_at.max(sent_at);
         }
         self.end = Some(end);
-        self.still_since = Some(sent_at);
+        self.unchanged_since = Some(sent_at);
     }
 
     /// Records that the stream ends at another offset than this holder assumed. `newest` is the
@@ -337,7 +346,7 @@
     /// Returns whether this host may send an order now.
     pub fn may_order(&self, now: Millis) -> bool {
         self.holding.as_ref().is_some_and(|holding| {
-            now >= holding.orders_from && now < holding.renewed_at + VALID_MS
+            now >= holding.orders_from && now < holding.renewed_at + VALIDITY_MS
         })
     }
 
@@ -346,13 +355,13 @@
     pub fn is_failing(&self, now: Millis) -> bool {
         self.holding
             .as_ref()
-            .is_some_and(|holding| now.since(holding.renewed_at) >= FAILING_MS)
+            .is_some_and(|holding| now.since(holding.renewed_at) >= RENEWAL_TIMEOUT_MS)
     }
 
     /// Returns whether a renewal is due.
     pub fn is_renewal_due(&self, now: Millis) -> bool {
         self.holding
             .as_ref()
-            .is_some_and(|holding| now.since(holding.renewed_at) >= RENEW_MS)
+            .is_some_and(|holding| now.since(holding.renewed_at) >= RENEWAL_INTERVAL_MS)
     }
 }
--- a/src/ordering/ledger.rs
+++ b/src/ordering/ledger.rs
@@ -7,9 +7,9 @@
 //! of that order counts as held, and the engine gets no other order.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::census::{Census, ServiceCensus};
-use crate::ordering::copy::{Copy, LoadTime, Loaded};
+use crate::ordering::copy::{LoadTime, Loaded, ModelCopy};
 use crate::ordering::engine::Engine;
+use crate::ordering::engine_index::{EngineIndex, ServiceIndex};
 use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
 use crate::ordering::published::EngineView;
 use crate::prelude::*;
@@ -18,13 +18,13 @@
 
 /// How long freed memory stays reserved for the model that it was freed for. The unload waits for
 /// running requests.
-pub(super) const INTENDED_MS: Millis = Millis(3_000);
+pub(super) const RESERVATION_MS: Millis = Millis(3_000);
 /// The interval at which the report of an engine without a running order is read. A report costs
 /// about a sixth of an order.
-const IDLE_REPORT_MS: Millis = Millis(5_000);
+const IDLE_REPORT_INTERVAL_MS: Millis = Millis(5_000);
 /// The least average time between two such reports over all engines. With thousands of engines,
 /// each is read less often.
-const EACH_REPORT_MS: Millis = Millis(5);
+const MIN_REPORT_SPACING_MS: Millis = Millis(5);
 
 /// The changes of engines since the last call of [`Ledger::take_changes`].
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -39,37 +39,37 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     engines: IndexMap<Name, Engine>,
-    census: Census,
+    index: EngineIndex,
     /// Engines whose state may have changed since the last call of [`Ledger::take_changes`].
     changed: IndexSet<Name>,
     gone: Vec<Lifetime>,
     /// Engines that have, or had, memory reserved for a model.
-    intending: IndexSet<Name>,
+    reserving: IndexSet<Name>,
     lacks_engines: bool,
     looked_at: Cell<u64>,
 }
 
 impl Ledger {
     /// Changes an engine and keeps the index and the sets of engines up to date.
-    fn change<T>(&mut self, id: &str, with: impl FnOnce(&mut Engine) -> T) -> Option<T> {
+    fn update<T>(&mut self, id: &str, with: impl FnOnce(&mut Engine) -> T) -> Option<T> {
         let engine = self.engines.get_mut(id)?;
-        self.census.remove(engine);
+        self.index.remove(engine);
         let former = engine.lifetime();
         let result = with(engine);
-        self.census.add(engine);
+        self.index.add(engine);
         if engine.born_at != former.born_at {
             self.gone.push(former);
         }
-        match engine.intended.is_some() {
-            true => drop(self.intending.insert(engine.id.clone())),
-            false => drop(self.intending.swap_remove(id)),
+        match engine.reserved_for.is_some() {
+            true => drop(self.reserving.insert(engine.id.clone())),
+            false => drop(self.reserving.swap_remove(id)),
         }
         self.changed.insert(engine.id.clone());
         Some(result)
     }
 
     fn insert(&mut self, engine: Engine) {
-        self.census.add(&engine);
+        self.index.add(&engine);
         self.engines.insert(engine.id.clone(), engine);
     }
 
@@ -77,9 +77,9 @@
         let Some(engine) = self.engines.swap_remove(id) else {
             return;
         };
-        self.census.remove(&engine);
+        self.index.remove(&engine);
         self.changed.swap_remove(id);
-        self.intending.swap_remove(id);
+        self.reserving.swap_remove(id);
         self.gone.push(engine.lifetime());
     }
 
@@ -103,7 +103,7 @@
             match self.engines.get(&id).map(|engine| engine.born_at) {
                 // An engine's own report may show a new start before the list does.
                 Some(born_at) if born_at >= lifetime.born_at => {}
-                Some(_) => drop(self.change(&id, |engine| {
+                Some(_) => drop(self.update(&id, |engine| {
                     engine.begin_lifetime(now, lifetime.born_at);
                 })),
                 None => self.insert(Engine::new(lifetime, service)),
@@ -123,7 +123,7 @@
         let due = engines.filter(|engine| engine.is_unload_due(now));
         let due: Vec<Name> = due.map(|engine| engine.id.clone()).collect();
         for id in &due {
-            self.change(id, Engine::assume_unloaded);
+            self.update(id, Engine::assume_unloaded);
         }
     }
 
@@ -134,10 +134,10 @@
 
     /// Returns all engines.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
-        self.counted(self.engines.values())
+        self.visited(self.engines.values())
     }
 
-    fn counted<'a>(
+    fn visited<'a>(
         &'a self,
         engines: impl Iterator<Item = &'a Engine>,
     ) -> impl Iterator<Item = &'a Engine> {
@@ -151,59 +151,59 @@
     }
 
     /// Returns the index of a service; `None` if it has no engines.
-    pub fn census(&self, service: &str) -> Option<&ServiceCensus> {
-        self.census.of(service)
+    pub fn census(&self, service: &str) -> Option<&ServiceIndex> {
+        self.index.service(service)
     }
 
-    /// Returns a window of at most `most` consecutive engines, starting at position `from` modulo
+    /// Returns a window of at most `max` consecutive engines, starting at position `from` modulo
     /// their number.
-    pub fn some(&self, from: u64, most: usize) -> impl Iterator<Item = &Engine> {
+    pub fn window(&self, from: u64, max: usize) -> impl Iterator<Item = &Engine> {
         let count = self.engines.len();
-        let first = (from % count.max(1) as u64) as usize;
-        let places = (first..first + most.min(count)).map(move |at| at % count);
-        self.counted(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
+        let start = (from % count.max(1) as u64) as usize;
+        let places = (start..start + max.min(count)).map(move |at| at % count);
+        self.visited(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
     }
 
     /// Returns the engines with these names; unknown names are left out.
-    pub fn named<'a>(
+    pub fn by_name<'a>(
         &'a self,
         ids: impl Iterator<Item = &'a Name>,
     ) -> impl Iterator<Item = &'a Engine> {
-        self.counted(ids.filter_map(|id| self.engines.get(id)))
+        self.visited(ids.filter_map(|id| self.engines.get(id)))
     }
 
     /// Returns engines that have changed recently. All those with adapters that are not ready yet
     /// are among them.
-    pub fn unsettled(&self) -> impl Iterator<Item = &Engine> {
-        self.named(self.changed.iter())
+    pub fn recently_changed(&self) -> impl Iterator<Item = &Engine> {
+        self.by_name(self.changed.iter())
     }
 
     /// Returns the engines on which memory is reserved for a model, with that model.
-    pub fn intending(&self, now: Millis) -> impl Iterator<Item = (&Engine, &Name)> {
-        let engines = self.intending.iter().filter_map(|id| self.engines.get(id));
-        engines.filter_map(move |engine| Some((engine, engine.intended(now)?)))
+    pub fn reservations(&self, now: Millis) -> impl Iterator<Item = (&Engine, &Name)> {
+        let engines = self.reserving.iter().filter_map(|id| self.engines.get(id));
+        engines.filter_map(move |engine| Some((engine, engine.reserved_for(now)?)))
     }
 
     /// Returns how many loads from the weight store are running.
     pub fn store_loads(&self) -> usize {
-        self.census.store_loads()
+        self.index.store_loads()
     }
 
     /// Returns the engines that are loading from the weight store.
     pub fn loading(&self) -> impl Iterator<Item = &Engine> {
-        self.named(self.census.loading())
+        self.by_name(self.index.loading())
     }
 
     /// Updates each running load from the weight store with the number of loads that run at the
     /// same time.
-    fn count_store_loads(&mut self) {
+    fn update_concurrent_loads(&mut self) {
         let loads = self.store_loads();
-        for id in self.census.loading() {
+        for id in self.index.loading() {
             let Some(engine) = self.engines.get_mut(id) else {
                 continue;
             };
             for copy in engine.copies.values_mut() {
-                note_beside(copy, loads);
+                update_concurrency(copy, loads);
             }
         }
     }
@@ -218,9 +218,9 @@
         ask: ModelAsk,
         makes_way_for: Option<Name>,
     ) -> Option<Order> {
-        self.change(id, |engine| {
+        self.update(id, |engine| {
             let order = engine.order(action, ask);
-            engine.intended = makes_way_for.map(|model| (model, now + INTENDED_MS));
+            engine.reserved_for = makes_way_for.map(|model| (model, now + RESERVATION_MS));
             engine.begin(&order);
             order
         })
@@ -231,13 +231,13 @@
     pub fn due(&mut self, now: Millis) -> Vec<(Name, Order)> {
         let mut due = Vec::new();
         for engine in self.engines.values_mut() {
-            if now < engine.rests_until {
+            if now < engine.backoff_until {
                 continue;
             }
             if let Some(pending) = &mut engine.pending
-                && !pending.in_call
+                && !pending.is_sending
             {
-                pending.in_call = true;
+                pending.is_sending = true;
                 due.push((engine.id.clone(), pending.order.clone()));
             }
         }
@@ -266,32 +266,31 @@
             self.lacks_engines = true;
             return;
         }
-        self.change(id, |engine| {
-            engine.take_answer(now, order, answer, load);
+        self.update(id, |engine| {
+            engine.record_answer(now, order, answer, load);
         });
         if matches!(answer, OrderAnswer::Accepted | OrderAnswer::AlreadyDone) {
-            self.count_store_loads();
+            self.update_concurrent_loads();
         }
     }
 
-    fn idle_report_ms(&self) -> Millis {
-        Millis(EACH_REPORT_MS.0 * self.engines.len() as u64).max(IDLE_REPORT_MS)
+    /// Returns the interval at which the report of each engine without a running order is read.
+    fn idle_report_interval(&self) -> Millis {
+        Millis(MIN_REPORT_SPACING_MS.0 * self.engines.len() as u64).max(IDLE_REPORT_INTERVAL_MS)
     }
 
     /// Returns the engines whose reports are to be read now: all that have an order whose outcome
-    /// is awaited, and at most `idle_most` others.
-    pub fn due_reports(&mut self, now: Millis, idle_most: usize) -> Vec<Name> {
-        let is_due = |engine: &&Engine| !engine.in_report && now >= engine.report_at;
+    /// is awaited, and at most `max_idle` others.
+    pub fn due_reports(&mut self, now: Millis, max_idle: usize) -> Vec<Name> {
+        let is_due = |engine: &&Engine| !engine.is_reading_report && now >= engine.next_report_at;
         let due = self.engines.values().filter(is_due);
-        let (waited_for, idle): (Vec<&Engine>, Vec<&Engine>) =
-            due.partition(|engine| engine.is_waited_for());
-        let due = waited_for
-            .into_iter()
-            .chain(idle.into_iter().take(idle_most));
+        let (awaited, idle): (Vec<&Engine>, Vec<&Engine>) =
+            due.partition(|engine| engine.awaits_outcome());
+        let due = awaited.into_iter().chain(idle.into_iter().take(max_idle));
         let due: Vec<Name> = due.map(|engine| engine.id.clone()).collect();
         for id in &due {
             if let Some(engine) = self.engines.get_mut(id) {
-                engine.in_report = true;
+                engine.is_reading_report = true;
             }
         }
         due
@@ -307,12 +306,12 @@
     ) -> Vec<Loaded> {
         let Some(report) = report else {
             if let Some(engine) = self.engines.get_mut(id) {
-                engine.note_unreported(now);
+                engine.record_report_failure(now);
             }
             return Vec::new();
         };
-        let idle_ms = self.idle_report_ms();
-        let loaded = self.change(id, |engine| engine.take_report(now, report, idle_ms));
+        let idle_ms = self.idle_report_interval();
+        let loaded = self.update(id, |engine| engine.record_report(now, report, idle_ms));
         loaded.unwrap_or_default()
     }
 
@@ -332,14 +331,15 @@
             if engine.is_known {
                 changes.views.push(engine.view(now));
             }
-            engine.will_change(now)
+            engine.changes_with_time(now)
         });
         changes
     }
 }
 
-fn note_beside(copy: &mut Copy, loads: usize) {
-    if let Copy::Loading {
+/// Raises the number of concurrent loads of a copy that is loading from the weight store.
+fn update_concurrency(copy: &mut ModelCopy, loads: usize) {
+    if let ModelCopy::Loading {
         from_store: true,
         beside,
         ..
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -116,7 +116,7 @@
     /// Moves the demand and the request load out of the message.
     pub fn take_report(&mut self) -> HostReport {
         HostReport {
-            through: self.through,
+            relayed_hosts: self.through,
             demand: std::mem::take(&mut self.demand),
             work: std::mem::take(&mut self.work),
         }
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -6,7 +6,7 @@
 //! in return. A copy is one model on one engine.
 //!
 //! Nothing in this module does any network I/O. [`lease`] decides who may send orders. [`ledger`]
-//! tracks what each engine holds, is loading or unloading; [`census`] counts it per model.
+//! tracks what each engine holds, is loading or unloading; [`engine_index`] counts it per model.
 //! [`ceiling`] limits loads from the weight store. [`planner`] chooses the next order for a model,
 //! [`adapters`] for an adapter. [`estimates`] predicts when a model that callers wait for is ready.
 //! [`demand`], [`host_reports`], [`gather`] and [`book`] add up what hosts report to the orderer;
@@ -16,12 +16,13 @@
 pub mod book;
 mod candidates;
 pub mod ceiling;
-pub mod census;
 pub mod copy;
 pub mod demand;
 pub mod engine;
+pub mod engine_index;
 mod engine_orders;
 pub mod estimates;
+mod free_memory;
 pub mod gather;
 pub mod host_reports;
 pub mod lease;
@@ -29,7 +30,6 @@
 pub mod message;
 pub mod planner;
 pub mod published;
-mod spare;
 pub mod view;
 
 #[cfg(test)]
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -11,50 +11,50 @@
 use crate::entry::platform::ModelAsk;
 use crate::ordering::book::{Book, ModelDemand};
 use crate::ordering::ceiling::Ceiling;
-use crate::ordering::census::{Holders, ServiceCensus};
-use crate::ordering::copy::{Copy, LoadTime};
+use crate::ordering::copy::{LoadTime, ModelCopy};
 use crate::ordering::engine::Engine;
+use crate::ordering::engine_index::{Holders, ServiceIndex};
 use crate::ordering::ledger::Ledger;
 use crate::ordering::message::Action;
 use crate::prelude::*;
 
 /// The prompt tokens per second that an engine reads for a large model, as stated for the engines.
 /// Smaller models are read faster, in inverse proportion to their weights.
-const PROMPT_TOKENS_PER_S: f64 = 38_000.0;
+const LARGE_MODEL_PROMPT_TOKENS_PER_S: f64 = 38_000.0;
 /// The weights of a model that is read at that speed, in megabytes.
-const LARGE_MB: f64 = 34_000.0;
+const LARGE_MODEL_MB: f64 = 34_000.0;
 /// The fraction of an engine's time that a model's prompts may take on each engine that holds it
 /// before it gets another copy. Above this fraction, waits grow steeply with random arrivals.
-const BUSY_SHARE: f64 = 0.35;
+const MAX_PROMPT_SHARE: f64 = 0.35;
 /// The fraction of an engine's slots that one model's requests may take on each engine that holds
 /// it before it gets another copy. Above this fraction, clustered arrivals find all slots taken.
 /// With 24 slots, first events came late from 28 requests at an engine on, and demand keeps growing
 /// during a load of a second or more.
-const SLOT_SHARE: f64 = 0.6;
+const MAX_SLOT_SHARE: f64 = 0.6;
 /// The largest fraction of all engines that hold the same model because of demand.
-const COPIES_PART: f64 = 0.5;
+const MAX_COPIES_SHARE: f64 = 0.5;
 /// A model is loaded, or gets another copy, only if it was requested within this time.
-pub(super) const RECENT_MS: Millis = Millis(2_500);
+pub(super) const RECENT_REQUEST_MS: Millis = Millis(2_500);
 /// A model with at least this many megabytes of weights, and with enough long and short prompts,
 /// gets a copy for each kind. Prompts of smaller models are read so fast that streams are seldom
 /// late.
-const SEPARATE_MB: f64 = 20_000.0;
+const MIN_SEPARATE_MB: f64 = 20_000.0;
 /// How long a loaded model is kept at least, because callers return within seconds.
-const STAY_MS: Millis = Millis(3_000);
+const MIN_RESIDENCY_MS: Millis = Millis(3_000);
 /// How long a model must be without requests before it may be unloaded for a requested one.
-const IDLE_MS: Millis = Millis(1_500);
+const MIN_IDLE_MS: Millis = Millis(1_500);
 /// The cost of a load on an engine, in prompt tokens per second, for each model on it with adapters
 /// in demand. The engine loads no adapters during the load of a model.
-const BLOCKED_ADAPTERS: f64 = 2_000.0;
+const BLOCKED_ADAPTERS_COST: f64 = 2_000.0;
 /// The additional cost of a load from the weight store over one from the engine's disk, in prompt
 /// tokens per second of the models that are unloaded.
-const STORE_LOAD: f64 = 4_000.0;
+const STORE_LOAD_COST: f64 = 4_000.0;
 
 /// If the engines' memory is at least this many times the weights of all models, each model is
 /// loaded on at least two engines.
-const PLENTY: f64 = 16.0;
+const AMPLE_MEMORY_FACTOR: f64 = 16.0;
 /// The most models without requests that are considered in one call of [`Planner::next`].
-const MOST_UNASKED: usize = 4;
+const MAX_UNREQUESTED: usize = 4;
 
 /// An order that the planner wants to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -97,13 +97,13 @@
     /// The number of engines that hold the model now.
     held: usize,
     /// The number of engines that should hold the model.
-    pub(super) wanted: usize,
+    pub(super) target: usize,
 }
 
 impl Need<'_> {
     /// Returns whether the model has requests.
-    fn is_asked(&self) -> bool {
-        self.demand.waiting > 0 || self.demand.last_at.is_some()
+    fn is_requested(&self) -> bool {
+        self.demand.waiting > 0 || self.demand.last_request_at.is_some()
     }
 }
 
@@ -113,17 +113,18 @@
 impl Planner<'_> {
     /// Returns the order to send next; `None` if there is none now.
     pub fn next(&self, ceiling: &mut Ceiling) -> Option<Planned> {
-        let census = self.ledger.census(self.service)?;
-        if let Some(order) = self.adapter_order(census) {
+        let index = self.ledger.census(self.service)?;
+        if let Some(order) = self.requested_adapter_order(index) {
             return Some(order);
         }
-        let needs = self.needs(census);
-        self.model_order(census, &needs, ceiling)
-            .or_else(|| self.spare_order(census, &needs, ceiling))
-            .or_else(|| self.spare_copy(census, &needs))
-            .or_else(|| self.adapter_ahead(census))
+        let needs = self.needs(index);
+        self.model_order(index, &needs, ceiling)
+            .or_else(|| self.fill_free_memory(index, &needs, ceiling))
+            .or_else(|| self.extra_copy_order(index, &needs))
+            .or_else(|| self.prefetch_order(index))
     }
 
+    /// Returns the memory that is in use on an engine, in megabytes.
     pub(super) fn used_mb(&self, engine: &Engine) -> f64 {
         engine.used_mb(self.now, self.spec)
     }
@@ -137,37 +138,37 @@
     /// without any copy comes first, then the one with the most waiting requests.
     fn model_order(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
     ) -> Option<Planned> {
-        if let Some(order) = self.intended_order(needs, ceiling) {
+        if let Some(order) = self.continue_reserved(needs, ceiling) {
             return Some(order);
         }
-        let lacking = needs.values().filter(|need| need.copies < need.wanted);
-        let mut lacking: Vec<Need<'_>> = lacking.copied().collect();
-        lacking.sort_by(|a, b| {
+        let short = needs.values().filter(|need| need.copies < need.target);
+        let mut short: Vec<Need<'_>> = short.copied().collect();
+        short.sort_by(|a, b| {
             let key = |need: &Need<'_>| (need.copies == 0, need.demand.waiting);
             let by_waiting = key(b).cmp(&key(a));
             by_waiting.then(b.demand.tokens_per_s.total_cmp(&a.demand.tokens_per_s))
         });
-        let mut unasked = 0;
-        let mut tried = lacking.into_iter().filter(|need| {
-            unasked += usize::from(!need.is_asked());
-            need.is_asked() || unasked <= MOST_UNASKED
+        let mut unrequested = 0;
+        let mut tried = short.into_iter().filter(|need| {
+            unrequested += usize::from(!need.is_requested());
+            need.is_requested() || unrequested <= MAX_UNREQUESTED
         });
-        tried.find_map(|need| self.place_model(census, &need, needs, ceiling))
+        tried.find_map(|need| self.place_model(index, &need, needs, ceiling))
     }
 
     /// Continues where memory was freed for a model: loads the model, or frees more memory.
-    fn intended_order(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<Planned> {
-        let mut intending = self.ledger.intending(self.now);
-        intending.find_map(|(engine, model)| {
+    fn continue_reserved(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<Planned> {
+        let mut reservations = self.ledger.reservations(self.now);
+        reservations.find_map(|(engine, model)| {
             let need = Need {
                 copies: 0,
                 ..*needs.get(model)?
             };
-            if !self.is_used(engine) || !engine.is_free(self.now) {
+            if !self.is_eligible(engine) || !engine.is_free(self.now) {
                 return None;
             }
             let may_use_store = self.may_use_store(&need, ceiling);
@@ -175,38 +176,40 @@
         })
     }
 
-    fn needs(&self, census: &ServiceCensus) -> Needs<'_> {
-        let demands = self.book.models(self.now);
-        let unused: Vec<&Engine> = self.unused_engines().collect();
-        let engines = census.engines() - unused.len();
-        let most = (engines as f64 * COPIES_PART) as usize;
-        let least = self.least_copies(engines);
+    /// Returns the demand and the number of copies of each model. Copies on excluded engines do not
+    /// count; copies with reserved memory do.
+    fn needs(&self, index: &ServiceIndex) -> Needs<'_> {
+        let demands = self.book.model_demands(self.now);
+        let excluded: Vec<&Engine> = self.excluded_engines().collect();
+        let engines = index.engines() - excluded.len();
+        let most = (engines as f64 * MAX_COPIES_SHARE) as usize;
+        let least = self.min_copies(engines);
         let models = self.spec.models.iter();
         let need = models.map(|(model, spec)| {
             let demand = demands.get(model).copied().unwrap_or_default();
-            let holders = census.model(model);
+            let holders = index.model(model);
             let need = Need {
                 model,
                 demand,
                 copies: holders.map_or(0, Holders::copies),
                 held: holders.map_or(0, Holders::held),
-                wanted: self.wanted(spec, &demand, most.max(1)).max(least),
+                target: self.target_copies(spec, &demand, most.max(1)).max(least),
             };
             (model, need)
         });
         let mut needs: Needs<'_> = need.collect();
-        for engine in unused {
+        for engine in excluded {
             for (model, copy) in &engine.copies {
                 if let Some(need) = needs.get_mut(model) {
-                    need.copies -= usize::from(*copy != Copy::Unloading);
-                    need.held -= usize::from(*copy == Copy::Held);
+                    need.copies -= usize::from(*copy != ModelCopy::Unloading);
+                    need.held -= usize::from(*copy == ModelCopy::Held);
                 }
             }
         }
-        for (engine, model) in self.ledger.intending(self.now) {
+        for (engine, model) in self.ledger.reservations(self.now) {
             let is_new = !engine.copies.contains_key(model);
-            let is_used = self.is_used(engine);
-            if let Some(need) = needs.get_mut(model).filter(|_| is_new && is_used) {
+            let is_eligible = self.is_eligible(engine);
+            if let Some(need) = needs.get_mut(model).filter(|_| is_new && is_eligible) {
                 need.copies += 1;
             }
         }
@@ -216,35 +219,36 @@
     /// Returns how many engines should hold a model without requests. If an engine is lost, its
     /// models take the time of a load to return. So where the memory exceeds the weights of all
     /// models many times over, each model is on two engines.
-    fn least_copies(&self, engines: usize) -> usize {
+    fn min_copies(&self, engines: usize) -> usize {
         let all_mb: f64 = self.spec.models.values().map(|spec| spec.weights_mb).sum();
-        match engines as f64 * self.spec.weights_mb >= all_mb * PLENTY {
+        match engines as f64 * self.spec.weights_mb >= all_mb * AMPLE_MEMORY_FACTOR {
             true => 2,
             false => 0,
         }
     }
 
     /// Returns how many engines should hold a model because of its demand.
-    fn wanted(&self, spec: &ModelSpec, demand: &ModelDemand, most: usize) -> usize {
-        let asked_of_late = demand
-            .last_at
-            .is_some_and(|at| self.now.since(at) < RECENT_MS);
-        if demand.waiting == 0 && !asked_of_late {
+    fn target_copies(&self, spec: &ModelSpec, demand: &ModelDemand, most: usize) -> usize {
+        let requested_recently = demand
+            .last_request_at
+            .is_some_and(|at| self.now.since(at) < RECENT_REQUEST_MS);
+        if demand.waiting == 0 && !requested_recently {
             return 0;
         }
-        let by_reading = (demand.tokens_per_s / prompt_speed(spec) / BUSY_SHARE).ceil() as usize;
-        let is_separate = spec.weights_mb >= SEPARATE_MB && demand.has_both_kinds();
-        let by_kind = 1 + usize::from(is_separate);
-        by_reading
-            .max(self.copies_by_slots(demand.running))
-            .max(by_kind)
+        let for_prompts =
+            (demand.tokens_per_s / prompt_speed(spec) / MAX_PROMPT_SHARE).ceil() as usize;
+        let has_separate_copies = spec.weights_mb >= MIN_SEPARATE_MB && demand.has_both_kinds();
+        let for_prompt_lengths = 1 + usize::from(has_separate_copies);
+        for_prompts
+            .max(self.copies_for_slots(demand.running))
+            .max(for_prompt_lengths)
             .min(most)
     }
 
     /// Returns how many engines a model needs so that none of them runs out of slots. `running`
     /// includes the requests that wait for the model itself.
-    fn copies_by_slots(&self, running: u32) -> usize {
-        let slots = f64::from(self.spec.slots.max(1)) * SLOT_SHARE;
+    fn copies_for_slots(&self, running: u32) -> usize {
+        let slots = f64::from(self.spec.slots.max(1)) * MAX_SLOT_SHARE;
         (f64::from(running) / slots).ceil() as usize
     }
 
@@ -252,32 +256,34 @@
     /// models, cached weights before the weight store, and the engine's other work.
     fn place_model(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         need: &Need<'_>,
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
     ) -> Option<Planned> {
         // Another copy helps only on an engine with free slots.
-        let has_slots = |engine: &&Engine| need.copies == 0 || self.used_slots(engine) < SLOT_SHARE;
+        let has_slots =
+            |engine: &&Engine| need.copies == 0 || self.used_slots(engine) < MAX_SLOT_SHARE;
         let may_use_store = self.may_use_store(need, ceiling);
         if may_use_store {
-            let engines = self.candidates(census, need.model).filter(has_slots);
+            let engines = self.candidates(index, need.model).filter(has_slots);
             return self.place_on(need, needs, engines, may_use_store);
         }
         let engines = self
-            .having_at_hand(census, need.model)
-            .filter(|engine| self.is_open(engine))
+            .engines_caching(index, need.model)
+            .filter(|engine| self.is_available(engine))
             .filter(has_slots);
         self.place_on(need, needs, engines, may_use_store)
     }
 
+    /// Returns whether a model may be loaded from the weight store now.
     fn may_use_store(&self, need: &Need<'_>, ceiling: &mut Ceiling) -> bool {
         let (rate, loads) = (self.spec.loads_per_s, self.ledger.store_loads());
-        match need.is_asked() {
+        match need.is_requested() {
             true => ceiling.admits(self.now, rate, loads),
             false => {
-                let asked = self.book.is_asked_of_late(self.now, RECENT_MS);
-                ceiling.admits_spare(self.now, rate, loads, asked)
+                let has_requests = self.book.had_requests_within(self.now, RECENT_REQUEST_MS);
+                ceiling.admits_unrequested(self.now, rate, loads, has_requests)
             }
         }
     }
@@ -288,6 +294,8 @@
         running / f64::from(self.spec.slots.max(1))
     }
 
+    /// Returns the order for another copy of a model on the engine with the least cost: the load,
+    /// or the first unload that makes room for it.
     fn place_on<'b>(
         &self,
         need: &Need<'_>,
@@ -298,16 +306,18 @@
         let spec = self.spec.models.get(need.model)?;
         let places = engines
             .filter(|engine| !engine.copies.contains_key(need.model))
-            .filter(|engine| may_use_store || engine.at_hand.contains(need.model))
+            .filter(|engine| may_use_store || engine.cached_models.contains(need.model))
             .filter_map(|engine| {
-                let lacking_mb = self.used_mb(engine) + spec.weights_mb - self.spec.weights_mb;
-                let (victims, lost) = self.victims(engine, lacking_mb, need, needs)?;
-                let from_store = match engine.at_hand.contains(need.model) {
+                let missing_mb = self.used_mb(engine) + spec.weights_mb - self.spec.weights_mb;
+                let (victims, lost_demand) =
+                    self.choose_victims(engine, missing_mb, need, needs)?;
+                let store_cost = match engine.cached_models.contains(need.model) {
                     true => 0.0,
-                    false => STORE_LOAD,
+                    false => STORE_LOAD_COST,
                 };
-                let beside = self.demand_at(engine, needs);
-                let cost = lost + from_store + beside + self.blocked_adapters(engine);
+                let prompt_demand = self.prompt_demand_at(engine, needs);
+                let cost =
+                    lost_demand + store_cost + prompt_demand + self.blocked_adapters_cost(engine);
                 Some((cost, engine, victims))
             });
         let (_, engine, victims) = places.min_by(|(a, ..), (b, ..)| a.total_cmp(b))?;
@@ -334,40 +344,40 @@
         })
     }
 
-    /// Chooses the models to unload from an engine, the least requested first. A model that is in
-    /// use or in as much demand as the new one stays. Returns the models and the lost demand in
-    /// prompt tokens per second; `None` if they do not free enough memory.
-    fn victims(
+    /// Chooses the models to unload from an engine, those of the least value first. Models without
+    /// a [`Planner::value`] stay. Returns the models and the lost demand in prompt tokens per
+    /// second; `None` if they do not free enough memory.
+    fn choose_victims(
         &self,
         engine: &Engine,
-        lacking_mb: f64,
+        missing_mb: f64,
         need: &Need<'_>,
         needs: &Needs<'_>,
     ) -> Option<(Vec<Name>, f64)> {
-        if lacking_mb <= 0.0 {
+        if missing_mb <= 0.0 {
             return Some((Vec::new(), 0.0));
         }
         let held = engine
             .copies
             .iter()
-            .filter(|(_, copy)| **copy == Copy::Held);
+            .filter(|(_, copy)| **copy == ModelCopy::Held);
         let mut candidates: Vec<(f64, &Name)> = held
             .filter(|(model, _)| {
                 let loaded_at = engine.loaded_at.get(*model);
-                loaded_at.is_none_or(|at| self.now.since(*at) >= STAY_MS)
+                loaded_at.is_none_or(|at| self.now.since(*at) >= MIN_RESIDENCY_MS)
             })
             .filter_map(|(model, _)| Some((self.value(engine, needs.get(model)?, need)?, model)))
             .collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (mut freed_mb, mut lost, mut victims) = (0.0, 0.0, Vec::new());
+        let (mut freed_mb, mut lost_demand, mut victims) = (0.0, 0.0, Vec::new());
         for (value, model) in candidates {
             let adapters = engine.adapters_of(model).count() as f64;
             let spec = self.spec.models.get(model);
             freed_mb += spec.map_or(0.0, |spec| spec.weights_mb + adapters * spec.adapter_mb);
-            lost += value;
+            lost_demand += value;
             victims.push(model.clone());
-            if freed_mb >= lacking_mb {
-                return Some((victims, lost));
+            if freed_mb >= missing_mb {
+                return Some((victims, lost_demand));
             }
         }
         None
@@ -381,30 +391,33 @@
         let is_idle = demand.waiting == 0
             && demand.running == 0
             && demand
-                .last_at
-                .is_none_or(|at| self.now.since(at) >= IDLE_MS);
+                .last_request_at
+                .is_none_or(|at| self.now.since(at) >= MIN_IDLE_MS);
         // A model in use stays, because its unload waits for running requests and the engine
         // refuses requests for it meanwhile. It may go if other engines hold it too, the new model
         // is on no engine, and nothing runs on this engine.
-        let is_spare = copies > 2 && need.copies == 0 && self.book.running_at(&engine.id) == 0;
+        let is_surplus = copies > 2 && need.copies == 0 && self.book.running_at(&engine.id) == 0;
         // A copy beyond what the demand needs serves few requests, which other copies can take.
-        let is_beyond = copies > held.wanted.max(1) && demand.running as usize <= copies;
-        let may_go = is_idle || is_spare || is_beyond;
+        let exceeds_demand = copies > held.target.max(1) && demand.running as usize <= copies;
+        let may_go = is_idle || is_surplus || exceeds_demand;
         may_go.then(|| demand.tokens_per_s / copies as f64)
     }
 
-    pub(super) fn blocked_adapters(&self, engine: &Engine) -> f64 {
+    /// Returns the cost of a load on an engine because it delays adapters there. Only models with
+    /// an adapter that gets more than 0.05 requests per second count.
+    pub(super) fn blocked_adapters_cost(&self, engine: &Engine) -> f64 {
         let in_demand = engine.copies.keys().filter(|model| {
-            let asks = self.book.iter();
-            asks.filter(|(ask, _)| ask.adapter.is_some() && ask.model == **model)
-                .any(|(_, asked)| asked.per_s(self.now) > 0.05)
+            let demands = self.book.iter();
+            demands
+                .filter(|(ask, _)| ask.adapter.is_some() && ask.model == **model)
+                .any(|(_, demand)| demand.requests_per_s(self.now) > 0.05)
         });
-        in_demand.count() as f64 * BLOCKED_ADAPTERS
+        in_demand.count() as f64 * BLOCKED_ADAPTERS_COST
     }
 
     /// Returns the prompt tokens per second that an engine is expected to read for the models on
     /// it.
-    pub(super) fn demand_at(&self, engine: &Engine, needs: &Needs<'_>) -> f64 {
+    pub(super) fn prompt_demand_at(&self, engine: &Engine, needs: &Needs<'_>) -> f64 {
         let needs = engine.copies.keys().filter_map(|model| needs.get(model));
         let shares = needs.map(|need| need.demand.tokens_per_s / need.copies.max(1) as f64);
         shares.sum()
@@ -418,7 +431,7 @@
 
 /// Returns the prompt tokens per second that an engine reads for a model.
 pub(super) fn prompt_speed(spec: &ModelSpec) -> f64 {
-    PROMPT_TOKENS_PER_S * LARGE_MB / spec.weights_mb.max(1.0)
+    LARGE_MODEL_PROMPT_TOKENS_PER_S * LARGE_MODEL_MB / spec.weights_mb.max(1.0)
 }
 
 /// Returns how long the load of a model on an engine takes, and where the weights come from. An
@@ -427,15 +440,15 @@
     let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
         return LoadTime::default();
     };
-    let is_at_hand = ledger
+    let is_cached = ledger
         .get(engine)
-        .is_some_and(|engine| engine.at_hand.contains(&ask.model));
+        .is_some_and(|engine| engine.cached_models.contains(&ask.model));
     LoadTime {
-        takes_ms: if is_at_hand {
+        takes_ms: if is_cached {
             model.from_disk_ms
         } else {
             model.load_ms
         },
-        from_store: !is_at_hand,
+        from_store: !is_cached,
     }
 }
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -14,7 +14,7 @@
 
 /// The most removed engines that are remembered, so that hosts which still know them are told. A
 /// host with an older version receives the full state.
-const MAX_GONE: usize = 256;
+const MAX_REMOVED: usize = 256;
 
 /// What one engine holds, as the orderer knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -42,13 +42,13 @@
 }
 
 #[derive(Clone, Debug)]
-struct Published {
+struct PublishedEngine {
     changed_at: u64,
     held: IndexSet<ModelAsk>,
 }
 
-impl Published {
-    fn is(&self, held: &[ModelAsk]) -> bool {
+impl PublishedEngine {
+    fn holds_exactly(&self, held: &[ModelAsk]) -> bool {
         held.len() == self.held.len() && held.iter().all(|ask| self.held.contains(ask))
     }
 }
@@ -58,8 +58,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct PublishedEngines {
     version: EnginesVersion,
-    engines: IndexMap<Lifetime, Published>,
-    gone: VecDeque<(u64, Lifetime)>,
+    engines: IndexMap<Lifetime, PublishedEngine>,
+    /// The engines that were removed, with the version of the removal, oldest first.
+    removed: VecDeque<(u64, Lifetime)>,
     /// From this version on, all changes are known.
     complete_from: u64,
 }
@@ -102,17 +103,17 @@
         let mut is_changed = false;
         for engine in &changes.gone {
             if self.engines.contains_key(engine) {
-                self.note_gone(next, engine);
+                self.record_removed(next, engine);
                 is_changed = true;
             }
         }
         for view in changes.views {
             let is_new = match self.engines.get(&view.engine) {
-                Some(known) => !known.is(&view.held),
+                Some(known) => !known.holds_exactly(&view.held),
                 None => !is_as_listed(&view),
             };
             if is_new {
-                let published = Published {
+                let published = PublishedEngine {
                     changed_at: next,
                     held: view.held.into_iter().collect(),
                 };
@@ -125,11 +126,11 @@
         }
     }
 
-    fn note_gone(&mut self, version: u64, engine: &Lifetime) {
+    fn record_removed(&mut self, version: u64, engine: &Lifetime) {
         self.engines.swap_remove(engine);
-        self.gone.push_back((version, engine.clone()));
-        if self.gone.len() > MAX_GONE
-            && let Some((version, _)) = self.gone.pop_front()
+        self.removed.push_back((version, engine.clone()));
+        if self.removed.len() > MAX_REMOVED
+            && let Some((version, _)) = self.removed.pop_front()
         {
             self.complete_from = self.complete_from.max(version);
         }
@@ -145,12 +146,15 @@
             };
         }
         let is_whole = known.0 != self.version.0 || known.1 < self.complete_from;
-        let is_news = |at: u64| is_whole || at > known.1;
+        let is_newer = |at: u64| is_whole || at > known.1;
         let changed = self
             .engines
             .iter()
-            .filter(|(_, engine)| is_news(engine.changed_at));
-        let gone = self.gone.iter().filter(|(at, _)| !is_whole && is_news(*at));
+            .filter(|(_, engine)| is_newer(engine.changed_at));
+        let removed = self
+            .removed
+            .iter()
+            .filter(|(at, _)| !is_whole && is_newer(*at));
         EnginesNews {
             version: self.version,
             is_whole,
@@ -160,7 +164,7 @@
                     held: published.held.iter().cloned().collect(),
                 })
                 .collect(),
-            gone: gone.map(|(_, engine)| engine.clone()).collect(),
+            gone: removed.map(|(_, engine)| engine.clone()).collect(),
         }
     }
 
@@ -181,10 +185,10 @@
             return;
         }
         for engine in &news.gone {
-            self.note_gone(version, engine);
+            self.record_removed(version, engine);
         }
         for EngineView { engine, held } in news.engines {
-            let published = Published {
+            let published = PublishedEngine {
                 changed_at: version,
                 held: held.into_iter().collect(),
             };
--- a/src/ordering/tests/ceiling.rs
+++ b/src/ordering/tests/ceiling.rs
@@ -11,7 +11,7 @@
 const ALLOWED: f64 = LOADS_PER_S * 5.0 * 1.1 + 3.0;
 
 #[test]
-fn loads_in_any_window_stay_under_the_bound_over_changes_of_the_holder() {
+fn load_starts_in_any_window_stay_below_the_limit_across_changes_of_the_holder() {
     arbtest::arbtest(|u| {
         let mut now = Millis(1_000_000);
         let mut ceiling = Ceiling::new(now, None);
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn a_store_that_serves_one_load_at_a_time_soon_gets_one_at_a_time() {
+fn the_limit_drops_to_one_for_a_store_that_serves_one_load_at_a_time() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    for under_way in [4, 3, 2] {
-        let took_ms = Millis(13_200 * under_way);
-        ceiling.note_done(took_ms, Millis(13_200), under_way as usize);
+    for concurrent in [4, 3, 2] {
+        let took_ms = Millis(13_200 * concurrent);
+        ceiling.note_done(took_ms, Millis(13_200), concurrent as usize);
     }
     assert_eq!(ceiling.at_once(), 1);
     assert!(ceiling.admits(Millis(100_000), 19.0, 0));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_load_that_is_overdue_lowers_the_loads_at_once_before_it_ends() {
+fn an_overdue_load_lowers_the_limit_before_it_ends() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     assert!(ceiling.admits(Millis(100_000), 19.0, 1));
     ceiling.note_overdue(Millis(13_500), Millis(13_200), 2);
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn a_load_alone_that_is_overdue_says_nothing_of_the_store() {
+fn a_single_overdue_load_does_not_lower_the_limit() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     ceiling.note_overdue(Millis(60_000), Millis(13_200), 1);
     assert_eq!(ceiling.at_once(), 2);
 }
 
 #[test]
-fn two_loads_at_full_speed_are_enough_for_the_usual_number_at_once() {
+fn the_limit_reaches_the_typical_number_after_few_loads_at_full_speed() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     ceiling.note_done(Millis(6_200), Millis(6_000), 2);
     ceiling.note_done(Millis(6_200), Millis(6_000), 2);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_new_holder_goes_on_with_what_the_former_one_learned() {
+fn a_new_holder_starts_with_the_limit_that_its_predecessor_learned() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     assert_eq!(ceiling.learned_at_once(), None);
     ceiling.note_overdue(Millis(15_400), Millis(13_200), 2);
@@ -90,17 +90,17 @@
 }
 
 #[test]
-fn a_store_that_keeps_its_speed_gets_more_at_once() {
+fn the_limit_grows_while_loads_run_at_full_speed() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     for _ in 0..20 {
-        let under_way = ceiling.at_once();
-        ceiling.note_done(Millis(6_200), Millis(6_000), under_way);
+        let concurrent = ceiling.at_once();
+        ceiling.note_done(Millis(6_200), Millis(6_000), concurrent);
     }
     assert!(ceiling.at_once() >= 7);
 }
 
 #[test]
-fn one_late_load_does_not_leave_the_store_idle() {
+fn one_late_load_lowers_the_limit_only_for_a_while() {
     let mut ceiling = Ceiling::new(Millis::ZERO, Some(4));
     // The engine itself was slow: the load took as long as with ten concurrent loads.
     ceiling.note_done(Millis(15_000), Millis(6_000), 4);
@@ -114,7 +114,7 @@
 /// Regression test: a store that serves thousands of engines received only two loads at a time at
 /// first.
 #[test]
-fn a_store_with_a_high_rate_gets_many_loads_at_once_from_the_start() {
+fn a_store_with_a_high_rate_gets_many_concurrent_loads_from_the_start() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     assert!(ceiling.admits(Millis(10_000), 2_800.0, 80));
     assert!(!ceiling.admits(Millis(10_000), 2_800.0, 90));
@@ -126,7 +126,7 @@
 
 /// Regression test: the stated rate was taken for the number of concurrent loads at full speed.
 #[test]
-fn a_store_that_serves_few_loads_in_spite_of_its_rate_soon_gets_few() {
+fn the_limit_drops_for_a_store_that_serves_few_concurrent_loads_despite_a_high_rate() {
     let mut ceiling = Ceiling::new(Millis::ZERO, None);
     assert!(ceiling.admits(Millis(10_000), 2_800.0, 80));
     let served_at_once = 4;
--- a/src/ordering/tests/fake_engine.rs
+++ b/src/ordering/tests/fake_engine.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the lifetime of an engine that does not report its start.
-pub fn only_start(id: Name) -> Lifetime {
+pub fn unknown_start(id: Name) -> Lifetime {
     Lifetime {
         id,
         born_at: Millis::ZERO,
--- a/src/ordering/tests/gather.rs
+++ b/src/ordering/tests/gather.rs
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn no_request_is_lost_or_counted_twice_on_the_way_through_a_relay() {
+fn no_request_is_lost_or_counted_twice_by_a_relay() {
     seeded(200, |u| {
         let mut relay = Gather::default();
-        let (mut given, mut told) = (Vec::new(), Vec::new());
+        let (mut reported, mut passed_on) = (Vec::new(), Vec::new());
         let mut newest: IndexMap<u64, Vec<(ModelAsk, AskCount)>> = IndexMap::new();
         let mut now = Millis(1_000);
         for _ in 0..30 {
@@ -50,11 +50,11 @@
                     ..HostReport::default()
                 };
                 relay.take(now, host, report);
-                given.push(demand.clone());
+                reported.push(demand.clone());
                 newest.insert(host, demand);
             } else {
                 let own = demand(u)?;
-                given.push(own.clone());
+                reported.push(own.clone());
                 let sum = relay.take_demand(now, own.clone());
                 let mut present: Vec<_> = newest.values().cloned().collect();
                 present.push(own);
@@ -64,23 +64,23 @@
                     sum_of(&present, now_present),
                     "what waits and runs is that of each host's last message"
                 );
-                told.push(sum);
+                passed_on.push(sum);
             }
         }
-        told.push(relay.take_demand(now, Vec::new()));
+        passed_on.push(relay.take_demand(now, Vec::new()));
         for of in [
             |count: &AskCount| u64::from(count.asked),
             |count: &AskCount| u64::from(count.long),
             |count: &AskCount| count.tokens,
         ] {
-            assert_eq!(sum_of(&told, of), sum_of(&given, of));
+            assert_eq!(sum_of(&passed_on, of), sum_of(&reported, of));
         }
         Ok(())
     });
 }
 
 #[test]
-fn a_host_is_told_the_work_of_the_others_only_and_a_silent_one_counts_no_more() {
+fn request_load_excludes_the_asking_host_and_hosts_that_stopped_reporting() {
     let mut relay = Gather::default();
     let work = |running| {
         let work = Work {
--- a/src/ordering/tests/lease.rs
+++ b/src/ordering/tests/lease.rs
@@ -11,22 +11,22 @@
 const ENGINE_LEASE_MS: Millis = Millis(3_000);
 const HOSTS: usize = 3;
 
-fn member(host: usize, life: u64) -> Member {
+fn member(host: usize, restarts: u64) -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + host as u16));
     Member {
         caller_address: address,
         peer_address: address,
         data_centre: "here".into(),
-        incarnation: (host as u64) << 32 | life,
+        incarnation: (host as u64) << 32 | restarts,
         fingerprint: "".into(),
         cpu_millicores: 0,
     }
 }
 
 /// An append on its way to the lease stream. It may arrive late, and its answer may be lost.
-struct Flight {
+struct PendingAppend {
     host: usize,
-    life: u64,
+    restarts: u64,
     sent_at: Millis,
     end: Offset,
     record: LeaseRecord,
@@ -38,8 +38,8 @@
     now: Millis,
     log: Vec<LeaseRecord>,
     leases: Vec<Lease>,
-    lives: Vec<u64>,
-    flights: Vec<Flight>,
+    restarts: Vec<u64>,
+    in_flight: Vec<PendingAppend>,
     last_order: Option<(usize, u64, Millis)>,
     orders: usize,
     takeovers: usize,
@@ -50,13 +50,13 @@
         Self {
             now: Millis(1_000_000),
             leases: (0..HOSTS).map(|_| Lease::default()).collect(),
-            lives: vec![0; HOSTS],
+            restarts: vec![0; HOSTS],
             ..Self::default()
         }
     }
 
     fn me(&self, host: usize) -> Member {
-        member(host, self.lives[host])
+        member(host, self.restarts[host])
     }
 
     fn end(&self) -> Offset {
@@ -92,9 +92,9 @@
     }
 
     fn send(&mut self, host: usize, end: Offset, record: LeaseRecord, is_claim: bool) {
-        self.flights.push(Flight {
+        self.in_flight.push(PendingAppend {
             host,
-            life: self.lives[host],
+            restarts: self.restarts[host],
             sent_at: self.now,
             end,
             record,
@@ -102,24 +102,24 @@
         });
     }
 
-    /// Delivers an append. `is_heard` is whether the sender receives the answer.
-    fn land(&mut self, flight: usize, is_heard: bool) {
-        let flight = self.flights.remove(flight);
-        let fits = flight.end == self.end();
+    /// Delivers an append. `is_answered` is whether the sender receives the answer.
+    fn deliver(&mut self, append: usize, is_answered: bool) {
+        let append = self.in_flight.remove(append);
+        let fits = append.end == self.end();
         let offset = self.end();
         if fits {
-            self.log.push(flight.record.clone());
+            self.log.push(append.record.clone());
         }
-        let is_alive = self.lives[flight.host] == flight.life;
-        if !is_heard || !is_alive || flight.record.released {
+        let is_alive = self.restarts[append.host] == append.restarts;
+        if !is_answered || !is_alive || append.record.released {
             return;
         }
-        let lease = &mut self.leases[flight.host];
-        match (fits, flight.is_claim) {
+        let lease = &mut self.leases[append.host];
+        match (fits, append.is_claim) {
             (true, true) => {
-                lease.note_claimed(flight.sent_at, offset, flight.record, ENGINE_LEASE_MS);
+                lease.note_claimed(append.sent_at, offset, append.record, ENGINE_LEASE_MS);
             }
-            (true, false) => lease.note_renewed(flight.sent_at, offset),
+            (true, false) => lease.note_renewed(append.sent_at, offset),
             (false, true) => {}
             (false, false) => {
                 let newest = self
@@ -139,14 +139,14 @@
         }
     }
 
-    fn hear_resignation(&mut self, from: usize, to: usize) {
+    fn deliver_resignation(&mut self, from: usize, to: usize) {
         if let Some(resignation) = self.leases[from].resignation(self.now) {
             self.leases[to].note_resigned(self.now, resignation);
         }
     }
 
     fn restart(&mut self, host: usize) {
-        self.lives[host] += 1;
+        self.restarts[host] += 1;
         self.leases[host] = Lease::default();
     }
 
@@ -184,15 +184,15 @@
         4..=6 => world.claim(host),
         7..=9 => world.renew(host),
         10..=12 => world.order(host),
-        13..=16 if !world.flights.is_empty() => {
-            let flight = u.choose_index(world.flights.len())?;
-            let is_heard = u.ratio(4, 5)?;
-            world.land(flight, is_heard);
+        13..=16 if !world.in_flight.is_empty() => {
+            let append = u.choose_index(world.in_flight.len())?;
+            let is_answered = u.ratio(4, 5)?;
+            world.deliver(append, is_answered);
         }
         17 if u.ratio(1, 6)? => world.restart(host),
         18 if u.ratio(1, 6)? => world.release(host),
         19 => world.resign(host),
-        20 => world.hear_resignation(host, u.choose_index(HOSTS)?),
+        20 => world.deliver_resignation(host, u.choose_index(HOSTS)?),
         _ => {
             // A long step stands for a host that is paused while the others continue.
             let most = if u.ratio(1, 8)? { 4_000 } else { 300 };
@@ -214,20 +214,20 @@
 
 /// As [`drive`], with additional statements of holders about the end of the stream, which arrive
 /// late or never.
-fn drive_with_words(
+fn drive_with_statements(
     u: &mut arbtest::arbitrary::Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<(usize, usize)> {
     let mut world = World::new();
-    let mut words: Vec<Offset> = Vec::new();
+    let mut statements: Vec<Offset> = Vec::new();
     for _ in 0..u.int_in_range(0..=400u16)? {
         let host = u.choose_index(HOSTS)?;
         match u.int_in_range(0..=7u8)? {
             0 => {
                 let holding = world.leases[host].holding();
-                words.extend(holding.map(|holding| holding.end));
+                statements.extend(holding.map(|holding| holding.end));
             }
-            1 if !words.is_empty() => {
-                let end = words.swap_remove(u.choose_index(words.len())?);
+            1 if !statements.is_empty() => {
+                let end = statements.swap_remove(u.choose_index(statements.len())?);
                 world.leases[host].note_told_end(world.now, end);
             }
             _ => step(&mut world, u)?,
@@ -237,8 +237,9 @@
 }
 
 #[test]
-fn words_of_the_holder_let_no_two_hosts_order_within_the_engines_lease_time() {
-    let (orders, takeovers): (Vec<_>, Vec<_>) = seeded(4_000, drive_with_words).into_iter().unzip();
+fn no_two_hosts_order_within_the_engines_lease_time_when_holders_report_the_end_of_the_stream() {
+    let (orders, takeovers): (Vec<_>, Vec<_>) =
+        seeded(4_000, drive_with_statements).into_iter().unzip();
     assert!(orders.iter().sum::<usize>() > 1_000);
     assert!(takeovers.iter().sum::<usize>() > 30);
 }
@@ -252,77 +253,77 @@
 }
 
 #[test]
-fn the_first_holder_of_an_empty_log_orders_at_once() {
+fn the_first_holder_on_an_empty_stream_may_order_immediately() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
-    world.land(0, true);
+    world.deliver(0, true);
     assert!(world.leases[0].may_order(world.now));
 }
 
 #[test]
-fn a_renewal_without_an_answer_keeps_the_lease_but_does_not_prolong_it() {
+fn an_unacknowledged_renewal_keeps_the_lease_but_does_not_extend_it() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
-    world.land(0, true);
+    world.deliver(0, true);
     world.now += Millis(1_000);
     world.renew(0);
-    world.land(0, false);
+    world.deliver(0, false);
     world.now += Millis(900);
     world.renew(0);
-    world.land(0, true);
+    world.deliver(0, true);
     assert!(world.leases[0].holding().is_some());
     world.now += Millis(200);
     assert!(!world.leases[0].may_order(world.now));
     world.renew(0);
-    world.land(0, true);
+    world.deliver(0, true);
     assert!(world.leases[0].may_order(world.now));
 }
 
 #[test]
-fn a_resigned_holder_is_replaced_after_the_engines_lease_time() {
+fn a_successor_orders_after_a_resignation_and_the_engines_lease_time() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
-    world.land(0, true);
+    world.deliver(0, true);
     world.now += Millis(1_950);
     world.order(0);
     world.resign(0);
     assert!(!world.leases[0].may_order(world.now));
     world.read(1);
-    world.hear_resignation(0, 1);
+    world.deliver_resignation(0, 1);
     world.claim(1);
-    world.land(0, true);
+    world.deliver(0, true);
     world.now += ENGINE_LEASE_MS + Millis(300);
     world.renew(1);
-    world.land(0, true);
+    world.deliver(0, true);
     world.order(1);
     assert_eq!(world.takeovers, 1);
 }
 
 #[test]
-fn a_released_lease_is_claimed_without_waiting_for_silence() {
+fn a_released_lease_can_be_claimed_before_the_stream_was_unchanged_for_long() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
-    world.land(0, true);
+    world.deliver(0, true);
     world.release(0);
-    world.land(0, true);
+    world.deliver(0, true);
     world.now += Millis(10);
     world.read(1);
     world.claim(1);
-    world.land(0, true);
+    world.deliver(0, true);
     assert!(world.leases[1].holding().is_some());
     assert!(!world.leases[1].may_order(world.now));
     world.now += ENGINE_LEASE_MS + Millis(300);
     world.renew(1);
-    world.land(0, true);
+    world.deliver(0, true);
     assert!(world.leases[1].may_order(world.now));
 }
 
 #[test]
-fn a_few_members_are_the_first_to_claim_and_a_host_without_a_list_is_one() {
+fn only_a_few_members_are_candidates_and_so_is_a_host_with_an_empty_list() {
     let host = |incarnation| test_support::member(incarnation, "here", 120);
     let members: Vec<Member> = [50, 10, 90, 20, 70].map(host).into();
     let first: Vec<u64> = members
@@ -337,7 +338,7 @@
 /// Regression test: while the member list named only the first of hundreds of new hosts, all of
 /// them read and claimed the lease.
 #[test]
-fn of_a_thousand_hosts_that_start_those_that_are_not_listed_do_not_claim() {
+fn unlisted_hosts_are_no_candidates_while_a_thousand_hosts_start() {
     let hosts: Vec<Member> = (0..1_000)
         .map(|n| test_support::member(n, "a", 120))
         .collect();
@@ -350,7 +351,7 @@
 
 /// Planning for a hundred engines keeps an eighth of a core busy.
 #[test]
-fn hosts_with_the_most_processor_are_the_first_to_claim() {
+fn hosts_with_the_most_processor_capacity_are_the_candidates() {
     let member = test_support::member;
     let members = [
         member(1, "a", 120),
@@ -372,33 +373,33 @@
 /// stream has been unchanged since then. If it counted only from its own first read, it would wait
 /// for a second longer.
 #[test]
-fn a_host_that_heard_the_holder_counts_from_its_last_word() {
+fn a_host_may_claim_counting_from_the_holders_last_statement() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
-    world.land(0, true);
+    world.deliver(0, true);
     let end = world.leases[0].end().expect("a claimed lease");
-    let told_at = world.now;
-    world.leases[1].note_told_end(told_at, end);
-    assert!(!world.leases[1].is_worth_reading(told_at + Millis(1_000)));
-    assert!(world.leases[1].is_worth_reading(told_at + Millis(1_900)));
-    world.now = told_at + Millis(2_300);
+    let stated_at = world.now;
+    world.leases[1].note_told_end(stated_at, end);
+    assert!(!world.leases[1].is_worth_reading(stated_at + Millis(1_000)));
+    assert!(world.leases[1].is_worth_reading(stated_at + Millis(1_900)));
+    world.now = stated_at + Millis(2_300);
     world.read(1);
     assert_eq!(world.leases[1].may_claim(world.now), Some(end));
     world.claim(1);
-    world.land(0, true);
+    world.deliver(0, true);
     // The holder's last record was sent before its statement. Engines accept another host only
     // after their lease time on top of the holder's validity.
-    world.now = told_at + Millis(2_000) + ENGINE_LEASE_MS;
+    world.now = stated_at + Millis(2_000) + ENGINE_LEASE_MS;
     assert!(!world.leases[1].may_order(world.now));
 }
 
 #[test]
-fn a_word_that_is_older_than_what_was_read_changes_nothing() {
+fn a_reported_end_that_is_not_newer_than_the_last_read_is_ignored() {
     let mut world = World::new();
     world.read(0);
     world.claim(0);
-    world.land(0, true);
+    world.deliver(0, true);
     world.read(1);
     let end = world.leases[1].end().expect("a stream that was read");
     world.leases[1].note_told_end(world.now + Millis(500), end);
--- a/src/ordering/tests/ledger.rs
+++ b/src/ordering/tests/ledger.rs
@@ -5,9 +5,9 @@
 use crate::entry::platform::ModelAsk;
 use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
-use crate::ordering::census::Census;
 use crate::ordering::copy::LoadTime;
 use crate::ordering::demand::AskCount;
+use crate::ordering::engine_index::EngineIndex;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::ledger::Ledger;
 use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
@@ -37,9 +37,9 @@
     book: Book,
     ceiling: Ceiling,
     /// Orders on their way to an engine, each with whether its sender still waits for the answer.
-    flights: Vec<(Name, Order, bool)>,
+    in_flight: Vec<(Name, Order, bool)>,
     /// The engines' state as a host knows it that receives changes only.
-    told: IndexMap<Lifetime, IndexSet<ModelAsk>>,
+    published: IndexMap<Lifetime, IndexSet<ModelAsk>>,
 }
 
 impl World {
@@ -60,29 +60,29 @@
             ledger: Ledger::default(),
             book: Book::default(),
             ceiling: Ceiling::new(Millis(900_000), None),
-            flights: Vec::new(),
-            told: IndexMap::new(),
+            in_flight: Vec::new(),
+            published: IndexMap::new(),
         }
     }
 
     /// Compares the index with a full count over all engines, and the state that hosts were sent
     /// with that of the engines.
-    fn check_kept_counts(&mut self) {
-        let mut census = Census::default();
+    fn check_derived_state(&mut self) {
+        let mut index = EngineIndex::default();
         for engine in self.ledger.iter() {
-            census.add(engine);
+            index.add(engine);
         }
-        assert_eq!(self.ledger.census("s"), census.of("s"));
-        assert_eq!(self.ledger.store_loads(), census.store_loads());
+        assert_eq!(self.ledger.census("s"), index.service("s"));
+        assert_eq!(self.ledger.store_loads(), index.store_loads());
         let loading = self.ledger.loading().map(|engine| &engine.id);
-        let counted: IndexSet<&Name> = census.loading().collect();
+        let counted: IndexSet<&Name> = index.loading().collect();
         assert_eq!(loading.collect::<IndexSet<_>>(), counted);
         let changes = self.ledger.take_changes(self.now);
         for engine in &changes.gone {
-            self.told.swap_remove(engine);
+            self.published.swap_remove(engine);
         }
         for view in changes.views {
-            self.told
+            self.published
                 .insert(view.engine, view.held.into_iter().collect());
         }
         let known = self.ledger.iter().filter(|engine| engine.is_known);
@@ -90,7 +90,7 @@
         let held: IndexMap<Lifetime, IndexSet<ModelAsk>> = views
             .map(|view| (view.engine, view.held.into_iter().collect()))
             .collect();
-        assert_eq!(self.told, held);
+        assert_eq!(self.published, held);
     }
 
     fn plan(&mut self) {
@@ -126,33 +126,33 @@
             );
         }
         for (id, order) in self.ledger.due(self.now) {
-            self.flights.push((id, order, true));
+            self.in_flight.push((id, order, true));
         }
     }
 
-    fn land(&mut self, flight: usize, is_heard: bool) {
-        let (id, order, is_waited_for) = self.flights.remove(flight);
+    fn deliver(&mut self, index: usize, is_answered: bool) {
+        let (id, order, sender_waits) = self.in_flight.remove(index);
         let answer = self.engines[&id].order(self.now, &order);
-        if is_waited_for {
-            let answer = if is_heard {
+        if sender_waits {
+            let answer = if is_answered {
                 answer
             } else {
                 OrderAnswer::Silent
             };
-            self.tell(&id, &order, answer);
+            self.record_answer(&id, &order, answer);
         }
     }
 
     /// Lets the sender of an order time out while the order is still on its way.
-    fn time_out(&mut self, flight: usize) {
-        let (id, order, is_waited_for) = self.flights[flight].clone();
-        self.flights[flight].2 = false;
-        if is_waited_for {
-            self.tell(&id, &order, OrderAnswer::Silent);
+    fn time_out(&mut self, index: usize) {
+        let (id, order, sender_waits) = self.in_flight[index].clone();
+        self.in_flight[index].2 = false;
+        if sender_waits {
+            self.record_answer(&id, &order, OrderAnswer::Silent);
         }
     }
 
-    fn tell(&mut self, id: &Name, order: &Order, answer: OrderAnswer) {
+    fn record_answer(&mut self, id: &Name, order: &Order, answer: OrderAnswer) {
         let spec = spec(CAPACITY_MB, &SIZES_MB);
         let load = load_time(&spec, &self.ledger, id, &order.ask);
         self.ledger.take_answer(self.now, id, order, answer, load);
@@ -175,14 +175,14 @@
     ) -> arbtest::arbitrary::Result<()> {
         match u.int_in_range(0..=11u8)? {
             0..=2 => self.plan(),
-            3..=5 if !self.flights.is_empty() => {
-                let flight = u.choose_index(self.flights.len())?;
-                let is_heard = u.ratio(3, 4)?;
-                self.land(flight, is_heard);
+            3..=5 if !self.in_flight.is_empty() => {
+                let index = u.choose_index(self.in_flight.len())?;
+                let is_answered = u.ratio(3, 4)?;
+                self.deliver(index, is_answered);
             }
-            6 if !self.flights.is_empty() => {
-                let flight = u.choose_index(self.flights.len())?;
-                self.time_out(flight);
+            6 if !self.in_flight.is_empty() => {
+                let index = u.choose_index(self.in_flight.len())?;
+                self.time_out(index);
             }
             7..=8 => {
                 let engine = u.choose_index(self.engines.len())?;
@@ -192,8 +192,10 @@
                 // A new holder of the lease does not know its predecessor's orders.
                 if u.ratio(1, 10)? {
                     self.ledger = Ledger::default();
-                    self.told.clear();
-                    self.flights.iter_mut().for_each(|flight| flight.2 = false);
+                    self.published.clear();
+                    self.in_flight
+                        .iter_mut()
+                        .for_each(|flight| flight.2 = false);
                 }
             }
             10 => {
@@ -212,7 +214,7 @@
             }
             _ => self.now += Millis(u.int_in_range(1..=900u64)?),
         }
-        self.check_kept_counts();
+        self.check_derived_state();
         Ok(())
     }
 
@@ -231,21 +233,21 @@
         self.engines[engine].restart(born_at);
         // Of the calls on their way, only the newest may still be carried out: the earlier ones
         // ended before it started.
-        let newest = self.flights.iter().rposition(|(to, ..)| *to == id);
+        let newest = self.in_flight.iter().rposition(|(to, ..)| *to == id);
         let mut at = 0;
-        self.flights.retain(|(to, ..)| {
+        self.in_flight.retain(|(to, ..)| {
             let stays = *to != id || Some(at) == newest;
             at += 1;
             stays
         });
     }
 
-    fn list(&mut self, engine: usize) {
+    fn update_list(&mut self, engine: usize) {
         let (id, engine) = self.engines.get_index(engine).expect("a fake engine");
         self.listed.insert(id.clone(), engine.born_at);
     }
 
-    fn take_old(&mut self, engine: usize, report: EngineReport) {
+    fn report_late(&mut self, engine: usize, report: EngineReport) {
         let id = self
             .engines
             .get_index(engine)
@@ -281,11 +283,11 @@
                 world.restart(engine, Millis(u.int_in_range(1..=3u64)?));
                 restarts += 1;
             }
-            1 => world.list(engine),
+            1 => world.update_list(engine),
             2 => old_reports.push((engine, world.engines[engine].report(world.now))),
             3 if !old_reports.is_empty() => {
                 let (engine, report) = old_reports.swap_remove(u.choose_index(old_reports.len())?);
-                world.take_old(engine, report);
+                world.report_late(engine, report);
             }
             _ => world.step(u)?,
         }
@@ -294,14 +296,14 @@
 }
 
 #[test]
-fn engines_are_never_told_to_hold_more_than_they_can() {
+fn orders_never_exceed_the_capacity_of_engines() {
     let loads: usize = seeded(2_000, drive).into_iter().sum();
     // Checks that the generated interleavings contain loads.
     assert!(loads > 2_000, "{loads} loads");
 }
 
 #[test]
-fn engines_that_start_again_under_their_name_are_never_told_to_hold_more_than_they_can() {
+fn orders_never_exceed_the_capacity_of_restarted_engines() {
     let (restarts, loads): (Vec<usize>, Vec<usize>) =
         seeded(2_000, drive_restarts).into_iter().unzip();
     assert!(restarts.iter().sum::<usize>() > 1_000);
@@ -310,7 +312,7 @@
 
 /// Regression test: the number of report calls grew with the number of engines.
 #[test]
-fn reports_of_idle_engines_are_spread_and_do_not_hold_up_those_that_are_waited_for() {
+fn reports_of_idle_engines_are_spread_and_do_not_delay_awaited_ones() {
     let engines = 2_000;
     let now = Millis(1_000_000);
     let id = |n: usize| Name::from(format!("e{n}"));
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 #[test]
-fn an_adapter_goes_to_an_engine_with_its_model_and_the_oldest_makes_way() {
+fn an_adapter_is_loaded_beside_its_model_and_replaces_the_least_recently_requested() {
     let mut site = Site::new(spec(200.0, &[50.0]), &[&["m0"]]);
     for (n, name) in ["a0", "a1", "a2"].iter().enumerate() {
         let at = NOW - Millis(9_000) + Millis(n as u64 * 1_000);
-        site.ask(1, at, &[(adapter("m0", name), waiting(1))]);
+        site.request(1, at, &[(adapter("m0", name), waiting(1))]);
         let planned = site.next(NOW).expect("a plan");
         assert_eq!(planned.ask, adapter("m0", name));
         let order = site
@@ -22,7 +22,7 @@
             LoadTime::default(),
         );
     }
-    site.ask(1, NOW, &[(adapter("m0", "a3"), waiting(1))]);
+    site.request(1, NOW, &[(adapter("m0", "a3"), waiting(1))]);
     let planned = site.next(NOW).expect("a plan");
     assert_eq!(
         (planned.action, planned.ask),
@@ -32,21 +32,21 @@
 
 /// While the orderer is lost for some seconds, callers may request one adapter after the other.
 #[test]
-fn adapters_are_brought_before_anyone_asks_as_long_as_places_are_free() {
+fn adapters_are_prefetched_into_free_slots() {
     let mut spec = spec(80_000.0, &[30_000.0, 30_000.0]);
     for (model, count) in [("m0", 5), ("m1", 2)] {
         let names = (1..=count).map(|n| Name::from(format!("a{n}")));
         spec.models[model].adapters = names.collect();
     }
     let mut site = Site::new(spec, &[&["m0"], &["m0"], &["m1"]]);
-    let asked = AskCount {
+    let count = AskCount {
         asked: 1,
         ..AskCount::default()
     };
-    site.ask(1, NOW, &[(adapter("m0", "a4"), asked)]);
+    site.request(1, NOW, &[(adapter("m0", "a4"), count)]);
     let first = site.next(NOW).expect("an order");
     assert_eq!(first.ask, adapter("m0", "a4"));
-    let mut brought = IndexSet::new();
+    let mut loaded = IndexSet::new();
     for step in 0..40 {
         let now = NOW + Millis(20 * step);
         while let Some(planned) = site.next(now) {
@@ -64,12 +64,12 @@
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
             site.ledger.take_answer(now, &engine, &order, answer, load);
-            assert!(brought.insert(ask), "each adapter is loaded once");
+            assert!(loaded.insert(ask), "each adapter is loaded once");
         }
     }
     // Each engine has three slots, of which one stays free: four of the five adapters of m0 and
     // both of m1 are loaded.
-    assert_eq!(brought.len(), 6);
+    assert_eq!(loaded.len(), 6);
     for engine in site.ledger.iter() {
         assert!(engine.adapters.len() <= 2);
     }
@@ -77,19 +77,19 @@
 
 /// Regression test: an adapter counted as available because an engine that is leaving holds it.
 #[test]
-fn an_adapter_on_a_leaving_engine_alone_is_brought_to_another() {
+fn an_adapter_that_only_a_leaving_engine_holds_is_loaded_on_another() {
     let mut site = Site::new(spec(200.0, &[50.0]), &[&["m0"], &["m0"]]);
-    let asked = adapter("m0", "a0");
+    let requested = adapter("m0", "a0");
     let order = site
         .ledger
-        .begin(NOW, "e0", Action::Load, asked.clone(), None);
+        .begin(NOW, "e0", Action::Load, requested.clone(), None);
     let order = order.expect("a known engine");
     let (answer, load) = (OrderAnswer::Accepted, LoadTime::default());
     site.ledger.take_answer(NOW, "e0", &order, answer, load);
-    site.ask(1, NOW, &[(asked.clone(), waiting(1))]);
+    site.request(1, NOW, &[(requested.clone(), waiting(1))]);
     assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
     let planner = planner(NOW, &site.spec, &site.ledger, &site.book, &leaving);
     let planned = planner.next(&mut site.ceiling).expect("callers wait");
-    assert_eq!((planned.ask, &*planned.engine), (asked, "e1"));
+    assert_eq!((planned.ask, &*planned.engine), (requested, "e1"));
 }
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_busy_model_gets_more_engines() {
+fn a_busy_model_gets_more_copies() {
     let mut site = Site::new(spec(100.0, &[34_000.0]), &[&["m0"], &[], &[], &[]]);
     site.spec.weights_mb = 40_000.0;
     for step in 0..20 {
@@ -15,7 +15,7 @@
             running: 3,
             tokens: 6_000,
         };
-        site.ask(1, at, &[(model("m0"), count)]);
+        site.request(1, at, &[(model("m0"), count)]);
     }
     let planned = site.plan_all();
     assert_eq!(planned.len(), 1, "at most half of the engines");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_copy_at_an_engine_that_runs_requests_does_not_make_way() {
+fn a_copy_is_not_unloaded_from_an_engine_that_runs_requests() {
     let spec = spec(60.0, &[50.0, 50.0]);
     let mut site = Site::new(spec, &[&["m0"], &["m0"], &["m0"]]);
     let running = AskCount {
@@ -39,9 +39,9 @@
     };
     let at_work = vec![work("e0"), work("e1"), work("e2")];
     let demand = vec![(model("m0"), running), (model("m1"), waiting(3))];
-    site.tell(1, NOW, demand.clone(), at_work);
+    site.report(1, NOW, demand.clone(), at_work);
     assert_eq!(site.next(NOW), None);
-    site.tell(1, NOW, demand, vec![work("e0"), work("e2")]);
+    site.report(1, NOW, demand, vec![work("e0"), work("e2")]);
     let planned = site.next(NOW).expect("a plan");
     assert_eq!((planned.action, &*planned.engine), (Action::Unload, "e1"));
 }
@@ -50,19 +50,19 @@
 /// read quickly. With 24 slots per engine, 150 requests running on five engines had half of their
 /// first events late.
 #[test]
-fn a_model_gets_copies_for_the_slots_that_its_requests_keep() {
+fn a_model_gets_copies_for_the_slots_that_its_requests_occupy() {
     let copies = |running| {
         let mut engines: [&[&str]; 10] = [&[]; 10];
         engines[0] = &["m0"];
         let mut site = Site::new(spec(60.0, &[50.0]), &engines);
         site.spec.slots = 24;
-        (1..10).for_each(|engine| site.has_at_hand(engine, "m0"));
+        (1..10).for_each(|engine| site.set_cached(engine, "m0"));
         let busy = AskCount {
             asked: 10,
             running,
             ..waiting(0)
         };
-        site.ask(1, NOW, &[(model("m0"), busy)]);
+        site.request(1, NOW, &[(model("m0"), busy)]);
         1 + site.plan_all().len()
     };
     // Slots are used up to a fraction of 0.6, and at most half of the engines get copies of one
@@ -77,7 +77,7 @@
 /// few seconds, and the engines of formerly busy models are never idle, because they run requests
 /// of other models.
 #[test]
-fn a_copy_beyond_what_its_demand_needs_makes_way_for_a_busier_model() {
+fn a_copy_that_its_demand_does_not_need_is_unloaded_for_a_busier_model() {
     let engines: [&[&str]; 4] = [&["m0", "m1"], &["m1"], &["m1"], &["m1"]];
     let mut site = Site::new(spec(110.0, &[50.0, 50.0, 50.0]), &engines);
     site.spec.slots = 24;
@@ -95,7 +95,7 @@
         (Name::from(format!("e{n}")), work)
     };
     let demand = vec![(model("m0"), counts(40)), (model("m1"), counts(4))];
-    site.tell(1, NOW, demand, (0..4).map(work).collect());
+    site.report(1, NOW, demand, (0..4).map(work).collect());
     site.spec.weights_mb = 60.0;
     let planned = site.next(NOW).expect("an order");
     assert_eq!((planned.action, planned.ask), (Action::Unload, model("m1")));
@@ -104,7 +104,7 @@
 
 /// Another copy of a busy model does not help on an engine without free slots.
 #[test]
-fn an_extra_copy_goes_to_an_engine_with_free_slots() {
+fn another_copy_is_loaded_on_an_engine_with_free_slots() {
     let engines: [&[&str]; 4] = [&["m0"], &["m1"], &["m1"], &["m1"]];
     let mut site = Site::new(spec(110.0, &[50.0, 50.0]), &engines);
     site.spec.slots = 24;
@@ -122,7 +122,7 @@
     };
     let demand = vec![(model("m0"), counts(20)), (model("m1"), counts(22))];
     let used = vec![work(0, 20), work(1, 22), work(2, 0), work(3, 22)];
-    site.tell(1, NOW, demand, used);
+    site.report(1, NOW, demand, used);
     let planned = site.next(NOW).expect("an order");
     assert_eq!((planned.action, planned.ask), (Action::Load, model("m0")));
     assert_eq!(&*planned.engine, "e2");
@@ -133,19 +133,19 @@
 /// engine's time for reading, far below the fraction from which another model would be unloaded for
 /// it.
 #[test]
-fn a_model_in_demand_gets_a_copy_in_free_memory_where_its_weights_are_at_hand() {
+fn a_busy_model_gets_another_copy_in_free_memory_where_its_weights_are_cached() {
     let engines: [&[&str]; 3] = [&["m0"], &[], &[]];
     let mut site = Site::new(spec(110.0, &[50.0]), &engines);
     site.spec.models["m0"].weights_mb = 34_000.0;
     site.spec.weights_mb = 83_000.0;
-    site.has_at_hand(2, "m0");
+    site.set_cached(2, "m0");
     let demand = AskCount {
         asked: 2,
         tokens: 18_000,
         running: 2,
         ..waiting(0)
     };
-    site.ask(1, NOW, &[(model("m0"), demand)]);
+    site.request(1, NOW, &[(model("m0"), demand)]);
     let planned = site.next(NOW).expect("an order");
     assert_eq!((planned.action, planned.ask), (Action::Load, model("m0")));
     assert_eq!(
@@ -157,7 +157,7 @@
 
 /// A copy on an engine that reads as many tokens for another model would not shorten any wait.
 #[test]
-fn a_copy_in_free_memory_does_not_go_to_an_engine_that_is_as_busy() {
+fn no_copy_is_loaded_into_free_memory_of_an_equally_busy_engine() {
     let engines: [&[&str]; 2] = [&["m0"], &["m1"]];
     let mut site = Site::new(spec(110.0, &[50.0, 50.0]), &engines);
     for name in ["m0", "m1"] {
@@ -179,7 +179,7 @@
         running: 2,
         ..waiting(0)
     };
-    site.ask(
+    site.request(
         1,
         NOW,
         &[(model("m0"), demand(18_000)), (model("m1"), demand(19_000))],
@@ -187,7 +187,7 @@
     assert_eq!(site.next(NOW), None);
     let mut later = Site::new(site.spec.clone(), &engines);
     later.ledger = site.ledger.clone();
-    later.ask(
+    later.request(
         1,
         NOW,
         &[(model("m0"), demand(18_000)), (model("m1"), demand(900))],
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn free_memory_is_filled_before_anyone_asks_and_each_model_once() {
+fn free_memory_is_filled_with_each_model_once_before_requests() {
     let mut site = Site::new(
         spec(100.0, &[50.0, 50.0, 50.0]),
         &[&["m0"], &["m0"], &["m0"]],
@@ -18,10 +18,10 @@
 }
 
 #[test]
-fn a_burst_at_many_hosts_loads_a_model_once() {
+fn a_burst_of_requests_at_many_hosts_loads_a_model_once() {
     let mut site = Site::new(spec(100.0, &[50.0, 60.0]), &[&["m0"], &["m0"], &["m0"]]);
     for host in 0..8 {
-        site.ask(host, NOW, &[(model("m1"), waiting(1))]);
+        site.request(host, NOW, &[(model("m1"), waiting(1))]);
     }
     let planned = site.plan_all();
     let orders: Vec<_> = planned
@@ -33,20 +33,20 @@
 }
 
 #[test]
-fn a_model_in_use_does_not_make_way_for_one_that_waits() {
+fn a_model_in_use_is_not_unloaded_for_a_requested_one() {
     let mut site = Site::new(spec(60.0, &[50.0, 50.0]), &[&["m0"]]);
     let running = AskCount {
         running: 2,
         ..waiting(0)
     };
-    site.ask(1, NOW, &[(model("m0"), running), (model("m1"), waiting(3))]);
+    site.request(1, NOW, &[(model("m0"), running), (model("m1"), waiting(3))]);
     assert_eq!(site.next(NOW), None);
 }
 
 #[test]
-fn what_is_asked_for_least_makes_way() {
+fn the_model_with_the_least_demand_is_unloaded() {
     let mut site = Site::new(spec(60.0, &[50.0, 50.0, 50.0]), &[&["m0"], &["m1"]]);
-    site.ask(
+    site.request(
         1,
         NOW - Millis(3_000),
         &[(
@@ -57,7 +57,7 @@
             },
         )],
     );
-    site.ask(
+    site.request(
         1,
         NOW - Millis(3_000),
         &[(
@@ -68,7 +68,7 @@
             },
         )],
     );
-    site.ask(1, NOW, &[(model("m2"), waiting(1))]);
+    site.request(1, NOW, &[(model("m2"), waiting(1))]);
     let planned = site.next(NOW).expect("a plan");
     assert_eq!(
         (planned.action, &*planned.ask.model),
@@ -78,7 +78,7 @@
 
 /// Many models take turns on one engine, whose disk caches the weights of a few.
 #[test]
-fn weights_that_an_engine_has_dropped_are_not_at_hand() {
+fn weights_that_an_engine_evicted_are_loaded_from_the_store() {
     let mut site = Site::new(spec(40_000.0, &[30_000.0, 30_000.0]), &[&["m0"], &[]]);
     let report = |order_count: u64, at_hand: &[&str]| EngineReport {
         order_count,
@@ -87,7 +87,7 @@
     };
     let e1: Name = "e1".into();
     site.ledger.take_report(NOW, &e1, Some(report(1, &["m1"])));
-    site.ask(1, NOW, &[(model("m1"), waiting(1))]);
+    site.request(1, NOW, &[(model("m1"), waiting(1))]);
     let planned = site.next(NOW).expect("an order");
     let load = |site: &Site| load_time(&site.spec, &site.ledger, &planned.engine, &planned.ask);
     assert!(!load(&site).from_store);
@@ -97,7 +97,7 @@
 
 /// Regression test: a crash took the only copy of a model although there was memory for many.
 #[test]
-fn where_engines_hold_all_models_many_times_over_each_is_on_two() {
+fn with_ample_memory_each_model_is_on_two_engines() {
     let (busy, seldom): (&[&str], &[&str]) = (&["m0"], &["m1"]);
     let held: Vec<&[&str]> = std::iter::repeat_n(busy, 31).chain([seldom]).collect();
     let mut site = Site::new(spec(100.0, &[100.0, 100.0]), &held);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn where_engines_hold_few_more_than_all_models_nothing_makes_way_for_a_second_copy() {
+fn without_ample_memory_nothing_is_unloaded_for_a_second_copy() {
     let held: Vec<&[&str]> = vec![&["m0"], &["m0"], &["m0"], &["m1"]];
     let mut site = Site::new(spec(100.0, &[100.0, 100.0]), &held);
     assert_eq!(site.plan_all(), []);
@@ -125,21 +125,21 @@
 /// Regression test: models without requests that could not be placed kept a requested model from
 /// getting another copy.
 #[test]
-fn models_that_nobody_asks_for_do_not_hold_up_those_that_are_asked_for() {
+fn models_without_requests_do_not_block_requested_ones() {
     let (busy, seldom, none): (&[&str], &[&str], &[&str]) = (&["m0"], &["m1"], &[]);
     let held = std::iter::repeat_n(busy, 130).chain([seldom, none]);
     let held: Vec<&[&str]> = held.collect();
     let mut site = Site::new(spec(100.0, &[100.0; 8]), &held);
-    site.has_at_hand(131, "m1");
+    site.set_cached(131, "m1");
     // The weight store admits no load now, so the six models that are on no engine cannot be
     // loaded.
     site.ceiling = Ceiling::new(NOW, None);
-    let asked = AskCount {
+    let count = AskCount {
         asked: 100,
         tokens: 900_000,
         ..AskCount::default()
     };
-    site.ask(1, NOW, &[(model("m1"), asked)]);
+    site.request(1, NOW, &[(model("m1"), count)]);
     let planned = site.next(NOW).expect("its weights are cached");
     assert_eq!((planned.ask, &*planned.engine), (model("m1"), "e131"));
 }
@@ -147,11 +147,11 @@
 /// Regression test: a model was loaded from the weight store because the engine that caches its
 /// weights was not among the compared candidates.
 #[test]
-fn in_a_large_site_a_model_goes_where_its_weights_are_at_hand() {
+fn at_a_large_site_a_model_is_loaded_where_its_weights_are_cached() {
     let none: &[&str] = &[];
     let mut site = Site::new(spec(100.0, &[100.0, 100.0]), &[none; 1_500]);
-    site.has_at_hand(900, "m1");
-    site.ask(1, NOW, &[(model("m1"), waiting(1))]);
+    site.set_cached(900, "m1");
+    site.request(1, NOW, &[(model("m1"), waiting(1))]);
     for later in 0..20 {
         let planned = site.next(NOW + Millis(later)).expect("callers wait");
         assert_eq!((planned.ask, &*planned.engine), (model("m1"), "e900"));
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -5,7 +5,7 @@
 mod memory;
 mod waits;
 
-use super::fake_engine::{only_start, spec};
+use super::fake_engine::{spec, unknown_start};
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
 use crate::ordering::book::Book;
@@ -56,7 +56,7 @@
         let id = |n: usize| Name::from(format!("e{n}"));
         ledger.take_engines(
             NOW,
-            (0..engines.len()).map(|n| (only_start(id(n)), Name::from("s"))),
+            (0..engines.len()).map(|n| (unknown_start(id(n)), Name::from("s"))),
         );
         for (n, models) in engines.iter().enumerate() {
             let held = |name: &&str| HeldModel {
@@ -78,7 +78,7 @@
     }
 
     /// Reports for an engine without models that it caches a model's weights on disk.
-    fn has_at_hand(&mut self, engine: usize, model: &str) {
+    fn set_cached(&mut self, engine: usize, model: &str) {
         let report = EngineReport {
             at_hand: Some(vec![model.into()]),
             ..EngineReport::default()
@@ -87,7 +87,7 @@
         self.ledger.take_report(NOW, &id, Some(report));
     }
 
-    fn tell(
+    fn report(
         &mut self,
         host: u64,
         at: Millis,
@@ -102,8 +102,8 @@
         self.book.take(at, host, report);
     }
 
-    fn ask(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, AskCount)]) {
-        self.tell(host, at, asks.to_vec(), Vec::new());
+    fn request(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, AskCount)]) {
+        self.report(host, at, asks.to_vec(), Vec::new());
     }
 
     fn next(&mut self, now: Millis) -> Option<Planned> {
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 #[test]
-fn callers_are_told_of_the_turn_at_a_weight_store_that_serves_one_load_at_a_time() {
+fn the_prediction_includes_the_queue_at_the_weight_store() {
     let mut site = Site::new(spec(80_000.0, &[30_000.0, 30_000.0]), &[&[], &[]]);
     let asks = [(model("m0"), waiting(5)), (model("m1"), waiting(1))];
-    site.ask(1, NOW, &asks);
+    site.request(1, NOW, &asks);
     let ready_in = |site: &Site, now: Millis, name: &str| {
         let ready = site.ready_in_ms(now, PACE);
         let found = ready.into_iter().find(|(ask, _)| *ask == model(name));
@@ -19,20 +19,20 @@
 }
 
 #[test]
-fn a_load_that_is_overdue_is_not_said_to_be_ready_at_any_moment() {
+fn an_overdue_load_is_not_predicted_to_be_ready_immediately() {
     let mut site = Site::new(spec(80_000.0, &[30_000.0, 30_000.0]), &[&[]]);
-    site.ask(1, NOW, &[(model("m0"), waiting(1))]);
+    site.request(1, NOW, &[(model("m0"), waiting(1))]);
     site.plan_all();
     let now = NOW + Millis(20_000);
-    site.ask(1, now, &[(model("m0"), waiting(1))]);
+    site.request(1, now, &[(model("m0"), waiting(1))]);
     let ready = site.ready_in_ms(now, PACE);
     assert!(ready[0].1 >= Millis(4_000), "{ready:?}");
 }
 
 #[test]
-fn callers_are_told_of_the_wait_of_a_new_orderer_and_nothing_of_engines_that_it_does_not_know() {
+fn the_prediction_includes_the_wait_of_a_new_orderer_and_is_absent_before_engines_report() {
     let mut site = Site::new(spec(80_000.0, &[30_000.0]), &[&["m0"]]);
-    site.ask(1, NOW, &[(adapter("m0", "a1"), waiting(1))]);
+    site.request(1, NOW, &[(adapter("m0", "a1"), waiting(1))]);
     let pace = Pace {
         orders_in_ms: Millis(2_500),
         ..PACE
@@ -40,7 +40,7 @@
     let ready = |site: &Site| site.ready_in_ms(NOW, pace);
     assert_eq!(ready(&site), [(adapter("m0", "a1"), Millis(2_500))]);
     site.ledger = Ledger::default();
-    let unknown = [(only_start("e0".into()), Name::from("s"))];
+    let unknown = [(unknown_start("e0".into()), Name::from("s"))];
     site.ledger.take_engines(NOW, unknown.into_iter());
     assert!(ready(&site).is_empty());
 }
@@ -48,7 +48,7 @@
 /// An order without an answer may start a load from the weight store now or later, so it counts as
 /// a running load.
 #[test]
-fn a_load_whose_order_got_no_answer_takes_a_place_at_the_weight_store() {
+fn a_load_whose_order_got_no_answer_counts_as_running() {
     let mut site = Site::new(spec(40_000.0, &[30_000.0]), &[&[]]);
     let order = site
         .ledger
--- a/src/ordering/tests/published.rs
+++ b/src/ordering/tests/published.rs
@@ -49,11 +49,11 @@
 }
 
 /// Publishes the state of all engines at an orderer; no engine is as in the list of upstreams.
-fn update(orderer: &mut PublishedEngines, fence: u64, views: Vec<EngineView>) {
-    update_listed(orderer, fence, views, |_| false);
+fn publish(orderer: &mut PublishedEngines, fence: u64, views: Vec<EngineView>) {
+    publish_listed(orderer, fence, views, |_| false);
 }
 
-fn update_listed(
+fn publish_listed(
     orderer: &mut PublishedEngines,
     fence: u64,
     views: Vec<EngineView>,
@@ -69,20 +69,20 @@
 }
 
 #[test]
-fn every_host_knows_a_state_that_the_orderer_had_under_its_version() {
-    let taken = seeded(300, |u| {
+fn every_host_has_the_orderers_state_of_the_same_version() {
+    let applied = seeded(300, |u| {
         let mut fence = 1;
         let mut orderer = PublishedEngines::default();
         // Two relays, and a host that receives updates from either.
         let mut hosts = vec![PublishedEngines::default(); 3];
         let mut states: IndexMap<EnginesVersion, State> = IndexMap::new();
         states.insert(orderer.version(), state(&orderer));
-        let mut under_way = Vec::new();
-        let mut taken = 0;
+        let mut in_flight = Vec::new();
+        let mut applied = 0;
         for _ in 0..150 {
             match u.int_in_range(0..=9u8)? {
                 0..=2 => {
-                    update(&mut orderer, fence, views(u)?);
+                    publish(&mut orderer, fence, views(u)?);
                     states.insert(orderer.version(), state(&orderer));
                 }
                 3 if u.int_in_range(0..=9u8)? == 0 => fence += 1,
@@ -92,59 +92,59 @@
                         2 => &hosts[u.choose_index(2)?],
                         _ => &orderer,
                     };
-                    under_way.push((to, from.since(hosts[to].version())));
+                    in_flight.push((to, from.since(hosts[to].version())));
                 }
-                _ if !under_way.is_empty() => {
-                    let (to, news) = under_way.swap_remove(u.choose_index(under_way.len())?);
+                _ if !in_flight.is_empty() => {
+                    let (to, update) = in_flight.swap_remove(u.choose_index(in_flight.len())?);
                     // A late update may have been made for an older version than the host has by
                     // now.
-                    hosts[to].apply(news);
+                    hosts[to].apply(update);
                     let known = &hosts[to];
                     assert_eq!(Some(&state(known)), states.get(&known.version()));
-                    taken += 1;
+                    applied += 1;
                 }
                 _ => {}
             }
         }
-        Ok(taken)
+        Ok(applied)
     });
-    assert!(taken.iter().sum::<usize>() > 3_000);
+    assert!(applied.iter().sum::<usize>() > 3_000);
 }
 
 #[test]
-fn only_what_changed_is_told() {
+fn an_update_contains_only_the_changes() {
     let mut orderer = PublishedEngines::default();
-    update(
+    publish(
         &mut orderer,
         1,
         vec![view(0, "a"), view(1, "a"), view(2, "a")],
     );
     let known = orderer.version();
     assert!(orderer.since((0, 0)).is_whole);
-    update(&mut orderer, 1, vec![view(0, "a"), view(1, "b")]);
-    let news = orderer.since(known);
-    assert_eq!(news.engines, [view(1, "b")]);
-    assert_eq!(news.gone, [engine(2)]);
-    assert!(!news.is_whole);
+    publish(&mut orderer, 1, vec![view(0, "a"), view(1, "b")]);
+    let update = orderer.since(known);
+    assert_eq!(update.engines, [view(1, "b")]);
+    assert_eq!(update.gone, [engine(2)]);
+    assert!(!update.is_whole);
     let same = orderer.version();
-    update(&mut orderer, 1, vec![view(0, "a"), view(1, "b")]);
+    publish(&mut orderer, 1, vec![view(0, "a"), view(1, "b")]);
     assert_eq!(orderer.version(), same, "no engine changed");
 }
 
 /// Regression test: hosts were sent the state of every engine although the list of upstreams
 /// already contains it.
 #[test]
-fn an_engine_is_told_of_from_when_it_holds_other_things_than_its_entry_says() {
+fn an_engine_is_published_once_it_differs_from_its_listed_entry() {
     let mut orderer = PublishedEngines::default();
     let is_as_listed = |view: &EngineView| &*view.held[0].model == "listed";
     let listed = || (0..5).map(|n| view(n, "listed"));
-    update_listed(&mut orderer, 1, listed().collect(), is_as_listed);
+    publish_listed(&mut orderer, 1, listed().collect(), is_as_listed);
     assert_eq!(orderer.since((0, 0)).engines, []);
     let known = orderer.version();
     let changed = listed().skip(1).chain([view(0, "loaded")]);
-    update_listed(&mut orderer, 1, changed.collect(), is_as_listed);
+    publish_listed(&mut orderer, 1, changed.collect(), is_as_listed);
     assert_eq!(orderer.since(known).engines, [view(0, "loaded")]);
     // The engine's entry in the list catches up, but a host may still have the former entry.
-    update_listed(&mut orderer, 1, listed().collect(), is_as_listed);
+    publish_listed(&mut orderer, 1, listed().collect(), is_as_listed);
     assert_eq!(orderer.since((0, 0)).engines, [view(0, "listed")]);
 }
--- a/src/ordering/tests/view.rs
+++ b/src/ordering/tests/view.rs
@@ -1,6 +1,6 @@
 //! A host handles refusals by engines that contradict the orderer's state.
 
-use super::fake_engine::only_start;
+use super::fake_engine::unknown_start;
 use crate::entry::platform::ModelAsk;
 use crate::ordering::published::{EngineView, EnginesNews, EnginesVersion};
 use crate::ordering::view::View;
@@ -13,9 +13,9 @@
     }
 }
 
-fn word(version: EnginesVersion, models: &[&str]) -> EnginesNews {
+fn state(version: EnginesVersion, models: &[&str]) -> EnginesNews {
     let engine = EngineView {
-        engine: only_start("e".into()),
+        engine: unknown_start("e".into()),
         held: models.iter().map(|model| ask(model)).collect(),
     };
     EnginesNews {
@@ -28,11 +28,11 @@
 
 /// While the orderer is lost, engines change and hosts use its last state for seconds.
 #[test]
-fn an_engine_that_lacks_a_model_is_passed_over_while_the_orderers_word_is_old() {
+fn an_engine_that_lacks_a_model_is_avoided_while_the_orderers_state_is_stale() {
     let mut view = View::default();
     let engine: Name = "e".into();
     let now = Millis(10_000);
-    view.take_engines(word((1, 7), &["m"]));
+    view.take_engines(state((1, 7), &["m"]));
     view.answered_at = Some(now - Millis(3_000));
     view.note_lacking(now, &engine, &ask("m"));
     assert!(view.is_lacking(now + Millis(2_000), &engine, &ask("m")));
@@ -40,18 +40,18 @@
     // The engine is tried again after some seconds in any case, and as soon as the orderer sends a
     // new state.
     assert!(!view.is_lacking(now + Millis(5_000), &engine, &ask("m")));
-    view.take_engines(word((2, 1), &["m"]));
+    view.take_engines(state((2, 1), &["m"]));
     assert!(!view.is_lacking(now + Millis(2_000), &engine, &ask("m")));
 }
 
 /// An adapter that is ready slightly later than expected is tried again soon while the orderer is
 /// reachable.
 #[test]
-fn an_engine_that_lacks_a_model_is_tried_again_soon_while_the_orderer_speaks() {
+fn an_engine_that_lacks_a_model_is_retried_soon_while_the_orderers_state_is_fresh() {
     let mut view = View::default();
     let engine: Name = "e".into();
     let now = Millis(10_000);
-    view.take_engines(word((1, 7), &["m"]));
+    view.take_engines(state((1, 7), &["m"]));
     view.answered_at = Some(now);
     view.note_lacking(now, &engine, &ask("m"));
     assert!(view.is_lacking(now + Millis(100), &engine, &ask("m")));
--- a/src/ordering/view.rs
+++ b/src/ordering/view.rs
@@ -8,13 +8,13 @@
 
 /// How long an engine is avoided for a model after it refused a request because it lacks the model.
 /// This is about the age of what hosts know.
-const LACKING_MS: Millis = Millis(150);
+const REFUSAL_VALIDITY_MS: Millis = Millis(150);
 /// The same while the orderer is silent and the state that proved wrong is its newest. Otherwise
 /// the host would send each request to the same engine twice and refuse it.
-const LACKING_BY_OLD_WORD_MS: Millis = Millis(5_000);
+const STALE_REFUSAL_VALIDITY_MS: Millis = Millis(5_000);
 /// The age from which the orderer's state is stale. At a site of some 80 hosts, each exchanges
 /// messages with the orderer once per second.
-const OLD_WORD_MS: Millis = Millis(1_200);
+const STALE_AFTER_MS: Millis = Millis(1_200);
 
 /// The orderer's state as this host received it, corrected by the engines' refusals.
 #[derive(Clone, Debug, Default)]
@@ -27,13 +27,13 @@
     work: IndexMap<Name, Work>,
     ready_at: IndexMap<ModelAsk, Millis>,
     separate: IndexSet<Name>,
-    lacking: IndexMap<(Name, ModelAsk), Lacking>,
+    refusals: IndexMap<(Name, ModelAsk), Refusal>,
 }
 
 /// A refusal of an engine that lacks a model, and the version of the engines' state in which it
 /// held the model.
 #[derive(Clone, Copy, Debug)]
-struct Lacking {
+struct Refusal {
     at: Millis,
     version: EnginesVersion,
 }
@@ -56,7 +56,7 @@
 
     /// Drops the refusals of an engine that was started again.
     pub fn forget_lacking(&mut self, upstream: &str) {
-        self.lacking.retain(|(other, _), _| &**other != upstream);
+        self.refusals.retain(|(other, _), _| &**other != upstream);
     }
 
     /// Replaces the request load of other hosts on each engine.
@@ -84,14 +84,14 @@
 
     /// Records that an engine refused a request because it lacks the model.
     pub fn note_lacking(&mut self, now: Millis, upstream: &Name, ask: &ModelAsk) {
-        self.lacking
-            .retain(|_, lacking| now.since(lacking.at) < LACKING_BY_OLD_WORD_MS);
-        let lacking = Lacking {
+        self.refusals
+            .retain(|_, refusal| now.since(refusal.at) < STALE_REFUSAL_VALIDITY_MS);
+        let refusal = Refusal {
             at: now,
             version: self.version(),
         };
-        self.lacking
-            .insert((upstream.clone(), ask.clone()), lacking);
+        self.refusals
+            .insert((upstream.clone(), ask.clone()), refusal);
     }
 
     /// Returns whether an engine holds a model, according to the orderer; `None` if the orderer
@@ -109,15 +109,16 @@
     /// orderer's state is stale and has not changed since, the refusal counts for longer.
     pub fn is_lacking(&self, now: Millis, upstream: &Name, ask: &ModelAsk) -> bool {
         let key = (upstream.clone(), ask.clone());
-        let Some(lacking) = self.lacking.get(&key) else {
+        let Some(refusal) = self.refusals.get(&key) else {
             return false;
         };
-        let age_ms = now.since(lacking.at);
-        let is_same_word = lacking.version == self.version();
-        let is_old_word = self
+        let age_ms = now.since(refusal.at);
+        let is_same_version = refusal.version == self.version();
+        let is_stale = self
             .answered_at
-            .is_none_or(|answered_at| now.since(answered_at) >= OLD_WORD_MS);
-        age_ms < LACKING_MS || (is_same_word && is_old_word && age_ms < LACKING_BY_OLD_WORD_MS)
+            .is_none_or(|answered_at| now.since(answered_at) >= STALE_AFTER_MS);
+        age_ms < REFUSAL_VALIDITY_MS
+            || (is_same_version && is_stale && age_ms < STALE_REFUSAL_VALIDITY_MS)
     }
 
     /// Returns the request load of other hosts on an engine.
