--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -2,10 +2,10 @@
 
 use crate::fleet::world::{SERVICE, World, engine_id, model};
 use mangovale::entry::platform::ModelAsk;
-use mangovale::ordering::book::Book;
 use mangovale::ordering::ceiling::Ceiling;
 use mangovale::ordering::copy::LoadTime;
 use mangovale::ordering::demand::AskCount;
+use mangovale::ordering::demand_totals::DemandTotals;
 use mangovale::ordering::host_reports::HostReport;
 use mangovale::ordering::ledger::Ledger;
 use mangovale::ordering::message::{EngineReport, OrderAnswer};
@@ -38,7 +38,7 @@
 struct Site<'a> {
     world: &'a World,
     ledger: Ledger,
-    book: Book,
+    book: DemandTotals,
     ceiling: Ceiling,
 }
 
@@ -81,7 +81,7 @@
         Self {
             world,
             ledger,
-            book: Book::default(),
+            book: DemandTotals::default(),
             ceiling: Ceiling::new(Millis::ZERO, Some(WAITED_FOR)),
         }
     }
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -7,9 +7,9 @@
 use crate::entry::table_rows;
 use crate::group::Member;
 use crate::http1::client::within;
-use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::Loaded;
+use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::estimates::Pace;
 use crate::ordering::lease::Lease;
 use crate::ordering::ledger::Ledger;
@@ -45,7 +45,7 @@
     /// The versions of the list of upstreams and of the desired state by which the engines were taken.
     engines_as_of: Option<(u64, u64)>,
     /// What callers ask for.
-    pub book: Book,
+    pub book: DemandTotals,
     told_holder: Option<Member>,
     reports_under_way: usize,
     /// When what callers wait for will be ready, as the last plan had it.
--- a/src/ordering/book.rs
+++ b/src/ordering/demand_totals.rs
@@ -68,12 +68,12 @@
 
 /// The demand of all hosts, by model and adapter.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct DemandTotals {
     demands: IndexMap<ModelAsk, TargetDemand>,
     hosts: HostReports,
 }
 
-impl Book {
+impl DemandTotals {
     /// Adds one host's report. `host` is the incarnation of its process.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -9,15 +9,15 @@
 //! tracks what each engine holds, is loading or unloading; [`engine_index`] counts it per model.
 //! [`ceiling`] limits loads from the weight store. [`planner`] chooses the next order for a model,
 //! [`adapters`] for an adapter. [`estimates`] predicts when a model that callers wait for is ready.
-//! [`demand`], [`host_reports`], [`gather`] and [`book`] add up what hosts report to the orderer;
-//! [`published`] and [`view`] carry the state of the engines back to the hosts.
+//! [`demand`], [`host_reports`], [`gather`] and [`demand_totals`] add up what hosts report to the
+//! orderer; [`published`] and [`view`] carry the state of the engines back to the hosts.
 
 pub mod adapters;
-pub mod book;
 mod candidates;
 pub mod ceiling;
 pub mod copy;
 pub mod demand;
+pub mod demand_totals;
 pub mod engine;
 pub mod engine_index;
 mod engine_orders;
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -9,9 +9,9 @@
 
 use crate::desired::{EngineSpec, ModelSpec};
 use crate::entry::platform::ModelAsk;
-use crate::ordering::book::{Book, ModelDemand};
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::{LoadTime, ModelCopy};
+use crate::ordering::demand_totals::{DemandTotals, ModelDemand};
 use crate::ordering::engine::Engine;
 use crate::ordering::engine_index::{Holders, ServiceIndex};
 use crate::ordering::ledger::Ledger;
@@ -82,7 +82,7 @@
     /// The state of the engines.
     pub ledger: &'a Ledger,
     /// The demand of all hosts.
-    pub book: &'a Book,
+    pub book: &'a DemandTotals,
     /// Engines that are leaving or cannot be reached.
     pub unusable: &'a IndexSet<Name>,
 }
--- a/src/ordering/tests/ledger.rs
+++ b/src/ordering/tests/ledger.rs
@@ -3,10 +3,10 @@
 
 use super::fake_engine::{FakeEngine, spec};
 use crate::entry::platform::ModelAsk;
-use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::LoadTime;
 use crate::ordering::demand::AskCount;
+use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_index::EngineIndex;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::ledger::Ledger;
@@ -34,7 +34,7 @@
     /// The engines' starts according to the list, which lags.
     listed: IndexMap<Name, Millis>,
     ledger: Ledger,
-    book: Book,
+    book: DemandTotals,
     ceiling: Ceiling,
     /// Orders on their way to an engine, each with whether its sender still waits for the answer.
     in_flight: Vec<(Name, Order, bool)>,
@@ -58,7 +58,7 @@
                 .map(|n| (format!("e{n}").into(), Millis::ZERO))
                 .collect(),
             ledger: Ledger::default(),
-            book: Book::default(),
+            book: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(900_000), None),
             in_flight: Vec::new(),
             published: IndexMap::new(),
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -8,10 +8,10 @@
 use super::fake_engine::{spec, unknown_start};
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
-use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::LoadTime;
 use crate::ordering::demand::AskCount;
+use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::estimates::Pace;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::ledger::Ledger;
@@ -46,7 +46,7 @@
 struct Site {
     spec: EngineSpec,
     ledger: Ledger,
-    book: Book,
+    book: DemandTotals,
     ceiling: Ceiling,
 }
 
@@ -72,7 +72,7 @@
         Self {
             spec,
             ledger,
-            book: Book::default(),
+            book: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(0), None),
         }
     }
@@ -151,7 +151,7 @@
     now: Millis,
     spec: &'a EngineSpec,
     ledger: &'a Ledger,
-    book: &'a Book,
+    book: &'a DemandTotals,
     unusable: &'a IndexSet<Name>,
 ) -> Planner<'a> {
     Planner {
