--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -131,7 +131,7 @@
             demand: asks.map(|ask| (ask, waiting)).collect(),
             ..HostReport::default()
         };
-        self.book.take(NOW, 1, report);
+        self.book.record(NOW, 1, report);
     }
 
     /// Makes orders until there is none, with engines that accept each.
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -50,7 +50,7 @@
         return SyncReply::NoNews { totals };
     };
     let wants = ask.demand.iter().any(|(_, count)| count.waiting > 0);
-    orders.book.take(now, ask.incarnation, ask.take_report());
+    orders.book.record(now, ask.incarnation, ask.take_report());
     if wants {
         host.note_want();
     }
--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -75,7 +75,7 @@
 
 impl DemandTotals {
     /// Adds one host's report. `host` is the incarnation of its process.
-    pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
+    pub fn record(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
             self.demands.entry(ask.clone()).or_default().add(now, count);
         }
--- a/src/ordering/tests/ledger.rs
+++ b/src/ordering/tests/ledger.rs
@@ -210,7 +210,8 @@
                     demand: vec![(ask(u)?, count)],
                     ..HostReport::default()
                 };
-                self.book.take(self.now, u.int_in_range(0..=3u64)?, report);
+                self.book
+                    .record(self.now, u.int_in_range(0..=3u64)?, report);
             }
             _ => self.now += Millis(u.int_in_range(1..=900u64)?),
         }
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -99,7 +99,7 @@
             work,
             ..HostReport::default()
         };
-        self.book.take(at, host, report);
+        self.book.record(at, host, report);
     }
 
     fn request(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, AskCount)]) {
