--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -182,7 +182,7 @@
         let ready_at = expect_ready(&host, &table, &unusable, now);
         let mut orders = host.orders.borrow_mut();
         orders.ready_at = ready_at;
-        orders.separate = orders.book.separate(now);
+        orders.separate = orders.book.split_models(now);
     }
 }
 
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -45,7 +45,7 @@
         let excluded = self.excluded_adapters();
         waiting.retain(|(ask, _)| !excluded.is_held_elsewhere(index, ask));
         waiting.sort_by_key(|(_, demand)| std::cmp::Reverse(demand.waiting));
-        let separate = self.book.separate(self.now);
+        let separate = self.book.split_models(self.now);
         waiting
             .into_iter()
             .find_map(|(ask, _)| self.place_adapter(index, ask, &separate))
--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -128,7 +128,7 @@
     }
 
     /// Returns the models that use separate copies for long and for short prompts.
-    pub fn separate(&self, now: Millis) -> Vec<Name> {
+    pub fn split_models(&self, now: Millis) -> Vec<Name> {
         let models = self.model_demands(now).into_iter();
         let separate = models.filter(|(_, demand)| demand.has_both_kinds());
         separate.map(|(model, _)| model.clone()).collect()
