--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -147,7 +147,7 @@
     }
 
     /// Returns how many hosts reported recently, including those that report through a relay.
-    pub fn heard(&self) -> usize {
+    pub fn live_hosts(&self) -> usize {
         self.hosts.live_hosts()
     }
 
