--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns how many hosts reported recently to this host directly.
-    pub fn hosts(&self) -> usize {
+    pub fn reporting_hosts(&self) -> usize {
         self.hosts.reporting_hosts()
     }
 
