--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -7,7 +7,7 @@
 use mangovale::entry::platform::ModelAsk;
 use mangovale::entry::sync::SYNC_MS;
 use mangovale::group::{Member, Members};
-use mangovale::ordering::ledger::EngineChanges;
+use mangovale::ordering::engine_inventory::EngineChanges;
 use mangovale::ordering::message::{OrdererNews, SyncAsk, SyncReply, Totals};
 use mangovale::ordering::published::{EngineView, PublishedEngines};
 use mangovale::prelude::*;
--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -6,8 +6,8 @@
 use mangovale::ordering::copy::LoadTime;
 use mangovale::ordering::demand::AskCount;
 use mangovale::ordering::demand_totals::DemandTotals;
+use mangovale::ordering::engine_inventory::EngineInventory;
 use mangovale::ordering::host_reports::HostReport;
-use mangovale::ordering::ledger::Ledger;
 use mangovale::ordering::message::{EngineReport, OrderAnswer};
 use mangovale::ordering::planner::Planner;
 use mangovale::prelude::*;
@@ -37,7 +37,7 @@
 
 struct Site<'a> {
     world: &'a World,
-    ledger: Ledger,
+    ledger: EngineInventory,
     book: DemandTotals,
     ceiling: Ceiling,
 }
@@ -68,7 +68,7 @@
 
 impl<'a> Site<'a> {
     fn new(world: &'a World) -> Self {
-        let mut ledger = Ledger::default();
+        let mut ledger = EngineInventory::default();
         ledger.take_engines(NOW, world.engines());
         for engine in world.upstreams.iter() {
             let report = EngineReport {
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -10,9 +10,9 @@
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::Loaded;
 use crate::ordering::demand_totals::DemandTotals;
+use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::estimates::Pace;
 use crate::ordering::lease::Lease;
-use crate::ordering::ledger::Ledger;
 use crate::ordering::message::{Action, Order, OrderAnswer};
 use crate::ordering::planner::{Planned, Planner, load_time};
 use crate::ordering::published::{EngineView, PublishedEngines};
@@ -39,7 +39,7 @@
     /// The lease as this host knows it.
     pub lease: Lease,
     /// What the engines hold.
-    pub ledger: Ledger,
+    pub ledger: EngineInventory,
     /// What the hosts are told of it.
     pub published: PublishedEngines,
     /// The versions of the list of upstreams and of the desired state by which the engines were taken.
@@ -71,7 +71,7 @@
 
     /// Forgets the engines, because another host may order from now on.
     pub fn forget_engines(&mut self) {
-        self.ledger = Ledger::default();
+        self.ledger = EngineInventory::default();
         self.engines_as_of = None;
         self.ready_at = Vec::new();
     }
--- a/src/ordering/ledger.rs
+++ b/src/ordering/engine_inventory.rs
@@ -26,7 +26,7 @@
 /// each is read less often.
 const MIN_REPORT_SPACING_MS: Millis = Millis(5);
 
-/// The changes of engines since the last call of [`Ledger::take_changes`].
+/// The changes of engines since the last call of [`EngineInventory::take_changes`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineChanges {
     /// The new state of engines that may have changed.
@@ -37,10 +37,11 @@
 
 /// The state of all engines, by name.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct EngineInventory {
     engines: IndexMap<Name, Engine>,
     index: EngineIndex,
-    /// Engines whose state may have changed since the last call of [`Ledger::take_changes`].
+    /// Engines whose state may have changed since the last call of
+    /// [`EngineInventory::take_changes`].
     changed: IndexSet<Name>,
     gone: Vec<Lifetime>,
     /// Engines that have, or had, memory reserved for a model.
@@ -49,7 +50,7 @@
     looked_at: Cell<u64>,
 }
 
-impl Ledger {
+impl EngineInventory {
     /// Changes an engine and keeps the index and the sets of engines up to date.
     fn update<T>(&mut self, id: &str, with: impl FnOnce(&mut Engine) -> T) -> Option<T> {
         let engine = self.engines.get_mut(id)?;
@@ -112,7 +113,7 @@
     }
 
     /// Returns whether an engine was dropped that may still be listed, so that
-    /// [`Ledger::take_engines`] must be called.
+    /// [`EngineInventory::take_engines`] must be called.
     pub fn lacks_engines(&self) -> bool {
         self.lacks_engines
     }
--- a/src/ordering/engine_orders.rs
+++ b/src/ordering/engine_orders.rs
@@ -3,7 +3,7 @@
 use crate::entry::platform::ModelAsk;
 use crate::ordering::copy::{LoadTime, ModelCopy};
 use crate::ordering::engine::{BACKOFF_MS, BUSY_REPORT_INTERVAL_MS, Engine, PendingOrder};
-use crate::ordering::ledger::RESERVATION_MS;
+use crate::ordering::engine_inventory::RESERVATION_MS;
 use crate::ordering::message::{Action, Order, OrderAnswer};
 use crate::prelude::*;
 
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -5,12 +5,13 @@
 //! their callers to the orderer, directly or through a relay, and receive the state of the engines
 //! in return. A copy is one model on one engine.
 //!
-//! Nothing in this module does any network I/O. [`lease`] decides who may send orders. [`ledger`]
-//! tracks what each engine holds, is loading or unloading; [`engine_index`] counts it per model.
-//! [`ceiling`] limits loads from the weight store. [`planner`] chooses the next order for a model,
-//! [`adapters`] for an adapter. [`estimates`] predicts when a model that callers wait for is ready.
-//! [`demand`], [`host_reports`], [`gather`] and [`demand_totals`] add up what hosts report to the
-//! orderer; [`published`] and [`view`] carry the state of the engines back to the hosts.
+//! Nothing in this module does any network I/O. [`lease`] decides who may send orders.
+//! [`engine_inventory`] tracks what each engine holds, is loading or unloading; [`engine_index`]
+//! counts it per model. [`ceiling`] limits loads from the weight store. [`planner`] chooses the
+//! next order for a model, [`adapters`] for an adapter. [`estimates`] predicts when a model that
+//! callers wait for is ready. [`demand`], [`host_reports`], [`gather`] and [`demand_totals`] add up
+//! what hosts report to the orderer; [`published`] and [`view`] carry the state of the engines back
+//! to the hosts.
 
 pub mod adapters;
 mod candidates;
@@ -20,13 +21,13 @@
 pub mod demand_totals;
 pub mod engine;
 pub mod engine_index;
+pub mod engine_inventory;
 mod engine_orders;
 pub mod estimates;
 mod free_memory;
 pub mod gather;
 pub mod host_reports;
 pub mod lease;
-pub mod ledger;
 pub mod message;
 pub mod planner;
 pub mod published;
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -14,7 +14,7 @@
 use crate::ordering::demand_totals::{DemandTotals, ModelDemand};
 use crate::ordering::engine::Engine;
 use crate::ordering::engine_index::{Holders, ServiceIndex};
-use crate::ordering::ledger::Ledger;
+use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::message::Action;
 use crate::prelude::*;
 
@@ -80,7 +80,7 @@
     /// The capacity of the service's engines and the models that they may hold.
     pub spec: &'a EngineSpec,
     /// The state of the engines.
-    pub ledger: &'a Ledger,
+    pub ledger: &'a EngineInventory,
     /// The demand of all hosts.
     pub book: &'a DemandTotals,
     /// Engines that are leaving or cannot be reached.
@@ -436,7 +436,12 @@
 
 /// Returns how long the load of a model on an engine takes, and where the weights come from. An
 /// adapter takes the default, zero.
-pub fn load_time(spec: &EngineSpec, ledger: &Ledger, engine: &str, ask: &ModelAsk) -> LoadTime {
+pub fn load_time(
+    spec: &EngineSpec,
+    ledger: &EngineInventory,
+    engine: &str,
+    ask: &ModelAsk,
+) -> LoadTime {
     let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
         return LoadTime::default();
     };
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -7,7 +7,7 @@
 //! orderer of 195 hosts; the changes are a few hundred bytes.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::ledger::EngineChanges;
+use crate::ordering::engine_inventory::EngineChanges;
 use crate::prelude::*;
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
--- a/src/ordering/tests/ledger.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -8,8 +8,8 @@
 use crate::ordering::demand::AskCount;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_index::EngineIndex;
+use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::host_reports::HostReport;
-use crate::ordering::ledger::Ledger;
 use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
 use crate::ordering::planner::{Planner, load_time};
 use crate::prelude::*;
@@ -33,7 +33,7 @@
     engines: IndexMap<Name, FakeEngine>,
     /// The engines' starts according to the list, which lags.
     listed: IndexMap<Name, Millis>,
-    ledger: Ledger,
+    ledger: EngineInventory,
     book: DemandTotals,
     ceiling: Ceiling,
     /// Orders on their way to an engine, each with whether its sender still waits for the answer.
@@ -57,7 +57,7 @@
             listed: (0..3)
                 .map(|n| (format!("e{n}").into(), Millis::ZERO))
                 .collect(),
-            ledger: Ledger::default(),
+            ledger: EngineInventory::default(),
             book: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(900_000), None),
             in_flight: Vec::new(),
@@ -191,7 +191,7 @@
             9 => {
                 // A new holder of the lease does not know its predecessor's orders.
                 if u.ratio(1, 10)? {
-                    self.ledger = Ledger::default();
+                    self.ledger = EngineInventory::default();
                     self.published.clear();
                     self.in_flight
                         .iter_mut()
@@ -321,7 +321,7 @@
         id: id(n),
         born_at: Millis::ZERO,
     };
-    let mut ledger = Ledger::default();
+    let mut ledger = EngineInventory::default();
     ledger.take_engines(now, (0..engines).map(|n| (start(n), Name::from("s"))));
     assert_eq!(
         ledger.due_reports(now, 100).len(),
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -12,9 +12,9 @@
 use crate::ordering::copy::LoadTime;
 use crate::ordering::demand::AskCount;
 use crate::ordering::demand_totals::DemandTotals;
+use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::estimates::Pace;
 use crate::ordering::host_reports::HostReport;
-use crate::ordering::ledger::Ledger;
 use crate::ordering::message::{Action, EngineReport, OrderAnswer};
 use crate::ordering::planner::{Planned, Planner, load_time};
 use crate::prelude::*;
@@ -45,14 +45,14 @@
 /// A site of engines `e0`, `e1` and so on that hold the given models.
 struct Site {
     spec: EngineSpec,
-    ledger: Ledger,
+    ledger: EngineInventory,
     book: DemandTotals,
     ceiling: Ceiling,
 }
 
 impl Site {
     fn new(spec: EngineSpec, engines: &[&[&str]]) -> Self {
-        let mut ledger = Ledger::default();
+        let mut ledger = EngineInventory::default();
         let id = |n: usize| Name::from(format!("e{n}"));
         ledger.take_engines(
             NOW,
@@ -150,7 +150,7 @@
 fn planner<'a>(
     now: Millis,
     spec: &'a EngineSpec,
-    ledger: &'a Ledger,
+    ledger: &'a EngineInventory,
     book: &'a DemandTotals,
     unusable: &'a IndexSet<Name>,
 ) -> Planner<'a> {
--- a/src/ordering/tests/published.rs
+++ b/src/ordering/tests/published.rs
@@ -2,7 +2,7 @@
 //! through.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::ledger::EngineChanges;
+use crate::ordering::engine_inventory::EngineChanges;
 use crate::ordering::published::{EngineView, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
 use crate::test_support::seeded;
