--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -69,7 +69,7 @@
 impl<'a> Site<'a> {
     fn new(world: &'a World) -> Self {
         let mut ledger = EngineInventory::default();
-        ledger.take_engines(NOW, world.engines());
+        ledger.set_engines(NOW, world.engines());
         for engine in world.upstreams.iter() {
             let report = EngineReport {
                 born_at: engine.entry.born_at,
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -234,7 +234,7 @@
         .iter()
         .filter(|upstream| is_engine(&upstream.entry.service))
         .map(|upstream| (upstream.lifetime(), upstream.entry.service.clone()));
-    orders.ledger.take_engines(now, engines);
+    orders.ledger.set_engines(now, engines);
 }
 
 fn ask_reports<P: Platform + 'static>(
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -86,7 +86,7 @@
 
     /// Sets the engines to those that are listed. The state of a new one is unknown until its
     /// report is read.
-    pub fn take_engines(&mut self, now: Millis, engines: impl Iterator<Item = (Lifetime, Name)>) {
+    pub fn set_engines(&mut self, now: Millis, engines: impl Iterator<Item = (Lifetime, Name)>) {
         let listed: IndexMap<Name, (Lifetime, Name)> = engines
             .map(|(lifetime, service)| (lifetime.id.clone(), (lifetime, service)))
             .collect();
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether an engine was dropped that may still be listed, so that
-    /// [`EngineInventory::take_engines`] must be called.
+    /// [`EngineInventory::set_engines`] must be called.
     pub fn lacks_engines(&self) -> bool {
         self.lacks_engines
     }
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -101,7 +101,7 @@
             };
             (lifetime, Name::from("s"))
         });
-        self.ledger.take_engines(self.now, listed);
+        self.ledger.set_engines(self.now, listed);
         self.ledger.assume_unloaded(self.now);
         let spec = spec(CAPACITY_MB, &SIZES_MB);
         for _ in 0..8 {
@@ -322,7 +322,7 @@
         born_at: Millis::ZERO,
     };
     let mut ledger = EngineInventory::default();
-    ledger.take_engines(now, (0..engines).map(|n| (start(n), Name::from("s"))));
+    ledger.set_engines(now, (0..engines).map(|n| (start(n), Name::from("s"))));
     assert_eq!(
         ledger.due_reports(now, 100).len(),
         100,
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -54,7 +54,7 @@
     fn new(spec: EngineSpec, engines: &[&[&str]]) -> Self {
         let mut ledger = EngineInventory::default();
         let id = |n: usize| Name::from(format!("e{n}"));
-        ledger.take_engines(
+        ledger.set_engines(
             NOW,
             (0..engines.len()).map(|n| (unknown_start(id(n)), Name::from("s"))),
         );
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -41,7 +41,7 @@
     assert_eq!(ready(&site), [(adapter("m0", "a1"), Millis(2_500))]);
     site.ledger = EngineInventory::default();
     let unknown = [(unknown_start("e0".into()), Name::from("s"))];
-    site.ledger.take_engines(NOW, unknown.into_iter());
+    site.ledger.set_engines(NOW, unknown.into_iter());
     assert!(ready(&site).is_empty());
 }
 
