--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -222,7 +222,7 @@
     let upstreams = host.upstreams.borrow();
     let mut orders = host.orders.borrow_mut();
     let as_of = Some((upstreams.version(), table.version));
-    if orders.engines_as_of == as_of && !orders.ledger.lacks_engines() {
+    if orders.engines_as_of == as_of && !orders.ledger.needs_engine_list() {
         return;
     }
     orders.engines_as_of = as_of;
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -114,7 +114,7 @@
 
     /// Returns whether an engine was dropped that may still be listed, so that
     /// [`EngineInventory::set_engines`] must be called.
-    pub fn lacks_engines(&self) -> bool {
+    pub fn needs_engine_list(&self) -> bool {
         self.lacks_engines
     }
 
