--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -76,7 +76,7 @@
                 models: engine.entry.models.clone(),
                 ..EngineReport::default()
             };
-            ledger.take_report(NOW, &engine.entry.id, Some(report));
+            ledger.record_report(NOW, &engine.entry.id, Some(report));
         }
         Self {
             world,
@@ -111,7 +111,7 @@
                 born_at: engine.entry.born_at + Millis(1),
                 ..EngineReport::default()
             };
-            self.ledger.take_report(NOW, &id, Some(report));
+            self.ledger.record_report(NOW, &id, Some(report));
         }
         let waiting = AskCount {
             asked: 1,
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -285,7 +285,7 @@
     let mut orders = host.orders.borrow_mut();
     let was_known = orders.ledger.get(id).is_some_and(|engine| engine.is_known);
     let is_answered = report.is_some();
-    let loaded = orders.ledger.take_report(now, id, report);
+    let loaded = orders.ledger.record_report(now, id, report);
     if is_answered {
         learn_from_overdue(host, &mut orders, id, now);
     }
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -299,7 +299,7 @@
 
     /// Updates an engine from its report; `None` means that the report could not be read. Returns
     /// the loads that the report shows as finished.
-    pub fn take_report(
+    pub fn record_report(
         &mut self,
         now: Millis,
         id: &str,
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -166,7 +166,7 @@
             .0
             .clone();
         let report = self.engines[engine].report(self.now);
-        self.ledger.take_report(self.now, &id, Some(report));
+        self.ledger.record_report(self.now, &id, Some(report));
     }
 
     fn step(
@@ -256,7 +256,7 @@
             .0
             .clone();
         let known = self.ledger.get(&id).map(|engine| engine.born_at);
-        self.ledger.take_report(self.now, &id, Some(report));
+        self.ledger.record_report(self.now, &id, Some(report));
         let after = self.ledger.get(&id).map(|engine| engine.born_at);
         assert!(after >= known, "an outdated report replaced a newer start");
     }
@@ -330,7 +330,7 @@
     );
     assert_eq!(ledger.due_reports(now, engines).len(), engines - 100);
     for n in 0..engines {
-        ledger.take_report(now, &id(n), Some(EngineReport::default()));
+        ledger.record_report(now, &id(n), Some(EngineReport::default()));
     }
     let later = now + Millis(5_000);
     assert!(ledger.due_reports(later, engines).is_empty());
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -172,7 +172,7 @@
         at_hand: Some(vec!["m0".into(), "m1".into()]),
         ..EngineReport::default()
     };
-    site.ledger.take_report(NOW, "e1", Some(report));
+    site.ledger.record_report(NOW, "e1", Some(report));
     let demand = |tokens| AskCount {
         asked: 2,
         tokens,
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -67,7 +67,7 @@
                 models: models.iter().map(held).collect(),
                 ..EngineReport::default()
             };
-            ledger.take_report(NOW, &id(n), Some(report));
+            ledger.record_report(NOW, &id(n), Some(report));
         }
         Self {
             spec,
@@ -84,7 +84,7 @@
             ..EngineReport::default()
         };
         let id = Name::from(format!("e{engine}"));
-        self.ledger.take_report(NOW, &id, Some(report));
+        self.ledger.record_report(NOW, &id, Some(report));
     }
 
     fn report(
