--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -152,7 +152,7 @@
             };
             self.ledger.due(NOW);
             self.ledger
-                .take_answer(NOW, &planned.engine, &order, OrderAnswer::Accepted, load);
+                .record_answer(NOW, &planned.engine, &order, OrderAnswer::Accepted, load);
             orders += 1;
             if orders >= WAITED_FOR {
                 break;
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -485,7 +485,7 @@
     host.orders
         .borrow_mut()
         .ledger
-        .take_answer(now, id, order, answer, load);
+        .record_answer(now, id, order, answer, load);
     let line = OrderAnswerLine {
         upstream: id,
         order,
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -247,7 +247,7 @@
 
     /// Updates an engine from its answer to an order. `load` is the expected time and source of the
     /// load that the order starts.
-    pub fn take_answer(
+    pub fn record_answer(
         &mut self,
         now: Millis,
         id: &str,
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -155,7 +155,7 @@
     fn record_answer(&mut self, id: &Name, order: &Order, answer: OrderAnswer) {
         let spec = spec(CAPACITY_MB, &SIZES_MB);
         let load = load_time(&spec, &self.ledger, id, &order.ask);
-        self.ledger.take_answer(self.now, id, order, answer, load);
+        self.ledger.record_answer(self.now, id, order, answer, load);
     }
 
     fn report(&mut self, engine: usize) {
@@ -342,7 +342,7 @@
     let order = order.expect("a known engine");
     ledger.due(later);
     let load = LoadTime::default();
-    ledger.take_answer(later, &id(7), &order, OrderAnswer::Silent, load);
+    ledger.record_answer(later, &id(7), &order, OrderAnswer::Silent, load);
     assert_eq!(ledger.due_reports(later, 0), [id(7)]);
     let after = now + Millis(10_000);
     assert_eq!(ledger.due_reports(after, engines).len(), engines - 1);
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -14,7 +14,7 @@
             .ledger
             .begin(NOW, &planned.engine, planned.action, planned.ask, None);
         let order = order.expect("a known engine");
-        site.ledger.take_answer(
+        site.ledger.record_answer(
             NOW,
             "e0",
             &order,
@@ -63,7 +63,8 @@
             site.ledger.due(now);
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
-            site.ledger.take_answer(now, &engine, &order, answer, load);
+            site.ledger
+                .record_answer(now, &engine, &order, answer, load);
             assert!(loaded.insert(ask), "each adapter is loaded once");
         }
     }
@@ -85,7 +86,7 @@
         .begin(NOW, "e0", Action::Load, requested.clone(), None);
     let order = order.expect("a known engine");
     let (answer, load) = (OrderAnswer::Accepted, LoadTime::default());
-    site.ledger.take_answer(NOW, "e0", &order, answer, load);
+    site.ledger.record_answer(NOW, "e0", &order, answer, load);
     site.request(1, NOW, &[(requested.clone(), waiting(1))]);
     assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -139,7 +139,7 @@
                 from_store: true,
             };
             self.ledger
-                .take_answer(NOW, &engine, &order, OrderAnswer::Accepted, load);
+                .record_answer(NOW, &engine, &order, OrderAnswer::Accepted, load);
             all.push(planned);
             assert!(all.len() < 100, "the planner did not stop");
         }
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -57,6 +57,6 @@
     site.ledger.due(NOW);
     let silent = OrderAnswer::Silent;
     site.ledger
-        .take_answer(NOW, "e0", &order, silent, LoadTime::default());
+        .record_answer(NOW, "e0", &order, silent, LoadTime::default());
     assert_eq!(site.ledger.store_loads(), 1);
 }
