--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -150,7 +150,7 @@
                 takes_ms: Millis(13_200),
                 from_store: true,
             };
-            self.ledger.due(NOW);
+            self.ledger.take_due_orders(NOW);
             self.ledger
                 .record_answer(NOW, &planned.engine, &order, OrderAnswer::Accepted, load);
             orders += 1;
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -439,7 +439,7 @@
     me: &Member,
     now: Millis,
 ) {
-    let due = host.orders.borrow_mut().ledger.due(now);
+    let due = host.orders.borrow_mut().ledger.take_due_orders(now);
     for (id, order) in due {
         let host = host.clone();
         let holder: Name = format!("{}-{:x}", host.settings().name, me.incarnation).into();
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -229,7 +229,7 @@
 
     /// Returns the orders to send now, which are new ones and unanswered ones, and marks them as
     /// being sent.
-    pub fn due(&mut self, now: Millis) -> Vec<(Name, Order)> {
+    pub fn take_due_orders(&mut self, now: Millis) -> Vec<(Name, Order)> {
         let mut due = Vec::new();
         for engine in self.engines.values_mut() {
             if now < engine.backoff_until {
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -125,7 +125,7 @@
                 planned.makes_way_for,
             );
         }
-        for (id, order) in self.ledger.due(self.now) {
+        for (id, order) in self.ledger.take_due_orders(self.now) {
             self.in_flight.push((id, order, true));
         }
     }
@@ -340,7 +340,7 @@
     };
     let order = ledger.begin(later, &id(7), Action::Load, ask, None);
     let order = order.expect("a known engine");
-    ledger.due(later);
+    ledger.take_due_orders(later);
     let load = LoadTime::default();
     ledger.record_answer(later, &id(7), &order, OrderAnswer::Silent, load);
     assert_eq!(ledger.due_reports(later, 0), [id(7)]);
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -60,7 +60,7 @@
                 .ledger
                 .begin(now, &engine, Action::Load, ask.clone(), None);
             let order = order.expect("a known engine");
-            site.ledger.due(now);
+            site.ledger.take_due_orders(now);
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
             site.ledger
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -133,7 +133,7 @@
                 .ledger
                 .begin(NOW, &engine, action, ask, makes_way_for)
                 .expect("a known engine");
-            self.ledger.due(NOW);
+            self.ledger.take_due_orders(NOW);
             let load = LoadTime {
                 takes_ms: Millis(6_000),
                 from_store: true,
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -54,7 +54,7 @@
         .ledger
         .begin(NOW, "e0", Action::Load, model("m0"), None);
     let order = order.expect("a known engine");
-    site.ledger.due(NOW);
+    site.ledger.take_due_orders(NOW);
     let silent = OrderAnswer::Silent;
     site.ledger
         .record_answer(NOW, "e0", &order, silent, LoadTime::default());
