--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -45,14 +45,14 @@
 /// Measures the plan.
 pub fn measure(world: &World) -> Plan {
     let mut site = Site::new(world);
-    let before = site.ledger.looked_at();
+    let before = site.ledger.engines_visited();
     site.next();
-    let idle_looks = site.ledger.looked_at() - before;
+    let idle_looks = site.ledger.engines_visited() - before;
     let began = Instant::now();
     (0..REPEATS).for_each(|_| drop(site.next()));
     let idle_us = began.elapsed().as_secs_f64() * 1e6 / f64::from(REPEATS);
     site.lose_models();
-    let before = site.ledger.looked_at();
+    let before = site.ledger.engines_visited();
     let began = Instant::now();
     let orders = site.order_all();
     let took_us = began.elapsed().as_secs_f64() * 1e6;
@@ -60,7 +60,7 @@
     Plan {
         idle_looks,
         idle_us,
-        order_looks: each((site.ledger.looked_at() - before) as f64),
+        order_looks: each((site.ledger.engines_visited() - before) as f64),
         order_us: each(took_us),
         orders,
     }
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -147,7 +147,7 @@
 
     /// Returns how many engines the iterators of this type have returned: the cost of plans beyond
     /// what the index answers.
-    pub fn looked_at(&self) -> u64 {
+    pub fn engines_visited(&self) -> u64 {
         self.looked_at.get()
     }
 
