--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -119,7 +119,7 @@
             ..AskCount::default()
         };
         let lost = (0..last).map(model).filter(|model| {
-            let census = self.ledger.census(SERVICE);
+            let census = self.ledger.service_index(SERVICE);
             let holders = census.and_then(|census| census.model(model));
             holders.is_none_or(|holders| holders.copies() == 0)
         });
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns the index of a service; `None` if it has no engines.
-    pub fn census(&self, service: &str) -> Option<&ServiceIndex> {
+    pub fn service_index(&self, service: &str) -> Option<&ServiceIndex> {
         self.index.service(service)
     }
 
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -41,7 +41,7 @@
     /// Returns the expected time until each model or adapter that callers wait for is ready. Those
     /// without a prediction are left out.
     pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelAsk, Millis)> {
-        let Some(index) = self.ledger.census(self.service) else {
+        let Some(index) = self.ledger.service_index(self.service) else {
             return Vec::new();
         };
         let waited_for = || {
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -113,7 +113,7 @@
 impl Planner<'_> {
     /// Returns the order to send next; `None` if there is none now.
     pub fn next(&self, ceiling: &mut Ceiling) -> Option<Planned> {
-        let index = self.ledger.census(self.service)?;
+        let index = self.ledger.service_index(self.service)?;
         if let Some(order) = self.requested_adapter_order(index) {
             return Some(order);
         }
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -72,7 +72,7 @@
         for engine in self.ledger.iter() {
             index.add(engine);
         }
-        assert_eq!(self.ledger.census("s"), index.service("s"));
+        assert_eq!(self.ledger.service_index("s"), index.service("s"));
         assert_eq!(self.ledger.store_loads(), index.store_loads());
         let loading = self.ledger.loading().map(|engine| &engine.id);
         let counted: IndexSet<&Name> = index.loading().collect();
