--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -92,7 +92,7 @@
             now: NOW,
             service: SERVICE,
             spec: &self.world.spec,
-            ledger: &self.ledger,
+            inventory: &self.ledger,
             book: &self.book,
             unusable: &unusable,
         };
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -208,7 +208,7 @@
             now,
             service,
             spec,
-            ledger: &orders.ledger,
+            inventory: &orders.ledger,
             book: &orders.book,
             unusable,
         };
@@ -387,7 +387,7 @@
                 now,
                 service,
                 spec,
-                ledger,
+                inventory: ledger,
                 book,
                 unusable,
             };
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -136,7 +136,7 @@
         if missing.is_empty() {
             return None;
         }
-        let recently_changed = self.ledger.recently_changed();
+        let recently_changed = self.inventory.recently_changed();
         let recently_changed = recently_changed.filter(|engine| self.is_eligible(engine));
         let adapters = recently_changed.flat_map(|engine| engine.adapters.values());
         let loading = adapters.filter(|ready_at| **ready_at > self.now);
--- a/src/ordering/candidates.rs
+++ b/src/ordering/candidates.rs
@@ -16,7 +16,7 @@
 impl Planner<'_> {
     /// Returns the engines of the service that are leaving or cannot be reached.
     pub(super) fn excluded_engines(&self) -> impl Iterator<Item = &Engine> {
-        let engines = self.unusable.iter().filter_map(|id| self.ledger.get(id));
+        let engines = self.unusable.iter().filter_map(|id| self.inventory.get(id));
         engines.filter(|engine| &*engine.service == self.service)
     }
 
@@ -54,7 +54,7 @@
         &'b self,
         ids: impl Iterator<Item = &'b Name>,
     ) -> impl Iterator<Item = &'b Engine> {
-        let engines = self.ledger.by_name(ids);
+        let engines = self.inventory.by_name(ids);
         engines.filter(|engine| self.is_eligible(engine))
     }
 
@@ -70,7 +70,7 @@
             .engines_caching(index, model)
             .filter(move |_| index.engines() > MAX_CANDIDATES);
         let from = rendezvous::score(model.as_bytes(), self.now.0);
-        let others = self.ledger.window(from, MAX_CANDIDATES);
+        let others = self.inventory.window(from, MAX_CANDIDATES);
         let all = cached.chain(others.filter(|engine| self.is_eligible(engine)));
         all.filter(|engine| self.is_available(engine))
     }
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -41,7 +41,7 @@
     /// Returns the expected time until each model or adapter that callers wait for is ready. Those
     /// without a prediction are left out.
     pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelAsk, Millis)> {
-        let Some(index) = self.ledger.service_index(self.service) else {
+        let Some(index) = self.inventory.service_index(self.service) else {
             return Vec::new();
         };
         let waited_for = || {
@@ -60,7 +60,7 @@
 
     /// Returns whether a model is on an engine, is being loaded, or has memory reserved.
     fn will_be_held(&self, index: &ServiceIndex, model: &str) -> bool {
-        let mut reservations = self.ledger.reservations(self.now);
+        let mut reservations = self.inventory.reservations(self.now);
         self.holders(index, model).next().is_some()
             || reservations
                 .any(|(engine, reserved_for)| self.is_eligible(engine) && &**reserved_for == model)
@@ -181,7 +181,7 @@
         store_loads_at_once: usize,
         queue: &LoadQueue<'_>,
     ) -> Millis {
-        let loading = self.ledger.loading();
+        let loading = self.inventory.loading();
         let mut ends: Vec<Millis> = loading
             .filter(|engine| self.is_eligible(engine))
             .flat_map(|engine| engine.copies.iter())
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -40,7 +40,7 @@
                 && !ceiling.admits_unrequested(
                     self.now,
                     self.spec.loads_per_s,
-                    self.ledger.store_loads(),
+                    self.inventory.store_loads(),
                     has_requests,
                 )
             {
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -80,7 +80,7 @@
     /// The capacity of the service's engines and the models that they may hold.
     pub spec: &'a EngineSpec,
     /// The state of the engines.
-    pub ledger: &'a EngineInventory,
+    pub inventory: &'a EngineInventory,
     /// The demand of all hosts.
     pub book: &'a DemandTotals,
     /// Engines that are leaving or cannot be reached.
@@ -113,7 +113,7 @@
 impl Planner<'_> {
     /// Returns the order to send next; `None` if there is none now.
     pub fn next(&self, ceiling: &mut Ceiling) -> Option<Planned> {
-        let index = self.ledger.service_index(self.service)?;
+        let index = self.inventory.service_index(self.service)?;
         if let Some(order) = self.requested_adapter_order(index) {
             return Some(order);
         }
@@ -162,7 +162,7 @@
 
     /// Continues where memory was freed for a model: loads the model, or frees more memory.
     fn continue_reserved(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<Planned> {
-        let mut reservations = self.ledger.reservations(self.now);
+        let mut reservations = self.inventory.reservations(self.now);
         reservations.find_map(|(engine, model)| {
             let need = Need {
                 copies: 0,
@@ -206,7 +206,7 @@
                 }
             }
         }
-        for (engine, model) in self.ledger.reservations(self.now) {
+        for (engine, model) in self.inventory.reservations(self.now) {
             let is_new = !engine.copies.contains_key(model);
             let is_eligible = self.is_eligible(engine);
             if let Some(need) = needs.get_mut(model).filter(|_| is_new && is_eligible) {
@@ -278,7 +278,7 @@
 
     /// Returns whether a model may be loaded from the weight store now.
     fn may_use_store(&self, need: &Need<'_>, ceiling: &mut Ceiling) -> bool {
-        let (rate, loads) = (self.spec.loads_per_s, self.ledger.store_loads());
+        let (rate, loads) = (self.spec.loads_per_s, self.inventory.store_loads());
         match need.is_requested() {
             true => ceiling.admits(self.now, rate, loads),
             false => {
@@ -425,7 +425,7 @@
 
     /// Returns how long the load of a planned order takes, and where the weights come from.
     pub fn load_time(&self, planned: &Planned) -> LoadTime {
-        load_time(self.spec, self.ledger, &planned.engine, &planned.ask)
+        load_time(self.spec, self.inventory, &planned.engine, &planned.ask)
     }
 }
 
@@ -438,14 +438,14 @@
 /// adapter takes the default, zero.
 pub fn load_time(
     spec: &EngineSpec,
-    ledger: &EngineInventory,
+    inventory: &EngineInventory,
     engine: &str,
     ask: &ModelAsk,
 ) -> LoadTime {
     let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
         return LoadTime::default();
     };
-    let is_cached = ledger
+    let is_cached = inventory
         .get(engine)
         .is_some_and(|engine| engine.cached_models.contains(&ask.model));
     LoadTime {
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -33,7 +33,7 @@
     engines: IndexMap<Name, FakeEngine>,
     /// The engines' starts according to the list, which lags.
     listed: IndexMap<Name, Millis>,
-    ledger: EngineInventory,
+    inventory: EngineInventory,
     book: DemandTotals,
     ceiling: Ceiling,
     /// Orders on their way to an engine, each with whether its sender still waits for the answer.
@@ -57,7 +57,7 @@
             listed: (0..3)
                 .map(|n| (format!("e{n}").into(), Millis::ZERO))
                 .collect(),
-            ledger: EngineInventory::default(),
+            inventory: EngineInventory::default(),
             book: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(900_000), None),
             in_flight: Vec::new(),
@@ -69,15 +69,15 @@
     /// with that of the engines.
     fn check_derived_state(&mut self) {
         let mut index = EngineIndex::default();
-        for engine in self.ledger.iter() {
+        for engine in self.inventory.iter() {
             index.add(engine);
         }
-        assert_eq!(self.ledger.service_index("s"), index.service("s"));
-        assert_eq!(self.ledger.store_loads(), index.store_loads());
-        let loading = self.ledger.loading().map(|engine| &engine.id);
+        assert_eq!(self.inventory.service_index("s"), index.service("s"));
+        assert_eq!(self.inventory.store_loads(), index.store_loads());
+        let loading = self.inventory.loading().map(|engine| &engine.id);
         let counted: IndexSet<&Name> = index.loading().collect();
         assert_eq!(loading.collect::<IndexSet<_>>(), counted);
-        let changes = self.ledger.take_changes(self.now);
+        let changes = self.inventory.take_changes(self.now);
         for engine in &changes.gone {
             self.published.swap_remove(engine);
         }
@@ -85,7 +85,7 @@
             self.published
                 .insert(view.engine, view.held.into_iter().collect());
         }
-        let known = self.ledger.iter().filter(|engine| engine.is_known);
+        let known = self.inventory.iter().filter(|engine| engine.is_known);
         let views = known.map(|engine| engine.view(self.now));
         let held: IndexMap<Lifetime, IndexSet<ModelAsk>> = views
             .map(|view| (view.engine, view.held.into_iter().collect()))
@@ -101,15 +101,15 @@
             };
             (lifetime, Name::from("s"))
         });
-        self.ledger.set_engines(self.now, listed);
-        self.ledger.assume_unloaded(self.now);
+        self.inventory.set_engines(self.now, listed);
+        self.inventory.assume_unloaded(self.now);
         let spec = spec(CAPACITY_MB, &SIZES_MB);
         for _ in 0..8 {
             let planner = Planner {
                 now: self.now,
                 service: "s",
                 spec: &spec,
-                ledger: &self.ledger,
+                inventory: &self.inventory,
                 book: &self.book,
                 unusable: &IndexSet::new(),
             };
@@ -117,7 +117,7 @@
                 break;
             };
             let (now, engine) = (self.now, planned.engine);
-            self.ledger.begin(
+            self.inventory.begin(
                 now,
                 &engine,
                 planned.action,
@@ -125,7 +125,7 @@
                 planned.makes_way_for,
             );
         }
-        for (id, order) in self.ledger.take_due_orders(self.now) {
+        for (id, order) in self.inventory.take_due_orders(self.now) {
             self.in_flight.push((id, order, true));
         }
     }
@@ -154,8 +154,9 @@
 
     fn record_answer(&mut self, id: &Name, order: &Order, answer: OrderAnswer) {
         let spec = spec(CAPACITY_MB, &SIZES_MB);
-        let load = load_time(&spec, &self.ledger, id, &order.ask);
-        self.ledger.record_answer(self.now, id, order, answer, load);
+        let load = load_time(&spec, &self.inventory, id, &order.ask);
+        self.inventory
+            .record_answer(self.now, id, order, answer, load);
     }
 
     fn report(&mut self, engine: usize) {
@@ -166,7 +167,7 @@
             .0
             .clone();
         let report = self.engines[engine].report(self.now);
-        self.ledger.record_report(self.now, &id, Some(report));
+        self.inventory.record_report(self.now, &id, Some(report));
     }
 
     fn step(
@@ -191,7 +192,7 @@
             9 => {
                 // A new holder of the lease does not know its predecessor's orders.
                 if u.ratio(1, 10)? {
-                    self.ledger = EngineInventory::default();
+                    self.inventory = EngineInventory::default();
                     self.published.clear();
                     self.in_flight
                         .iter_mut()
@@ -255,9 +256,9 @@
             .expect("a fake engine")
             .0
             .clone();
-        let known = self.ledger.get(&id).map(|engine| engine.born_at);
-        self.ledger.record_report(self.now, &id, Some(report));
-        let after = self.ledger.get(&id).map(|engine| engine.born_at);
+        let known = self.inventory.get(&id).map(|engine| engine.born_at);
+        self.inventory.record_report(self.now, &id, Some(report));
+        let after = self.inventory.get(&id).map(|engine| engine.born_at);
         assert!(after >= known, "an outdated report replaced a newer start");
     }
 }
@@ -321,29 +322,29 @@
         id: id(n),
         born_at: Millis::ZERO,
     };
-    let mut ledger = EngineInventory::default();
-    ledger.set_engines(now, (0..engines).map(|n| (start(n), Name::from("s"))));
+    let mut inventory = EngineInventory::default();
+    inventory.set_engines(now, (0..engines).map(|n| (start(n), Name::from("s"))));
     assert_eq!(
-        ledger.due_reports(now, 100).len(),
+        inventory.due_reports(now, 100).len(),
         100,
         "at most as many as asked for"
     );
-    assert_eq!(ledger.due_reports(now, engines).len(), engines - 100);
+    assert_eq!(inventory.due_reports(now, engines).len(), engines - 100);
     for n in 0..engines {
-        ledger.record_report(now, &id(n), Some(EngineReport::default()));
+        inventory.record_report(now, &id(n), Some(EngineReport::default()));
     }
     let later = now + Millis(5_000);
-    assert!(ledger.due_reports(later, engines).is_empty());
+    assert!(inventory.due_reports(later, engines).is_empty());
     let ask = ModelAsk {
         model: "m0".into(),
         adapter: None,
     };
-    let order = ledger.begin(later, &id(7), Action::Load, ask, None);
+    let order = inventory.begin(later, &id(7), Action::Load, ask, None);
     let order = order.expect("a known engine");
-    ledger.take_due_orders(later);
+    inventory.take_due_orders(later);
     let load = LoadTime::default();
-    ledger.record_answer(later, &id(7), &order, OrderAnswer::Silent, load);
-    assert_eq!(ledger.due_reports(later, 0), [id(7)]);
+    inventory.record_answer(later, &id(7), &order, OrderAnswer::Silent, load);
+    assert_eq!(inventory.due_reports(later, 0), [id(7)]);
     let after = now + Millis(10_000);
-    assert_eq!(ledger.due_reports(after, engines).len(), engines - 1);
+    assert_eq!(inventory.due_reports(after, engines).len(), engines - 1);
 }
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -11,10 +11,10 @@
         let planned = site.next(NOW).expect("a plan");
         assert_eq!(planned.ask, adapter("m0", name));
         let order = site
-            .ledger
+            .inventory
             .begin(NOW, &planned.engine, planned.action, planned.ask, None);
         let order = order.expect("a known engine");
-        site.ledger.record_answer(
+        site.inventory.record_answer(
             NOW,
             "e0",
             &order,
@@ -57,13 +57,13 @@
             );
             let Planned { engine, ask, .. } = planned;
             let order = site
-                .ledger
+                .inventory
                 .begin(now, &engine, Action::Load, ask.clone(), None);
             let order = order.expect("a known engine");
-            site.ledger.take_due_orders(now);
+            site.inventory.take_due_orders(now);
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
-            site.ledger
+            site.inventory
                 .record_answer(now, &engine, &order, answer, load);
             assert!(loaded.insert(ask), "each adapter is loaded once");
         }
@@ -71,7 +71,7 @@
     // Each engine has three slots, of which one stays free: four of the five adapters of m0 and
     // both of m1 are loaded.
     assert_eq!(loaded.len(), 6);
-    for engine in site.ledger.iter() {
+    for engine in site.inventory.iter() {
         assert!(engine.adapters.len() <= 2);
     }
 }
@@ -82,15 +82,16 @@
     let mut site = Site::new(spec(200.0, &[50.0]), &[&["m0"], &["m0"]]);
     let requested = adapter("m0", "a0");
     let order = site
-        .ledger
+        .inventory
         .begin(NOW, "e0", Action::Load, requested.clone(), None);
     let order = order.expect("a known engine");
     let (answer, load) = (OrderAnswer::Accepted, LoadTime::default());
-    site.ledger.record_answer(NOW, "e0", &order, answer, load);
+    site.inventory
+        .record_answer(NOW, "e0", &order, answer, load);
     site.request(1, NOW, &[(requested.clone(), waiting(1))]);
     assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
-    let planner = planner(NOW, &site.spec, &site.ledger, &site.book, &leaving);
+    let planner = planner(NOW, &site.spec, &site.inventory, &site.book, &leaving);
     let planned = planner.next(&mut site.ceiling).expect("callers wait");
     assert_eq!((planned.ask, &*planned.engine), (requested, "e1"));
 }
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -172,7 +172,7 @@
         at_hand: Some(vec!["m0".into(), "m1".into()]),
         ..EngineReport::default()
     };
-    site.ledger.record_report(NOW, "e1", Some(report));
+    site.inventory.record_report(NOW, "e1", Some(report));
     let demand = |tokens| AskCount {
         asked: 2,
         tokens,
@@ -186,7 +186,7 @@
     );
     assert_eq!(site.next(NOW), None);
     let mut later = Site::new(site.spec.clone(), &engines);
-    later.ledger = site.ledger.clone();
+    later.inventory = site.inventory.clone();
     later.request(
         1,
         NOW,
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -86,13 +86,13 @@
         ..EngineReport::default()
     };
     let e1: Name = "e1".into();
-    site.ledger
+    site.inventory
         .record_report(NOW, &e1, Some(report(1, &["m1"])));
     site.request(1, NOW, &[(model("m1"), waiting(1))]);
     let planned = site.next(NOW).expect("an order");
-    let load = |site: &Site| load_time(&site.spec, &site.ledger, &planned.engine, &planned.ask);
+    let load = |site: &Site| load_time(&site.spec, &site.inventory, &planned.engine, &planned.ask);
     assert!(!load(&site).from_store);
-    site.ledger.record_report(NOW, &e1, Some(report(2, &[])));
+    site.inventory.record_report(NOW, &e1, Some(report(2, &[])));
     assert!(load(&site).from_store);
 }
 
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -45,16 +45,16 @@
 /// A site of engines `e0`, `e1` and so on that hold the given models.
 struct Site {
     spec: EngineSpec,
-    ledger: EngineInventory,
+    inventory: EngineInventory,
     book: DemandTotals,
     ceiling: Ceiling,
 }
 
 impl Site {
     fn new(spec: EngineSpec, engines: &[&[&str]]) -> Self {
-        let mut ledger = EngineInventory::default();
+        let mut inventory = EngineInventory::default();
         let id = |n: usize| Name::from(format!("e{n}"));
-        ledger.set_engines(
+        inventory.set_engines(
             NOW,
             (0..engines.len()).map(|n| (unknown_start(id(n)), Name::from("s"))),
         );
@@ -67,11 +67,11 @@
                 models: models.iter().map(held).collect(),
                 ..EngineReport::default()
             };
-            ledger.record_report(NOW, &id(n), Some(report));
+            inventory.record_report(NOW, &id(n), Some(report));
         }
         Self {
             spec,
-            ledger,
+            inventory,
             book: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(0), None),
         }
@@ -84,7 +84,7 @@
             ..EngineReport::default()
         };
         let id = Name::from(format!("e{engine}"));
-        self.ledger.record_report(NOW, &id, Some(report));
+        self.inventory.record_report(NOW, &id, Some(report));
     }
 
     fn report(
@@ -108,13 +108,13 @@
 
     fn next(&mut self, now: Millis) -> Option<Planned> {
         let unusable = IndexSet::new();
-        let planner = planner(now, &self.spec, &self.ledger, &self.book, &unusable);
+        let planner = planner(now, &self.spec, &self.inventory, &self.book, &unusable);
         planner.next(&mut self.ceiling)
     }
 
     fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelAsk, Millis)> {
         let unusable = IndexSet::new();
-        planner(now, &self.spec, &self.ledger, &self.book, &unusable).ready_in_ms(pace)
+        planner(now, &self.spec, &self.inventory, &self.book, &unusable).ready_in_ms(pace)
     }
 
     /// Sends planned orders until there are none. The engines accept every order and do not finish
@@ -130,15 +130,15 @@
                 ..
             } = planned.clone();
             let order = self
-                .ledger
+                .inventory
                 .begin(NOW, &engine, action, ask, makes_way_for)
                 .expect("a known engine");
-            self.ledger.take_due_orders(NOW);
+            self.inventory.take_due_orders(NOW);
             let load = LoadTime {
                 takes_ms: Millis(6_000),
                 from_store: true,
             };
-            self.ledger
+            self.inventory
                 .record_answer(NOW, &engine, &order, OrderAnswer::Accepted, load);
             all.push(planned);
             assert!(all.len() < 100, "the planner did not stop");
@@ -150,7 +150,7 @@
 fn planner<'a>(
     now: Millis,
     spec: &'a EngineSpec,
-    ledger: &'a EngineInventory,
+    inventory: &'a EngineInventory,
     book: &'a DemandTotals,
     unusable: &'a IndexSet<Name>,
 ) -> Planner<'a> {
@@ -158,7 +158,7 @@
         now,
         service: "s",
         spec,
-        ledger,
+        inventory,
         book,
         unusable,
     }
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -39,9 +39,9 @@
     };
     let ready = |site: &Site| site.ready_in_ms(NOW, pace);
     assert_eq!(ready(&site), [(adapter("m0", "a1"), Millis(2_500))]);
-    site.ledger = EngineInventory::default();
+    site.inventory = EngineInventory::default();
     let unknown = [(unknown_start("e0".into()), Name::from("s"))];
-    site.ledger.set_engines(NOW, unknown.into_iter());
+    site.inventory.set_engines(NOW, unknown.into_iter());
     assert!(ready(&site).is_empty());
 }
 
@@ -51,12 +51,12 @@
 fn a_load_whose_order_got_no_answer_counts_as_running() {
     let mut site = Site::new(spec(40_000.0, &[30_000.0]), &[&[]]);
     let order = site
-        .ledger
+        .inventory
         .begin(NOW, "e0", Action::Load, model("m0"), None);
     let order = order.expect("a known engine");
-    site.ledger.take_due_orders(NOW);
+    site.inventory.take_due_orders(NOW);
     let silent = OrderAnswer::Silent;
-    site.ledger
+    site.inventory
         .record_answer(NOW, "e0", &order, silent, LoadTime::default());
-    assert_eq!(site.ledger.store_loads(), 1);
+    assert_eq!(site.inventory.store_loads(), 1);
 }
