--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -93,7 +93,7 @@
             service: SERVICE,
             spec: &self.world.spec,
             inventory: &self.ledger,
-            book: &self.book,
+            demand: &self.book,
             unusable: &unusable,
         };
         planner.next(&mut self.ceiling)
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -209,7 +209,7 @@
             service,
             spec,
             inventory: &orders.ledger,
-            book: &orders.book,
+            demand: &orders.book,
             unusable,
         };
         planner.ready_in_ms(pace)
@@ -388,7 +388,7 @@
                 service,
                 spec,
                 inventory: ledger,
-                book,
+                demand: book,
                 unusable,
             };
             let Some(planned) = planner.next(ceiling) else {
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -35,7 +35,7 @@
     /// taken, the least recently requested adapter is unloaded first.
     pub(super) fn requested_adapter_order(&self, index: &ServiceIndex) -> Option<Planned> {
         let mut waiting: Vec<_> = self
-            .book
+            .demand
             .iter()
             .filter(|(ask, demand)| ask.adapter.is_some() && demand.waiting > 0)
             .collect();
@@ -45,7 +45,7 @@
         let excluded = self.excluded_adapters();
         waiting.retain(|(ask, _)| !excluded.is_held_elsewhere(index, ask));
         waiting.sort_by_key(|(_, demand)| std::cmp::Reverse(demand.waiting));
-        let separate = self.book.split_models(self.now);
+        let separate = self.demand.split_models(self.now);
         waiting
             .into_iter()
             .find_map(|(ask, _)| self.place_adapter(index, ask, &separate))
@@ -101,7 +101,7 @@
                 .adapters
                 .iter()
                 .filter(|(_, ready_at)| **ready_at != Millis::NEVER);
-            let idle = idle.map(|(other, _)| (other, self.book.demand_for(other)));
+            let idle = idle.map(|(other, _)| (other, self.demand.demand_for(other)));
             let idle = idle.filter(|(_, demand)| demand.running == 0 && demand.waiting == 0);
             let least_recent = idle.min_by_key(|(_, demand)| demand.last_request_at)?;
             Some((least_recent.1.last_request_at, engine, least_recent.0))
@@ -131,7 +131,7 @@
         let excluded = self.excluded_adapters();
         let mut missing: Vec<(f64, ModelAsk)> = missing
             .filter(|ask| !excluded.is_held_elsewhere(index, ask))
-            .map(|ask| (self.book.demand_for(&ask).requests_per_s(self.now), ask))
+            .map(|ask| (self.demand.demand_for(&ask).requests_per_s(self.now), ask))
             .collect();
         if missing.is_empty() {
             return None;
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -45,7 +45,7 @@
             return Vec::new();
         };
         let waited_for = || {
-            let waiting = self.book.iter().filter(|(_, demand)| demand.waiting > 0);
+            let waiting = self.demand.iter().filter(|(_, demand)| demand.waiting > 0);
             waiting.filter(|(ask, _)| self.spec.models.contains_key(&ask.model))
         };
         let mut queue = LoadQueue::new();
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -26,7 +26,7 @@
         let is_missing = |model: &Name| needs.get(model).is_some_and(|need| need.copies == 0);
         let models = self.spec.models.iter();
         let missing = models.filter(|(model, _)| is_missing(model));
-        let has_requests = self.book.had_requests_within(self.now, RECENT_REQUEST_MS);
+        let has_requests = self.demand.had_requests_within(self.now, RECENT_REQUEST_MS);
         for (model, spec) in missing.take(MAX_MISSING) {
             let place = self
                 .candidates(index, model)
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -82,7 +82,7 @@
     /// The state of the engines.
     pub inventory: &'a EngineInventory,
     /// The demand of all hosts.
-    pub book: &'a DemandTotals,
+    pub demand: &'a DemandTotals,
     /// Engines that are leaving or cannot be reached.
     pub unusable: &'a IndexSet<Name>,
 }
@@ -179,7 +179,7 @@
     /// Returns the demand and the number of copies of each model. Copies on excluded engines do not
     /// count; copies with reserved memory do.
     fn needs(&self, index: &ServiceIndex) -> Needs<'_> {
-        let demands = self.book.model_demands(self.now);
+        let demands = self.demand.model_demands(self.now);
         let excluded: Vec<&Engine> = self.excluded_engines().collect();
         let engines = index.engines() - excluded.len();
         let most = (engines as f64 * MAX_COPIES_SHARE) as usize;
@@ -282,7 +282,7 @@
         match need.is_requested() {
             true => ceiling.admits(self.now, rate, loads),
             false => {
-                let has_requests = self.book.had_requests_within(self.now, RECENT_REQUEST_MS);
+                let has_requests = self.demand.had_requests_within(self.now, RECENT_REQUEST_MS);
                 ceiling.admits_unrequested(self.now, rate, loads, has_requests)
             }
         }
@@ -290,7 +290,7 @@
 
     /// Returns the fraction of an engine's slots that are taken, according to the hosts' reports.
     fn used_slots(&self, engine: &Engine) -> f64 {
-        let running = f64::from(self.book.running_at(&engine.id));
+        let running = f64::from(self.demand.running_at(&engine.id));
         running / f64::from(self.spec.slots.max(1))
     }
 
@@ -396,7 +396,7 @@
         // A model in use stays, because its unload waits for running requests and the engine
         // refuses requests for it meanwhile. It may go if other engines hold it too, the new model
         // is on no engine, and nothing runs on this engine.
-        let is_surplus = copies > 2 && need.copies == 0 && self.book.running_at(&engine.id) == 0;
+        let is_surplus = copies > 2 && need.copies == 0 && self.demand.running_at(&engine.id) == 0;
         // A copy beyond what the demand needs serves few requests, which other copies can take.
         let exceeds_demand = copies > held.target.max(1) && demand.running as usize <= copies;
         let may_go = is_idle || is_surplus || exceeds_demand;
@@ -407,7 +407,7 @@
     /// an adapter that gets more than 0.05 requests per second count.
     pub(super) fn blocked_adapters_cost(&self, engine: &Engine) -> f64 {
         let in_demand = engine.copies.keys().filter(|model| {
-            let demands = self.book.iter();
+            let demands = self.demand.iter();
             demands
                 .filter(|(ask, _)| ask.adapter.is_some() && ask.model == **model)
                 .any(|(_, demand)| demand.requests_per_s(self.now) > 0.05)
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -34,7 +34,7 @@
     /// The engines' starts according to the list, which lags.
     listed: IndexMap<Name, Millis>,
     inventory: EngineInventory,
-    book: DemandTotals,
+    demand: DemandTotals,
     ceiling: Ceiling,
     /// Orders on their way to an engine, each with whether its sender still waits for the answer.
     in_flight: Vec<(Name, Order, bool)>,
@@ -58,7 +58,7 @@
                 .map(|n| (format!("e{n}").into(), Millis::ZERO))
                 .collect(),
             inventory: EngineInventory::default(),
-            book: DemandTotals::default(),
+            demand: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(900_000), None),
             in_flight: Vec::new(),
             published: IndexMap::new(),
@@ -110,7 +110,7 @@
                 service: "s",
                 spec: &spec,
                 inventory: &self.inventory,
-                book: &self.book,
+                demand: &self.demand,
                 unusable: &IndexSet::new(),
             };
             let Some(planned) = planner.next(&mut self.ceiling) else {
@@ -211,7 +211,7 @@
                     demand: vec![(ask(u)?, count)],
                     ..HostReport::default()
                 };
-                self.book
+                self.demand
                     .record(self.now, u.int_in_range(0..=3u64)?, report);
             }
             _ => self.now += Millis(u.int_in_range(1..=900u64)?),
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -91,7 +91,7 @@
     site.request(1, NOW, &[(requested.clone(), waiting(1))]);
     assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
-    let planner = planner(NOW, &site.spec, &site.inventory, &site.book, &leaving);
+    let planner = planner(NOW, &site.spec, &site.inventory, &site.demand, &leaving);
     let planned = planner.next(&mut site.ceiling).expect("callers wait");
     assert_eq!((planned.ask, &*planned.engine), (requested, "e1"));
 }
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -46,7 +46,7 @@
 struct Site {
     spec: EngineSpec,
     inventory: EngineInventory,
-    book: DemandTotals,
+    demand: DemandTotals,
     ceiling: Ceiling,
 }
 
@@ -72,7 +72,7 @@
         Self {
             spec,
             inventory,
-            book: DemandTotals::default(),
+            demand: DemandTotals::default(),
             ceiling: Ceiling::new(Millis(0), None),
         }
     }
@@ -99,7 +99,7 @@
             work,
             ..HostReport::default()
         };
-        self.book.record(at, host, report);
+        self.demand.record(at, host, report);
     }
 
     fn request(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, AskCount)]) {
@@ -108,13 +108,13 @@
 
     fn next(&mut self, now: Millis) -> Option<Planned> {
         let unusable = IndexSet::new();
-        let planner = planner(now, &self.spec, &self.inventory, &self.book, &unusable);
+        let planner = planner(now, &self.spec, &self.inventory, &self.demand, &unusable);
         planner.next(&mut self.ceiling)
     }
 
     fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelAsk, Millis)> {
         let unusable = IndexSet::new();
-        planner(now, &self.spec, &self.inventory, &self.book, &unusable).ready_in_ms(pace)
+        planner(now, &self.spec, &self.inventory, &self.demand, &unusable).ready_in_ms(pace)
     }
 
     /// Sends planned orders until there are none. The engines accept every order and do not finish
@@ -151,7 +151,7 @@
     now: Millis,
     spec: &'a EngineSpec,
     inventory: &'a EngineInventory,
-    book: &'a DemandTotals,
+    demand: &'a DemandTotals,
     unusable: &'a IndexSet<Name>,
 ) -> Planner<'a> {
     Planner {
@@ -159,7 +159,7 @@
         service: "s",
         spec,
         inventory,
-        book,
+        demand,
         unusable,
     }
 }
