--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -94,7 +94,7 @@
             spec: &self.world.spec,
             inventory: &self.ledger,
             demand: &self.book,
-            unusable: &unusable,
+            excluded: &unusable,
         };
         planner.next(&mut self.ceiling)
     }
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -210,7 +210,7 @@
             spec,
             inventory: &orders.ledger,
             demand: &orders.book,
-            unusable,
+            excluded: unusable,
         };
         planner.ready_in_ms(pace)
     });
@@ -389,7 +389,7 @@
                 spec,
                 inventory: ledger,
                 demand: book,
-                unusable,
+                excluded: unusable,
             };
             let Some(planned) = planner.next(ceiling) else {
                 break;
--- a/src/ordering/candidates.rs
+++ b/src/ordering/candidates.rs
@@ -16,13 +16,13 @@
 impl Planner<'_> {
     /// Returns the engines of the service that are leaving or cannot be reached.
     pub(super) fn excluded_engines(&self) -> impl Iterator<Item = &Engine> {
-        let engines = self.unusable.iter().filter_map(|id| self.inventory.get(id));
+        let engines = self.excluded.iter().filter_map(|id| self.inventory.get(id));
         engines.filter(|engine| &*engine.service == self.service)
     }
 
     /// Returns whether an engine may receive orders.
     pub(super) fn is_eligible(&self, engine: &Engine) -> bool {
-        &*engine.service == self.service && !self.unusable.contains(&engine.id)
+        &*engine.service == self.service && !self.excluded.contains(&engine.id)
     }
 
     /// Returns whether an engine accepts an order now and reserves no memory for a certain model.
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -84,7 +84,7 @@
     /// The demand of all hosts.
     pub demand: &'a DemandTotals,
     /// Engines that are leaving or cannot be reached.
-    pub unusable: &'a IndexSet<Name>,
+    pub excluded: &'a IndexSet<Name>,
 }
 
 /// A model with its demand and the number of its copies.
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -111,7 +111,7 @@
                 spec: &spec,
                 inventory: &self.inventory,
                 demand: &self.demand,
-                unusable: &IndexSet::new(),
+                excluded: &IndexSet::new(),
             };
             let Some(planned) = planner.next(&mut self.ceiling) else {
                 break;
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -107,14 +107,14 @@
     }
 
     fn next(&mut self, now: Millis) -> Option<Planned> {
-        let unusable = IndexSet::new();
-        let planner = planner(now, &self.spec, &self.inventory, &self.demand, &unusable);
+        let excluded = IndexSet::new();
+        let planner = planner(now, &self.spec, &self.inventory, &self.demand, &excluded);
         planner.next(&mut self.ceiling)
     }
 
     fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelAsk, Millis)> {
-        let unusable = IndexSet::new();
-        planner(now, &self.spec, &self.inventory, &self.demand, &unusable).ready_in_ms(pace)
+        let excluded = IndexSet::new();
+        planner(now, &self.spec, &self.inventory, &self.demand, &excluded).ready_in_ms(pace)
     }
 
     /// Sends planned orders until there are none. The engines accept every order and do not finish
@@ -152,7 +152,7 @@
     spec: &'a EngineSpec,
     inventory: &'a EngineInventory,
     demand: &'a DemandTotals,
-    unusable: &'a IndexSet<Name>,
+    excluded: &'a IndexSet<Name>,
 ) -> Planner<'a> {
     Planner {
         now,
@@ -160,7 +160,7 @@
         spec,
         inventory,
         demand,
-        unusable,
+        excluded,
     }
 }
 
