--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    fn next(&mut self) -> Option<mangovale::ordering::planner::Planned> {
+    fn next(&mut self) -> Option<mangovale::ordering::planner::PlannedOrder> {
         let unusable = IndexSet::new();
         let planner = Planner {
             now: NOW,
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -14,7 +14,7 @@
 use crate::ordering::estimates::Pace;
 use crate::ordering::lease::Lease;
 use crate::ordering::message::{Action, Order, OrderAnswer};
-use crate::ordering::planner::{Planned, Planner, load_time};
+use crate::ordering::planner::{PlannedOrder, Planner, load_time};
 use crate::ordering::published::{EngineView, PublishedEngines};
 use crate::prelude::*;
 use crate::upstreams::{Lifetime, Registry};
@@ -395,7 +395,7 @@
                 break;
             };
             let load = planner.load_time(&planned);
-            let Planned {
+            let PlannedOrder {
                 engine,
                 action,
                 ask,
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -7,7 +7,7 @@
 use crate::entry::platform::ModelAsk;
 use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::message::Action;
-use crate::ordering::planner::{Planned, Planner};
+use crate::ordering::planner::{PlannedOrder, Planner};
 use crate::prelude::*;
 use crate::routing::roles::short_copies;
 
@@ -33,7 +33,7 @@
 impl Planner<'_> {
     /// Loads an adapter that callers wait for on an engine that holds its model. If all slots are
     /// taken, the least recently requested adapter is unloaded first.
-    pub(super) fn requested_adapter_order(&self, index: &ServiceIndex) -> Option<Planned> {
+    pub(super) fn requested_adapter_order(&self, index: &ServiceIndex) -> Option<PlannedOrder> {
         let mut waiting: Vec<_> = self
             .demand
             .iter()
@@ -70,7 +70,7 @@
         index: &ServiceIndex,
         ask: &ModelAsk,
         separate: &[Name],
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         let spec = self.spec.models.get(&ask.model)?;
         let slots = self.spec.adapter_slots as usize;
         let holders = || {
@@ -88,7 +88,7 @@
             // Most requests for adapters have short prompts.
             .min_by_key(|engine| (!for_short.contains(&&engine.id), engine.adapters.len()));
         if let Some(engine) = with_free_slot {
-            return Some(Planned {
+            return Some(PlannedOrder {
                 engine: engine.id.clone(),
                 action: Action::Load,
                 ask: ask.clone(),
@@ -108,7 +108,7 @@
         });
         let (_, engine, least_recent) =
             candidates.min_by_key(|(last_request_at, ..)| *last_request_at)?;
-        Some(Planned {
+        Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Unload,
             ask: least_recent.clone(),
@@ -120,7 +120,7 @@
     /// Loads adapters that no engine holds into free slots before they are requested, the most
     /// requested ones first. An adapter that is loaded can be used without an orderer, which a site
     /// may lack for seconds.
-    pub(super) fn prefetch_order(&self, index: &ServiceIndex) -> Option<Planned> {
+    pub(super) fn prefetch_order(&self, index: &ServiceIndex) -> Option<PlannedOrder> {
         let models = self.spec.models.iter();
         let missing = models.flat_map(|(model, spec)| {
             spec.adapters.iter().map(|adapter| ModelAsk {
@@ -150,7 +150,7 @@
     }
 
     /// Chooses the engine that prefetches one adapter.
-    fn place_prefetch(&self, index: &ServiceIndex, ask: ModelAsk) -> Option<Planned> {
+    fn place_prefetch(&self, index: &ServiceIndex, ask: ModelAsk) -> Option<PlannedOrder> {
         let adapter_mb = self.spec.models.get(&ask.model)?.adapter_mb;
         let slots = (self.spec.adapter_slots as usize).saturating_sub(RESERVED_SLOTS);
         let engine = self
@@ -159,7 +159,7 @@
             .filter(|engine| engine.used_adapter_slots(self.now) < slots)
             .filter(|engine| self.has_room(engine, adapter_mb))
             .min_by_key(|engine| engine.adapters.len())?;
-        Some(Planned {
+        Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Load,
             ask,
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -4,7 +4,9 @@
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::message::Action;
-use crate::ordering::planner::{Need, Needs, Planned, Planner, RECENT_REQUEST_MS, prompt_speed};
+use crate::ordering::planner::{
+    Need, Needs, PlannedOrder, Planner, RECENT_REQUEST_MS, prompt_speed,
+};
 use crate::prelude::*;
 
 /// The fraction of an engine's time that a model's prompts must take on each engine that holds it
@@ -22,7 +24,7 @@
         index: &ServiceIndex,
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         let is_missing = |model: &Name| needs.get(model).is_some_and(|need| need.copies == 0);
         let models = self.spec.models.iter();
         let missing = models.filter(|(model, _)| is_missing(model));
@@ -46,7 +48,7 @@
             {
                 return None;
             }
-            return Some(Planned {
+            return Some(PlannedOrder {
                 engine: engine.id.clone(),
                 action: Action::Load,
                 ask: ModelAsk {
@@ -67,7 +69,7 @@
         &self,
         index: &ServiceIndex,
         needs: &Needs<'_>,
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         let busy = needs.values().filter(|need| {
             let spec = self.spec.models.get(need.model);
             let share = spec.map_or(0.0, |spec| need.demand.tokens_per_s / prompt_speed(spec));
@@ -88,7 +90,7 @@
         index: &ServiceIndex,
         need: &Need<'_>,
         needs: &Needs<'_>,
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         let spec = self.spec.models.get(need.model)?;
         let tokens_per_copy = need.demand.tokens_per_s / need.copies as f64;
         let places = self
@@ -103,7 +105,7 @@
             // An engine that already reads as many prompt tokens takes no work off the others.
             .filter(|(cost, _)| *cost < tokens_per_copy);
         let (_, engine) = places.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
-        Some(Planned {
+        Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Load,
             ask: ModelAsk {
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -58,7 +58,7 @@
 
 /// An order that the planner wants to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedOrder {
     /// The name of the engine.
     pub engine: Name,
     /// The operation.
@@ -112,7 +112,7 @@
 
 impl Planner<'_> {
     /// Returns the order to send next; `None` if there is none now.
-    pub fn next(&self, ceiling: &mut Ceiling) -> Option<Planned> {
+    pub fn next(&self, ceiling: &mut Ceiling) -> Option<PlannedOrder> {
         let index = self.inventory.service_index(self.service)?;
         if let Some(order) = self.requested_adapter_order(index) {
             return Some(order);
@@ -141,7 +141,7 @@
         index: &ServiceIndex,
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         if let Some(order) = self.continue_reserved(needs, ceiling) {
             return Some(order);
         }
@@ -161,7 +161,7 @@
     }
 
     /// Continues where memory was freed for a model: loads the model, or frees more memory.
-    fn continue_reserved(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<Planned> {
+    fn continue_reserved(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<PlannedOrder> {
         let mut reservations = self.inventory.reservations(self.now);
         reservations.find_map(|(engine, model)| {
             let need = Need {
@@ -260,7 +260,7 @@
         need: &Need<'_>,
         needs: &Needs<'_>,
         ceiling: &mut Ceiling,
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         // Another copy helps only on an engine with free slots.
         let has_slots =
             |engine: &&Engine| need.copies == 0 || self.used_slots(engine) < MAX_SLOT_SHARE;
@@ -302,7 +302,7 @@
         needs: &Needs<'_>,
         engines: impl Iterator<Item = &'b Engine>,
         may_use_store: bool,
-    ) -> Option<Planned> {
+    ) -> Option<PlannedOrder> {
         let spec = self.spec.models.get(need.model)?;
         let places = engines
             .filter(|engine| !engine.copies.contains_key(need.model))
@@ -327,14 +327,14 @@
         };
         let engine = engine.id.clone();
         Some(match victims.first() {
-            Some(victim) => Planned {
+            Some(victim) => PlannedOrder {
                 engine,
                 action: Action::Unload,
                 ask: model(victim),
                 makes_way_for: Some(need.model.clone()),
                 why: "a model that callers ask for needs its memory",
             },
-            None => Planned {
+            None => PlannedOrder {
                 engine,
                 action: Action::Load,
                 ask: model(need.model),
@@ -424,7 +424,7 @@
     }
 
     /// Returns how long the load of a planned order takes, and where the weights come from.
-    pub fn load_time(&self, planned: &Planned) -> LoadTime {
+    pub fn load_time(&self, planned: &PlannedOrder) -> LoadTime {
         load_time(self.spec, self.inventory, &planned.engine, &planned.ask)
     }
 }
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -55,7 +55,7 @@
                 Action::Load,
                 "nothing is unloaded for a prefetch"
             );
-            let Planned { engine, ask, .. } = planned;
+            let PlannedOrder { engine, ask, .. } = planned;
             let order = site
                 .inventory
                 .begin(now, &engine, Action::Load, ask.clone(), None);
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -16,7 +16,7 @@
 use crate::ordering::estimates::Pace;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::message::{Action, EngineReport, OrderAnswer};
-use crate::ordering::planner::{Planned, Planner, load_time};
+use crate::ordering::planner::{PlannedOrder, Planner, load_time};
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use crate::upstreams::HeldModel;
@@ -106,7 +106,7 @@
         self.report(host, at, asks.to_vec(), Vec::new());
     }
 
-    fn next(&mut self, now: Millis) -> Option<Planned> {
+    fn next(&mut self, now: Millis) -> Option<PlannedOrder> {
         let excluded = IndexSet::new();
         let planner = planner(now, &self.spec, &self.inventory, &self.demand, &excluded);
         planner.next(&mut self.ceiling)
@@ -119,10 +119,10 @@
 
     /// Sends planned orders until there are none. The engines accept every order and do not finish
     /// any.
-    fn plan_all(&mut self) -> Vec<Planned> {
+    fn plan_all(&mut self) -> Vec<PlannedOrder> {
         let mut all = Vec::new();
         while let Some(planned) = self.next(NOW) {
-            let Planned {
+            let PlannedOrder {
                 engine,
                 action,
                 ask,
