--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -143,7 +143,7 @@
                 &planned.engine,
                 planned.action,
                 planned.ask,
-                planned.makes_way_for,
+                planned.freed_for,
             );
             let Some(order) = order else { break };
             let load = LoadTime {
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -399,13 +399,13 @@
                 engine,
                 action,
                 ask,
-                makes_way_for,
+                freed_for,
                 why,
             } = planned;
             if load.from_store && action == Action::Load {
                 ceiling.note_begun();
             }
-            if let Some(order) = ledger.begin(now, &engine, action, ask, makes_way_for) {
+            if let Some(order) = ledger.begin(now, &engine, action, ask, freed_for) {
                 let line = OrderLine {
                     upstream: &engine,
                     order: &order,
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -92,7 +92,7 @@
                 engine: engine.id.clone(),
                 action: Action::Load,
                 ask: ask.clone(),
-                makes_way_for: None,
+                freed_for: None,
                 why: "callers wait for the adapter",
             });
         }
@@ -112,7 +112,7 @@
             engine: engine.id.clone(),
             action: Action::Unload,
             ask: least_recent.clone(),
-            makes_way_for: None,
+            freed_for: None,
             why: "another adapter needs its place",
         })
     }
@@ -163,7 +163,7 @@
             engine: engine.id.clone(),
             action: Action::Load,
             ask,
-            makes_way_for: None,
+            freed_for: None,
             why: "a place for adapters is free and no engine holds this one",
         })
     }
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -209,19 +209,19 @@
         }
     }
 
-    /// Creates an order for an engine and reserves what it needs. `makes_way_for` is the model to
-    /// load next into the memory that the order frees.
+    /// Creates an order for an engine and reserves what it needs. `freed_for` is the model to load
+    /// next into the memory that the order frees.
     pub fn begin(
         &mut self,
         now: Millis,
         id: &str,
         action: Action,
         ask: ModelAsk,
-        makes_way_for: Option<Name>,
+        freed_for: Option<Name>,
     ) -> Option<Order> {
         self.update(id, |engine| {
             let order = engine.order(action, ask);
-            engine.reserved_for = makes_way_for.map(|model| (model, now + RESERVATION_MS));
+            engine.reserved_for = freed_for.map(|model| (model, now + RESERVATION_MS));
             engine.begin(&order);
             order
         })
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -55,7 +55,7 @@
                     model: model.clone(),
                     adapter: None,
                 },
-                makes_way_for: None,
+                freed_for: None,
                 why: "its memory is free and no engine holds the model",
             });
         }
@@ -112,7 +112,7 @@
                 model: need.model.clone(),
                 adapter: None,
             },
-            makes_way_for: None,
+            freed_for: None,
             why: "its memory is free and callers ask for the model",
         })
     }
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -66,7 +66,7 @@
     /// The model or adapter to load or unload.
     pub ask: ModelAsk,
     /// For an unload: the model to load next into the freed memory.
-    pub makes_way_for: Option<Name>,
+    pub freed_for: Option<Name>,
     /// The reason, written to the log.
     pub why: &'static str,
 }
@@ -331,14 +331,14 @@
                 engine,
                 action: Action::Unload,
                 ask: model(victim),
-                makes_way_for: Some(need.model.clone()),
+                freed_for: Some(need.model.clone()),
                 why: "a model that callers ask for needs its memory",
             },
             None => PlannedOrder {
                 engine,
                 action: Action::Load,
                 ask: model(need.model),
-                makes_way_for: None,
+                freed_for: None,
                 why: "callers ask for the model",
             },
         })
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -117,13 +117,8 @@
                 break;
             };
             let (now, engine) = (self.now, planned.engine);
-            self.inventory.begin(
-                now,
-                &engine,
-                planned.action,
-                planned.ask,
-                planned.makes_way_for,
-            );
+            self.inventory
+                .begin(now, &engine, planned.action, planned.ask, planned.freed_for);
         }
         for (id, order) in self.inventory.take_due_orders(self.now) {
             self.in_flight.push((id, order, true));
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -99,7 +99,7 @@
     site.spec.weights_mb = 60.0;
     let planned = site.next(NOW).expect("an order");
     assert_eq!((planned.action, planned.ask), (Action::Unload, model("m1")));
-    assert_eq!(planned.makes_way_for.as_deref(), Some("m0"));
+    assert_eq!(planned.freed_for.as_deref(), Some("m0"));
 }
 
 /// Another copy of a busy model does not help on an engine without free slots.
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -29,7 +29,7 @@
         .map(|planned| (planned.action, &*planned.ask.model))
         .collect();
     assert_eq!(orders, [(Action::Unload, "m0")]);
-    assert_eq!(planned[0].makes_way_for.as_deref(), Some("m1"));
+    assert_eq!(planned[0].freed_for.as_deref(), Some("m1"));
 }
 
 #[test]
@@ -113,7 +113,7 @@
         [&model("m0")],
         "a surplus copy is unloaded to make room for a second copy"
     );
-    assert_eq!(planned[0].makes_way_for.as_deref(), Some("m1"));
+    assert_eq!(planned[0].freed_for.as_deref(), Some("m1"));
 }
 
 #[test]
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -126,12 +126,12 @@
                 engine,
                 action,
                 ask,
-                makes_way_for,
+                freed_for,
                 ..
             } = planned.clone();
             let order = self
                 .inventory
-                .begin(NOW, &engine, action, ask, makes_way_for)
+                .begin(NOW, &engine, action, ask, freed_for)
                 .expect("a known engine");
             self.inventory.take_due_orders(NOW);
             let load = LoadTime {
