--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -2,7 +2,6 @@
 
 use crate::fleet::world::{SERVICE, World, engine_id, model};
 use mangovale::entry::platform::ModelAsk;
-use mangovale::ordering::ceiling::Ceiling;
 use mangovale::ordering::copy::LoadTime;
 use mangovale::ordering::demand::AskCount;
 use mangovale::ordering::demand_totals::DemandTotals;
@@ -10,6 +9,7 @@
 use mangovale::ordering::host_reports::HostReport;
 use mangovale::ordering::message::{EngineReport, OrderAnswer};
 use mangovale::ordering::planner::Planner;
+use mangovale::ordering::store_load_limiter::StoreLoadLimiter;
 use mangovale::prelude::*;
 use serde::Serialize;
 use std::time::Instant;
@@ -39,7 +39,7 @@
     world: &'a World,
     ledger: EngineInventory,
     book: DemandTotals,
-    ceiling: Ceiling,
+    ceiling: StoreLoadLimiter,
 }
 
 /// Measures the plan.
@@ -82,7 +82,7 @@
             world,
             ledger,
             book: DemandTotals::default(),
-            ceiling: Ceiling::new(Millis::ZERO, Some(WAITED_FOR)),
+            ceiling: StoreLoadLimiter::new(Millis::ZERO, Some(WAITED_FOR)),
         }
     }
 
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -7,7 +7,6 @@
 use crate::entry::table_rows;
 use crate::group::Member;
 use crate::http1::client::within;
-use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::Loaded;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_inventory::EngineInventory;
@@ -16,6 +15,7 @@
 use crate::ordering::message::{Action, Order, OrderAnswer};
 use crate::ordering::planner::{PlannedOrder, Planner, load_time};
 use crate::ordering::published::{EngineView, PublishedEngines};
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 use crate::upstreams::{Lifetime, Registry};
 use smol::{LocalExecutor, Timer};
@@ -53,7 +53,7 @@
     /// The models whose copies are kept apart for long and for short prompts.
     pub separate: Vec<Name>,
     /// The load on the weight store, while this host orders.
-    pub ceiling: Option<Ceiling>,
+    pub ceiling: Option<StoreLoadLimiter>,
     /// Since when no other host was heard of.
     pub alone_since: Option<Millis>,
     /// Until when this host does not claim the lease.
@@ -65,7 +65,10 @@
 impl Orders {
     /// Returns how many loads the weight store serves at full speed, as far as any holder has learned it.
     pub fn store_loads_at_once(&self) -> Option<usize> {
-        let own = self.ceiling.as_ref().and_then(Ceiling::learned_at_once);
+        let own = self
+            .ceiling
+            .as_ref()
+            .and_then(StoreLoadLimiter::learned_at_once);
         own.or(self.lease.store_loads_at_once())
     }
 
@@ -200,7 +203,7 @@
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
     let pace = Pace {
-        store_loads_at_once: orders.ceiling.as_ref().map_or(1, Ceiling::at_once),
+        store_loads_at_once: orders.ceiling.as_ref().map_or(1, StoreLoadLimiter::at_once),
         orders_in_ms: holding.map_or(Millis::ZERO, |holding| holding.orders_from.since(now)),
     };
     let specs = engine_specs(table).map(|(service, spec)| {
@@ -316,7 +319,7 @@
             model: &model,
             took_ms,
             from_store,
-            store_loads_at_once: orders.ceiling.as_ref().map_or(0, Ceiling::at_once),
+            store_loads_at_once: orders.ceiling.as_ref().map_or(0, StoreLoadLimiter::at_once),
         };
         lines::write(LogEvent::CopyReady, &line);
     }
@@ -379,7 +382,8 @@
         lease,
         ..
     } = &mut *orders;
-    let ceiling = ceiling.get_or_insert_with(|| Ceiling::new(now, lease.store_loads_at_once()));
+    let ceiling =
+        ceiling.get_or_insert_with(|| StoreLoadLimiter::new(now, lease.store_loads_at_once()));
     let fence = lease.holding().map_or(0, |holding| holding.fence);
     for (service, spec) in engine_specs(table) {
         for _ in 0..MAX_PLANNED {
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -1,12 +1,12 @@
 //! Uses free memory before models are requested.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::ceiling::Ceiling;
 use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::message::Action;
 use crate::ordering::planner::{
     Need, Needs, PlannedOrder, Planner, RECENT_REQUEST_MS, prompt_speed,
 };
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 
 /// The fraction of an engine's time that a model's prompts must take on each engine that holds it
@@ -23,7 +23,7 @@
         &self,
         index: &ServiceIndex,
         needs: &Needs<'_>,
-        ceiling: &mut Ceiling,
+        limiter: &mut StoreLoadLimiter,
     ) -> Option<PlannedOrder> {
         let is_missing = |model: &Name| needs.get(model).is_some_and(|need| need.copies == 0);
         let models = self.spec.models.iter();
@@ -39,7 +39,7 @@
             let Some(engine) = place else { continue };
             let is_cached = engine.cached_models.contains(model);
             if !is_cached
-                && !ceiling.admits_unrequested(
+                && !limiter.admits_unrequested(
                     self.now,
                     self.spec.loads_per_s,
                     self.inventory.store_loads(),
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -7,15 +7,14 @@
 //!
 //! Nothing in this module does any network I/O. [`lease`] decides who may send orders.
 //! [`engine_inventory`] tracks what each engine holds, is loading or unloading; [`engine_index`]
-//! counts it per model. [`ceiling`] limits loads from the weight store. [`planner`] chooses the
-//! next order for a model, [`adapters`] for an adapter. [`estimates`] predicts when a model that
-//! callers wait for is ready. [`demand`], [`host_reports`], [`gather`] and [`demand_totals`] add up
-//! what hosts report to the orderer; [`published`] and [`view`] carry the state of the engines back
-//! to the hosts.
+//! counts it per model. [`store_load_limiter`] limits loads from the weight store. [`planner`]
+//! chooses the next order for a model, [`adapters`] for an adapter. [`estimates`] predicts when a
+//! model that callers wait for is ready. [`demand`], [`host_reports`], [`gather`] and
+//! [`demand_totals`] add up what hosts report to the orderer; [`published`] and [`view`] carry the
+//! state of the engines back to the hosts.
 
 pub mod adapters;
 mod candidates;
-pub mod ceiling;
 pub mod copy;
 pub mod demand;
 pub mod demand_totals;
@@ -31,6 +30,7 @@
 pub mod message;
 pub mod planner;
 pub mod published;
+pub mod store_load_limiter;
 pub mod view;
 
 #[cfg(test)]
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -9,13 +9,13 @@
 
 use crate::desired::{EngineSpec, ModelSpec};
 use crate::entry::platform::ModelAsk;
-use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::{LoadTime, ModelCopy};
 use crate::ordering::demand_totals::{DemandTotals, ModelDemand};
 use crate::ordering::engine::Engine;
 use crate::ordering::engine_index::{Holders, ServiceIndex};
 use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::message::Action;
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 
 /// The prompt tokens per second that an engine reads for a large model, as stated for the engines.
@@ -112,14 +112,14 @@
 
 impl Planner<'_> {
     /// Returns the order to send next; `None` if there is none now.
-    pub fn next(&self, ceiling: &mut Ceiling) -> Option<PlannedOrder> {
+    pub fn next(&self, limiter: &mut StoreLoadLimiter) -> Option<PlannedOrder> {
         let index = self.inventory.service_index(self.service)?;
         if let Some(order) = self.requested_adapter_order(index) {
             return Some(order);
         }
         let needs = self.needs(index);
-        self.model_order(index, &needs, ceiling)
-            .or_else(|| self.fill_free_memory(index, &needs, ceiling))
+        self.model_order(index, &needs, limiter)
+            .or_else(|| self.fill_free_memory(index, &needs, limiter))
             .or_else(|| self.extra_copy_order(index, &needs))
             .or_else(|| self.prefetch_order(index))
     }
@@ -140,9 +140,9 @@
         &self,
         index: &ServiceIndex,
         needs: &Needs<'_>,
-        ceiling: &mut Ceiling,
+        limiter: &mut StoreLoadLimiter,
     ) -> Option<PlannedOrder> {
-        if let Some(order) = self.continue_reserved(needs, ceiling) {
+        if let Some(order) = self.continue_reserved(needs, limiter) {
             return Some(order);
         }
         let short = needs.values().filter(|need| need.copies < need.target);
@@ -157,11 +157,15 @@
             unrequested += usize::from(!need.is_requested());
             need.is_requested() || unrequested <= MAX_UNREQUESTED
         });
-        tried.find_map(|need| self.place_model(index, &need, needs, ceiling))
+        tried.find_map(|need| self.place_model(index, &need, needs, limiter))
     }
 
     /// Continues where memory was freed for a model: loads the model, or frees more memory.
-    fn continue_reserved(&self, needs: &Needs<'_>, ceiling: &mut Ceiling) -> Option<PlannedOrder> {
+    fn continue_reserved(
+        &self,
+        needs: &Needs<'_>,
+        limiter: &mut StoreLoadLimiter,
+    ) -> Option<PlannedOrder> {
         let mut reservations = self.inventory.reservations(self.now);
         reservations.find_map(|(engine, model)| {
             let need = Need {
@@ -171,7 +175,7 @@
             if !self.is_eligible(engine) || !engine.is_free(self.now) {
                 return None;
             }
-            let may_use_store = self.may_use_store(&need, ceiling);
+            let may_use_store = self.may_use_store(&need, limiter);
             self.place_on(&need, needs, std::iter::once(engine), may_use_store)
         })
     }
@@ -259,12 +263,12 @@
         index: &ServiceIndex,
         need: &Need<'_>,
         needs: &Needs<'_>,
-        ceiling: &mut Ceiling,
+        limiter: &mut StoreLoadLimiter,
     ) -> Option<PlannedOrder> {
         // Another copy helps only on an engine with free slots.
         let has_slots =
             |engine: &&Engine| need.copies == 0 || self.used_slots(engine) < MAX_SLOT_SHARE;
-        let may_use_store = self.may_use_store(need, ceiling);
+        let may_use_store = self.may_use_store(need, limiter);
         if may_use_store {
             let engines = self.candidates(index, need.model).filter(has_slots);
             return self.place_on(need, needs, engines, may_use_store);
@@ -277,13 +281,13 @@
     }
 
     /// Returns whether a model may be loaded from the weight store now.
-    fn may_use_store(&self, need: &Need<'_>, ceiling: &mut Ceiling) -> bool {
+    fn may_use_store(&self, need: &Need<'_>, limiter: &mut StoreLoadLimiter) -> bool {
         let (rate, loads) = (self.spec.loads_per_s, self.inventory.store_loads());
         match need.is_requested() {
-            true => ceiling.admits(self.now, rate, loads),
+            true => limiter.admits(self.now, rate, loads),
             false => {
                 let has_requests = self.demand.had_requests_within(self.now, RECENT_REQUEST_MS);
-                ceiling.admits_unrequested(self.now, rate, loads, has_requests)
+                limiter.admits_unrequested(self.now, rate, loads, has_requests)
             }
         }
     }
--- a/src/ordering/ceiling.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -53,7 +53,7 @@
 /// predecessor started in the last seconds. The rate alone then keeps the sum below the store's
 /// limit.
 #[derive(Clone, Debug)]
-pub struct Ceiling {
+pub struct StoreLoadLimiter {
     /// Loads that may start now, at most [`MAX_BURST`].
     tokens: f64,
     refilled_at: Millis,
@@ -66,7 +66,7 @@
     has_rate: bool,
 }
 
-impl Ceiling {
+impl StoreLoadLimiter {
     /// Creates the limiter of a host that becomes the orderer. `learned_at_once` is the limit that
     /// an earlier orderer learned.
     pub fn new(now: Millis, learned_at_once: Option<usize>) -> Self {
@@ -132,7 +132,7 @@
     }
 
     /// Adjusts the limit while a load is still running `elapsed_ms` after it started. `concurrent`
-    /// is as in [`Ceiling::note_done`].
+    /// is as in [`StoreLoadLimiter::note_done`].
     pub fn note_overdue(&mut self, elapsed_ms: Millis, stated_ms: Millis, concurrent: usize) {
         let factor = slowdown(elapsed_ms, stated_ms);
         if concurrent > 1 && factor > FULL_SPEED_FACTOR {
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -3,7 +3,6 @@
 
 use super::fake_engine::{FakeEngine, spec};
 use crate::entry::platform::ModelAsk;
-use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::LoadTime;
 use crate::ordering::demand::AskCount;
 use crate::ordering::demand_totals::DemandTotals;
@@ -12,6 +11,7 @@
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
 use crate::ordering::planner::{Planner, load_time};
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 use crate::test_support::seeded;
 use crate::upstreams::Lifetime;
@@ -35,7 +35,7 @@
     listed: IndexMap<Name, Millis>,
     inventory: EngineInventory,
     demand: DemandTotals,
-    ceiling: Ceiling,
+    limiter: StoreLoadLimiter,
     /// Orders on their way to an engine, each with whether its sender still waits for the answer.
     in_flight: Vec<(Name, Order, bool)>,
     /// The engines' state as a host knows it that receives changes only.
@@ -59,7 +59,7 @@
                 .collect(),
             inventory: EngineInventory::default(),
             demand: DemandTotals::default(),
-            ceiling: Ceiling::new(Millis(900_000), None),
+            limiter: StoreLoadLimiter::new(Millis(900_000), None),
             in_flight: Vec::new(),
             published: IndexMap::new(),
         }
@@ -113,7 +113,7 @@
                 demand: &self.demand,
                 excluded: &IndexSet::new(),
             };
-            let Some(planned) = planner.next(&mut self.ceiling) else {
+            let Some(planned) = planner.next(&mut self.limiter) else {
                 break;
             };
             let (now, engine) = (self.now, planned.engine);
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -92,6 +92,6 @@
     assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
     let planner = planner(NOW, &site.spec, &site.inventory, &site.demand, &leaving);
-    let planned = planner.next(&mut site.ceiling).expect("callers wait");
+    let planned = planner.next(&mut site.limiter).expect("callers wait");
     assert_eq!((planned.ask, &*planned.engine), (requested, "e1"));
 }
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -134,7 +134,7 @@
     site.set_cached(131, "m1");
     // The weight store admits no load now, so the six models that are on no engine cannot be
     // loaded.
-    site.ceiling = Ceiling::new(NOW, None);
+    site.limiter = StoreLoadLimiter::new(NOW, None);
     let count = AskCount {
         asked: 100,
         tokens: 900_000,
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -8,7 +8,6 @@
 use super::fake_engine::{spec, unknown_start};
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
-use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::LoadTime;
 use crate::ordering::demand::AskCount;
 use crate::ordering::demand_totals::DemandTotals;
@@ -17,6 +16,7 @@
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::message::{Action, EngineReport, OrderAnswer};
 use crate::ordering::planner::{PlannedOrder, Planner, load_time};
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use crate::upstreams::HeldModel;
@@ -47,7 +47,7 @@
     spec: EngineSpec,
     inventory: EngineInventory,
     demand: DemandTotals,
-    ceiling: Ceiling,
+    limiter: StoreLoadLimiter,
 }
 
 impl Site {
@@ -73,7 +73,7 @@
             spec,
             inventory,
             demand: DemandTotals::default(),
-            ceiling: Ceiling::new(Millis(0), None),
+            limiter: StoreLoadLimiter::new(Millis(0), None),
         }
     }
 
@@ -109,7 +109,7 @@
     fn next(&mut self, now: Millis) -> Option<PlannedOrder> {
         let excluded = IndexSet::new();
         let planner = planner(now, &self.spec, &self.inventory, &self.demand, &excluded);
-        planner.next(&mut self.ceiling)
+        planner.next(&mut self.limiter)
     }
 
     fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelAsk, Millis)> {
--- a/src/ordering/tests/ceiling.rs
+++ b/src/ordering/tests/store_load_limiter.rs
@@ -1,7 +1,7 @@
 //! The load limiter keeps the start rate below the store's limit and adapts the number of
 //! concurrent loads.
 
-use crate::ordering::ceiling::Ceiling;
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 
 const LOADS_PER_S: f64 = 2.1;
@@ -14,7 +14,7 @@
 fn load_starts_in_any_window_stay_below_the_limit_across_changes_of_the_holder() {
     arbtest::arbtest(|u| {
         let mut now = Millis(1_000_000);
-        let mut ceiling = Ceiling::new(now, None);
+        let mut limiter = StoreLoadLimiter::new(now, None);
         let mut begun: Vec<Millis> = Vec::new();
         for _ in 0..u.int_in_range(0..=300u16)? {
             now += Millis(u.int_in_range(0..=400u64)?);
@@ -23,10 +23,10 @@
                     // A new holder sends no order before the engines' lease time after the previous
                     // holder's last.
                     now += Millis(3_000);
-                    ceiling = Ceiling::new(now, None);
+                    limiter = StoreLoadLimiter::new(now, None);
                 }
-                _ if ceiling.admits(now, LOADS_PER_S, 0) => {
-                    ceiling.note_begun();
+                _ if limiter.admits(now, LOADS_PER_S, 0) => {
+                    limiter.note_begun();
                     begun.push(now);
                 }
                 _ => {}
@@ -43,101 +43,101 @@
 
 #[test]
 fn the_limit_drops_to_one_for_a_store_that_serves_one_load_at_a_time() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     for concurrent in [4, 3, 2] {
         let took_ms = Millis(13_200 * concurrent);
-        ceiling.note_done(took_ms, Millis(13_200), concurrent as usize);
+        limiter.note_done(took_ms, Millis(13_200), concurrent as usize);
     }
-    assert_eq!(ceiling.at_once(), 1);
-    assert!(ceiling.admits(Millis(100_000), 19.0, 0));
-    assert!(!ceiling.admits(Millis(100_000), 19.0, 1));
+    assert_eq!(limiter.at_once(), 1);
+    assert!(limiter.admits(Millis(100_000), 19.0, 0));
+    assert!(!limiter.admits(Millis(100_000), 19.0, 1));
 }
 
 #[test]
 fn an_overdue_load_lowers_the_limit_before_it_ends() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    assert!(ceiling.admits(Millis(100_000), 19.0, 1));
-    ceiling.note_overdue(Millis(13_500), Millis(13_200), 2);
-    assert_eq!(ceiling.at_once(), 2);
-    ceiling.note_overdue(Millis(15_400), Millis(13_200), 2);
-    assert_eq!(ceiling.at_once(), 1);
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
+    assert!(limiter.admits(Millis(100_000), 19.0, 1));
+    limiter.note_overdue(Millis(13_500), Millis(13_200), 2);
+    assert_eq!(limiter.at_once(), 2);
+    limiter.note_overdue(Millis(15_400), Millis(13_200), 2);
+    assert_eq!(limiter.at_once(), 1);
 }
 
 #[test]
 fn a_single_overdue_load_does_not_lower_the_limit() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    ceiling.note_overdue(Millis(60_000), Millis(13_200), 1);
-    assert_eq!(ceiling.at_once(), 2);
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
+    limiter.note_overdue(Millis(60_000), Millis(13_200), 1);
+    assert_eq!(limiter.at_once(), 2);
 }
 
 #[test]
 fn the_limit_reaches_the_typical_number_after_few_loads_at_full_speed() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    ceiling.note_done(Millis(6_200), Millis(6_000), 2);
-    ceiling.note_done(Millis(6_200), Millis(6_000), 2);
-    assert!(ceiling.at_once() >= 3);
-    ceiling.note_done(Millis(6_200), Millis(6_000), 3);
-    assert_eq!(ceiling.at_once(), 4);
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
+    limiter.note_done(Millis(6_200), Millis(6_000), 2);
+    limiter.note_done(Millis(6_200), Millis(6_000), 2);
+    assert!(limiter.at_once() >= 3);
+    limiter.note_done(Millis(6_200), Millis(6_000), 3);
+    assert_eq!(limiter.at_once(), 4);
 }
 
 #[test]
 fn a_new_holder_starts_with_the_limit_that_its_predecessor_learned() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    assert_eq!(ceiling.learned_at_once(), None);
-    ceiling.note_overdue(Millis(15_400), Millis(13_200), 2);
-    let next = Ceiling::new(Millis(20_000), ceiling.learned_at_once());
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
+    assert_eq!(limiter.learned_at_once(), None);
+    limiter.note_overdue(Millis(15_400), Millis(13_200), 2);
+    let next = StoreLoadLimiter::new(Millis(20_000), limiter.learned_at_once());
     assert_eq!(next.at_once(), 1);
 }
 
 #[test]
 fn the_limit_grows_while_loads_run_at_full_speed() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     for _ in 0..20 {
-        let concurrent = ceiling.at_once();
-        ceiling.note_done(Millis(6_200), Millis(6_000), concurrent);
+        let concurrent = limiter.at_once();
+        limiter.note_done(Millis(6_200), Millis(6_000), concurrent);
     }
-    assert!(ceiling.at_once() >= 7);
+    assert!(limiter.at_once() >= 7);
 }
 
 #[test]
 fn one_late_load_lowers_the_limit_only_for_a_while() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, Some(4));
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, Some(4));
     // The engine itself was slow: the load took as long as with ten concurrent loads.
-    ceiling.note_done(Millis(15_000), Millis(6_000), 4);
-    assert_eq!(ceiling.at_once(), 3);
+    limiter.note_done(Millis(15_000), Millis(6_000), 4);
+    assert_eq!(limiter.at_once(), 3);
     for _ in 0..10 {
-        ceiling.note_done(Millis(6_200), Millis(6_000), 3);
+        limiter.note_done(Millis(6_200), Millis(6_000), 3);
     }
-    assert_eq!(ceiling.at_once(), 4);
+    assert_eq!(limiter.at_once(), 4);
 }
 
 /// Regression test: a store that serves thousands of engines received only two loads at a time at
 /// first.
 #[test]
 fn a_store_with_a_high_rate_gets_many_concurrent_loads_from_the_start() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    assert!(ceiling.admits(Millis(10_000), 2_800.0, 80));
-    assert!(!ceiling.admits(Millis(10_000), 2_800.0, 90));
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
+    assert!(limiter.admits(Millis(10_000), 2_800.0, 80));
+    assert!(!limiter.admits(Millis(10_000), 2_800.0, 90));
     for _ in 0..100 {
-        ceiling.note_done(Millis(13_400), Millis(13_200), ceiling.at_once());
+        limiter.note_done(Millis(13_400), Millis(13_200), limiter.at_once());
     }
-    assert!(ceiling.at_once() > 100);
+    assert!(limiter.at_once() > 100);
 }
 
 /// Regression test: the stated rate was taken for the number of concurrent loads at full speed.
 #[test]
 fn the_limit_drops_for_a_store_that_serves_few_concurrent_loads_despite_a_high_rate() {
-    let mut ceiling = Ceiling::new(Millis::ZERO, None);
-    assert!(ceiling.admits(Millis(10_000), 2_800.0, 80));
+    let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
+    assert!(limiter.admits(Millis(10_000), 2_800.0, 80));
     let served_at_once = 4;
     for _ in 0..16 {
-        let at_once = ceiling.at_once();
+        let at_once = limiter.at_once();
         let passed_ms = Millis(13_200 * (at_once as u64 / served_at_once));
-        ceiling.note_overdue(passed_ms, Millis(13_200), at_once);
+        limiter.note_overdue(passed_ms, Millis(13_200), at_once);
     }
     assert!(
-        ceiling.at_once() <= 8,
+        limiter.at_once() <= 8,
         "{} concurrent loads",
-        ceiling.at_once()
+        limiter.at_once()
     );
 }
