--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -407,7 +407,7 @@
                 why,
             } = planned;
             if load.from_store && action == Action::Load {
-                ceiling.note_begun();
+                ceiling.record_start();
             }
             if let Some(order) = ledger.begin(now, &engine, action, ask, freed_for) {
                 let line = OrderLine {
--- a/src/ordering/store_load_limiter.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -114,7 +114,7 @@
     }
 
     /// Takes a token for a load that starts.
-    pub fn note_begun(&mut self) {
+    pub fn record_start(&mut self) {
         self.tokens -= 1.0;
     }
 
--- a/src/ordering/tests/store_load_limiter.rs
+++ b/src/ordering/tests/store_load_limiter.rs
@@ -26,7 +26,7 @@
                     limiter = StoreLoadLimiter::new(now, None);
                 }
                 _ if limiter.admits(now, LOADS_PER_S, 0) => {
-                    limiter.note_begun();
+                    limiter.record_start();
                     begun.push(now);
                 }
                 _ => {}
