--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -312,7 +312,7 @@
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
             && let Some(ceiling) = &mut orders.ceiling
         {
-            ceiling.note_done(took_ms, stated_ms, beside);
+            ceiling.record_finish(took_ms, stated_ms, beside);
         }
         let line = LoadedLine {
             upstream: id,
--- a/src/ordering/store_load_limiter.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -120,7 +120,7 @@
 
     /// Adjusts the limit after a load that took `took_ms` instead of `stated_ms`. `concurrent` is
     /// the largest number of loads that ran at the same time, itself included.
-    pub fn note_done(&mut self, took_ms: Millis, stated_ms: Millis, concurrent: usize) {
+    pub fn record_finish(&mut self, took_ms: Millis, stated_ms: Millis, concurrent: usize) {
         let factor = slowdown(took_ms, stated_ms);
         let concurrent = concurrent.max(1) as f64;
         self.is_learned |= concurrent > 1.0;
@@ -132,7 +132,7 @@
     }
 
     /// Adjusts the limit while a load is still running `elapsed_ms` after it started. `concurrent`
-    /// is as in [`StoreLoadLimiter::note_done`].
+    /// is as in [`StoreLoadLimiter::record_finish`].
     pub fn note_overdue(&mut self, elapsed_ms: Millis, stated_ms: Millis, concurrent: usize) {
         let factor = slowdown(elapsed_ms, stated_ms);
         if concurrent > 1 && factor > FULL_SPEED_FACTOR {
--- a/src/ordering/tests/store_load_limiter.rs
+++ b/src/ordering/tests/store_load_limiter.rs
@@ -46,7 +46,7 @@
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     for concurrent in [4, 3, 2] {
         let took_ms = Millis(13_200 * concurrent);
-        limiter.note_done(took_ms, Millis(13_200), concurrent as usize);
+        limiter.record_finish(took_ms, Millis(13_200), concurrent as usize);
     }
     assert_eq!(limiter.at_once(), 1);
     assert!(limiter.admits(Millis(100_000), 19.0, 0));
@@ -73,10 +73,10 @@
 #[test]
 fn the_limit_reaches_the_typical_number_after_few_loads_at_full_speed() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
-    limiter.note_done(Millis(6_200), Millis(6_000), 2);
-    limiter.note_done(Millis(6_200), Millis(6_000), 2);
+    limiter.record_finish(Millis(6_200), Millis(6_000), 2);
+    limiter.record_finish(Millis(6_200), Millis(6_000), 2);
     assert!(limiter.at_once() >= 3);
-    limiter.note_done(Millis(6_200), Millis(6_000), 3);
+    limiter.record_finish(Millis(6_200), Millis(6_000), 3);
     assert_eq!(limiter.at_once(), 4);
 }
 
@@ -94,7 +94,7 @@
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     for _ in 0..20 {
         let concurrent = limiter.at_once();
-        limiter.note_done(Millis(6_200), Millis(6_000), concurrent);
+        limiter.record_finish(Millis(6_200), Millis(6_000), concurrent);
     }
     assert!(limiter.at_once() >= 7);
 }
@@ -103,10 +103,10 @@
 fn one_late_load_lowers_the_limit_only_for_a_while() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, Some(4));
     // The engine itself was slow: the load took as long as with ten concurrent loads.
-    limiter.note_done(Millis(15_000), Millis(6_000), 4);
+    limiter.record_finish(Millis(15_000), Millis(6_000), 4);
     assert_eq!(limiter.at_once(), 3);
     for _ in 0..10 {
-        limiter.note_done(Millis(6_200), Millis(6_000), 3);
+        limiter.record_finish(Millis(6_200), Millis(6_000), 3);
     }
     assert_eq!(limiter.at_once(), 4);
 }
@@ -119,7 +119,7 @@
     assert!(limiter.admits(Millis(10_000), 2_800.0, 80));
     assert!(!limiter.admits(Millis(10_000), 2_800.0, 90));
     for _ in 0..100 {
-        limiter.note_done(Millis(13_400), Millis(13_200), limiter.at_once());
+        limiter.record_finish(Millis(13_400), Millis(13_200), limiter.at_once());
     }
     assert!(limiter.at_once() > 100);
 }
