--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -353,7 +353,7 @@
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
             && let Some(ceiling) = &mut orders.ceiling
         {
-            ceiling.note_overdue(took_ms, stated_ms, beside);
+            ceiling.record_overdue(took_ms, stated_ms, beside);
         }
     }
 }
--- a/src/ordering/store_load_limiter.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -133,7 +133,7 @@
 
     /// Adjusts the limit while a load is still running `elapsed_ms` after it started. `concurrent`
     /// is as in [`StoreLoadLimiter::record_finish`].
-    pub fn note_overdue(&mut self, elapsed_ms: Millis, stated_ms: Millis, concurrent: usize) {
+    pub fn record_overdue(&mut self, elapsed_ms: Millis, stated_ms: Millis, concurrent: usize) {
         let factor = slowdown(elapsed_ms, stated_ms);
         if concurrent > 1 && factor > FULL_SPEED_FACTOR {
             self.lower_to((concurrent as f64 / factor).floor());
--- a/src/ordering/tests/store_load_limiter.rs
+++ b/src/ordering/tests/store_load_limiter.rs
@@ -57,16 +57,16 @@
 fn an_overdue_load_lowers_the_limit_before_it_ends() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     assert!(limiter.admits(Millis(100_000), 19.0, 1));
-    limiter.note_overdue(Millis(13_500), Millis(13_200), 2);
+    limiter.record_overdue(Millis(13_500), Millis(13_200), 2);
     assert_eq!(limiter.at_once(), 2);
-    limiter.note_overdue(Millis(15_400), Millis(13_200), 2);
+    limiter.record_overdue(Millis(15_400), Millis(13_200), 2);
     assert_eq!(limiter.at_once(), 1);
 }
 
 #[test]
 fn a_single_overdue_load_does_not_lower_the_limit() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
-    limiter.note_overdue(Millis(60_000), Millis(13_200), 1);
+    limiter.record_overdue(Millis(60_000), Millis(13_200), 1);
     assert_eq!(limiter.at_once(), 2);
 }
 
@@ -84,7 +84,7 @@
 fn a_new_holder_starts_with_the_limit_that_its_predecessor_learned() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     assert_eq!(limiter.learned_at_once(), None);
-    limiter.note_overdue(Millis(15_400), Millis(13_200), 2);
+    limiter.record_overdue(Millis(15_400), Millis(13_200), 2);
     let next = StoreLoadLimiter::new(Millis(20_000), limiter.learned_at_once());
     assert_eq!(next.at_once(), 1);
 }
@@ -133,7 +133,7 @@
     for _ in 0..16 {
         let at_once = limiter.at_once();
         let passed_ms = Millis(13_200 * (at_once as u64 / served_at_once));
-        limiter.note_overdue(passed_ms, Millis(13_200), at_once);
+        limiter.record_overdue(passed_ms, Millis(13_200), at_once);
     }
     assert!(
         limiter.at_once() <= 8,
