--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -203,7 +203,10 @@
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
     let pace = Pace {
-        store_loads_at_once: orders.ceiling.as_ref().map_or(1, StoreLoadLimiter::at_once),
+        store_loads_at_once: orders
+            .ceiling
+            .as_ref()
+            .map_or(1, StoreLoadLimiter::max_concurrent),
         orders_in_ms: holding.map_or(Millis::ZERO, |holding| holding.orders_from.since(now)),
     };
     let specs = engine_specs(table).map(|(service, spec)| {
@@ -319,7 +322,10 @@
             model: &model,
             took_ms,
             from_store,
-            store_loads_at_once: orders.ceiling.as_ref().map_or(0, StoreLoadLimiter::at_once),
+            store_loads_at_once: orders
+                .ceiling
+                .as_ref()
+                .map_or(0, StoreLoadLimiter::max_concurrent),
         };
         lines::write(LogEvent::CopyReady, &line);
     }
--- a/src/ordering/store_load_limiter.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -162,11 +162,11 @@
     /// Returns the limit of concurrent loads if it was learned from loads that ran at the same
     /// time.
     pub fn learned_at_once(&self) -> Option<usize> {
-        self.is_learned.then_some(self.at_once())
+        self.is_learned.then_some(self.max_concurrent())
     }
 
     /// Returns the limit of concurrent loads.
-    pub fn at_once(&self) -> usize {
+    pub fn max_concurrent(&self) -> usize {
         self.limit as usize
     }
 }
--- a/src/ordering/tests/store_load_limiter.rs
+++ b/src/ordering/tests/store_load_limiter.rs
@@ -48,7 +48,7 @@
         let took_ms = Millis(13_200 * concurrent);
         limiter.record_finish(took_ms, Millis(13_200), concurrent as usize);
     }
-    assert_eq!(limiter.at_once(), 1);
+    assert_eq!(limiter.max_concurrent(), 1);
     assert!(limiter.admits(Millis(100_000), 19.0, 0));
     assert!(!limiter.admits(Millis(100_000), 19.0, 1));
 }
@@ -58,16 +58,16 @@
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     assert!(limiter.admits(Millis(100_000), 19.0, 1));
     limiter.record_overdue(Millis(13_500), Millis(13_200), 2);
-    assert_eq!(limiter.at_once(), 2);
+    assert_eq!(limiter.max_concurrent(), 2);
     limiter.record_overdue(Millis(15_400), Millis(13_200), 2);
-    assert_eq!(limiter.at_once(), 1);
+    assert_eq!(limiter.max_concurrent(), 1);
 }
 
 #[test]
 fn a_single_overdue_load_does_not_lower_the_limit() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     limiter.record_overdue(Millis(60_000), Millis(13_200), 1);
-    assert_eq!(limiter.at_once(), 2);
+    assert_eq!(limiter.max_concurrent(), 2);
 }
 
 #[test]
@@ -75,9 +75,9 @@
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     limiter.record_finish(Millis(6_200), Millis(6_000), 2);
     limiter.record_finish(Millis(6_200), Millis(6_000), 2);
-    assert!(limiter.at_once() >= 3);
+    assert!(limiter.max_concurrent() >= 3);
     limiter.record_finish(Millis(6_200), Millis(6_000), 3);
-    assert_eq!(limiter.at_once(), 4);
+    assert_eq!(limiter.max_concurrent(), 4);
 }
 
 #[test]
@@ -86,17 +86,17 @@
     assert_eq!(limiter.learned_at_once(), None);
     limiter.record_overdue(Millis(15_400), Millis(13_200), 2);
     let next = StoreLoadLimiter::new(Millis(20_000), limiter.learned_at_once());
-    assert_eq!(next.at_once(), 1);
+    assert_eq!(next.max_concurrent(), 1);
 }
 
 #[test]
 fn the_limit_grows_while_loads_run_at_full_speed() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
     for _ in 0..20 {
-        let concurrent = limiter.at_once();
+        let concurrent = limiter.max_concurrent();
         limiter.record_finish(Millis(6_200), Millis(6_000), concurrent);
     }
-    assert!(limiter.at_once() >= 7);
+    assert!(limiter.max_concurrent() >= 7);
 }
 
 #[test]
@@ -104,11 +104,11 @@
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, Some(4));
     // The engine itself was slow: the load took as long as with ten concurrent loads.
     limiter.record_finish(Millis(15_000), Millis(6_000), 4);
-    assert_eq!(limiter.at_once(), 3);
+    assert_eq!(limiter.max_concurrent(), 3);
     for _ in 0..10 {
         limiter.record_finish(Millis(6_200), Millis(6_000), 3);
     }
-    assert_eq!(limiter.at_once(), 4);
+    assert_eq!(limiter.max_concurrent(), 4);
 }
 
 /// Regression test: a store that serves thousands of engines received only two loads at a time at
@@ -119,9 +119,9 @@
     assert!(limiter.admits(Millis(10_000), 2_800.0, 80));
     assert!(!limiter.admits(Millis(10_000), 2_800.0, 90));
     for _ in 0..100 {
-        limiter.record_finish(Millis(13_400), Millis(13_200), limiter.at_once());
+        limiter.record_finish(Millis(13_400), Millis(13_200), limiter.max_concurrent());
     }
-    assert!(limiter.at_once() > 100);
+    assert!(limiter.max_concurrent() > 100);
 }
 
 /// Regression test: the stated rate was taken for the number of concurrent loads at full speed.
@@ -131,13 +131,13 @@
     assert!(limiter.admits(Millis(10_000), 2_800.0, 80));
     let served_at_once = 4;
     for _ in 0..16 {
-        let at_once = limiter.at_once();
+        let at_once = limiter.max_concurrent();
         let passed_ms = Millis(13_200 * (at_once as u64 / served_at_once));
         limiter.record_overdue(passed_ms, Millis(13_200), at_once);
     }
     assert!(
-        limiter.at_once() <= 8,
+        limiter.max_concurrent() <= 8,
         "{} concurrent loads",
-        limiter.at_once()
+        limiter.max_concurrent()
     );
 }
