--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -68,7 +68,7 @@
         let own = self
             .ceiling
             .as_ref()
-            .and_then(StoreLoadLimiter::learned_at_once);
+            .and_then(StoreLoadLimiter::learned_max_concurrent);
         own.or(self.lease.store_loads_at_once())
     }
 
--- a/src/ordering/store_load_limiter.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -161,7 +161,7 @@
 
     /// Returns the limit of concurrent loads if it was learned from loads that ran at the same
     /// time.
-    pub fn learned_at_once(&self) -> Option<usize> {
+    pub fn learned_max_concurrent(&self) -> Option<usize> {
         self.is_learned.then_some(self.max_concurrent())
     }
 
--- a/src/ordering/tests/store_load_limiter.rs
+++ b/src/ordering/tests/store_load_limiter.rs
@@ -83,9 +83,9 @@
 #[test]
 fn a_new_holder_starts_with_the_limit_that_its_predecessor_learned() {
     let mut limiter = StoreLoadLimiter::new(Millis::ZERO, None);
-    assert_eq!(limiter.learned_at_once(), None);
+    assert_eq!(limiter.learned_max_concurrent(), None);
     limiter.record_overdue(Millis(15_400), Millis(13_200), 2);
-    let next = StoreLoadLimiter::new(Millis(20_000), limiter.learned_at_once());
+    let next = StoreLoadLimiter::new(Millis(20_000), limiter.learned_max_concurrent());
     assert_eq!(next.max_concurrent(), 1);
 }
 
