--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -14,7 +14,7 @@
 use crate::group::reading::is_begun_or_large;
 use crate::group::{Member, Members, Tree};
 use crate::http1::client::within;
-use crate::ordering::gather::Gather;
+use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::rate_limit::{Limiter, SharedLimits, UpstreamLimits};
@@ -55,7 +55,7 @@
     /// Which of them this host asks.
     pub parents: RefCell<Parents>,
     /// What hosts told this one as their relay.
-    pub gather: RefCell<Gather>,
+    pub gather: RefCell<RelayAggregate>,
     /// What the orderer says.
     pub view: RefCell<View>,
     /// The state of ordering loads.
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -9,7 +9,7 @@
 //! [`engine_inventory`] tracks what each engine holds, is loading or unloading; [`engine_index`]
 //! counts it per model. [`store_load_limiter`] limits loads from the weight store. [`planner`]
 //! chooses the next order for a model, [`adapters`] for an adapter. [`estimates`] predicts when a
-//! model that callers wait for is ready. [`demand`], [`host_reports`], [`gather`] and
+//! model that callers wait for is ready. [`demand`], [`host_reports`], [`relay_aggregate`] and
 //! [`demand_totals`] add up what hosts report to the orderer; [`published`] and [`view`] carry the
 //! state of the engines back to the hosts.
 
@@ -24,12 +24,12 @@
 mod engine_orders;
 pub mod estimates;
 mod free_memory;
-pub mod gather;
 pub mod host_reports;
 pub mod lease;
 pub mod message;
 pub mod planner;
 pub mod published;
+pub mod relay_aggregate;
 pub mod store_load_limiter;
 pub mod view;
 
--- a/src/ordering/gather.rs
+++ b/src/ordering/relay_aggregate.rs
@@ -8,13 +8,13 @@
 
 /// The demand and the request load of the hosts that report through one relay.
 #[derive(Clone, Debug, Default)]
-pub struct Gather {
+pub struct RelayAggregate {
     /// Requests since the relay's last message to the orderer.
     counts: IndexMap<ModelAsk, AskCount>,
     hosts: HostReports,
 }
 
-impl Gather {
+impl RelayAggregate {
     /// Adds one host's report. `host` is the incarnation of its process.
     pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
         for (ask, count) in &report.demand {
--- a/src/ordering/tests.rs
+++ b/src/ordering/tests.rs
@@ -2,9 +2,9 @@
 
 mod engine_inventory;
 mod fake_engine;
-mod gather;
 mod lease;
 mod planner;
 mod published;
+mod relay_aggregate;
 mod store_load_limiter;
 mod view;
--- a/src/ordering/tests/gather.rs
+++ b/src/ordering/tests/relay_aggregate.rs
@@ -3,8 +3,8 @@
 
 use crate::entry::platform::ModelAsk;
 use crate::ordering::demand::AskCount;
-use crate::ordering::gather::Gather;
 use crate::ordering::host_reports::HostReport;
+use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use crate::test_support::seeded;
@@ -36,7 +36,7 @@
 #[test]
 fn no_request_is_lost_or_counted_twice_by_a_relay() {
     seeded(200, |u| {
-        let mut relay = Gather::default();
+        let mut relay = RelayAggregate::default();
         let (mut reported, mut passed_on) = (Vec::new(), Vec::new());
         let mut newest: IndexMap<u64, Vec<(ModelAsk, AskCount)>> = IndexMap::new();
         let mut now = Millis(1_000);
@@ -81,7 +81,7 @@
 
 #[test]
 fn request_load_excludes_the_asking_host_and_hosts_that_stopped_reporting() {
-    let mut relay = Gather::default();
+    let mut relay = RelayAggregate::default();
     let work = |running| {
         let work = Work {
             running,
@@ -94,7 +94,7 @@
     };
     relay.take(Millis(1_000), 1, work(3));
     relay.take(Millis(1_000), 2, work(4));
-    let running = |relay: &Gather, but| {
+    let running = |relay: &RelayAggregate, but| {
         let mut sum = IndexMap::new();
         relay.add_work(but, &mut sum);
         sum.get("e").map_or(0, |work: &Work| work.running)
