--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -186,7 +186,7 @@
         },
         (false, is_relay) => Place {
             scope: Scope::Group,
-            heard: 1 + host.gather.borrow().heard(),
+            heard: 1 + host.gather.borrow().relayed_hosts(),
             expected: if is_relay { tree.hosts_a_relay() } else { 1 },
             members: known,
         },
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -281,7 +281,7 @@
     let mut gather = host.gather.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
     gather.add_work(None, &mut work);
-    let through = gather.heard() as u32;
+    let through = gather.relayed_hosts() as u32;
     drop(gather);
     SyncAsk {
         incarnation: me.incarnation,
--- a/src/ordering/relay_aggregate.rs
+++ b/src/ordering/relay_aggregate.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns how many hosts reported recently through this relay.
-    pub fn heard(&self) -> usize {
+    pub fn relayed_hosts(&self) -> usize {
         self.hosts.live_hosts()
     }
 
