--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -3,7 +3,7 @@
 use crate::fleet::world::{SERVICE, World, engine_id, model};
 use mangovale::entry::platform::ModelAsk;
 use mangovale::ordering::copy::LoadTime;
-use mangovale::ordering::demand::AskCount;
+use mangovale::ordering::demand::RequestCounts;
 use mangovale::ordering::demand_totals::DemandTotals;
 use mangovale::ordering::engine_inventory::EngineInventory;
 use mangovale::ordering::host_reports::HostReport;
@@ -113,10 +113,10 @@
             };
             self.ledger.record_report(NOW, &id, Some(report));
         }
-        let waiting = AskCount {
+        let waiting = RequestCounts {
             asked: 1,
             waiting: 1,
-            ..AskCount::default()
+            ..RequestCounts::default()
         };
         let lost = (0..last).map(model).filter(|model| {
             let census = self.ledger.service_index(SERVICE);
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -8,7 +8,7 @@
 use crate::entry::platform::ModelAsk;
 use crate::entry::sync::answer;
 use crate::group::Member;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::message::{OrdererNews, SyncAsk, SyncReply};
 use crate::ordering::published::{EngineView, EnginesNews};
 use crate::prelude::*;
@@ -148,10 +148,10 @@
 fn what_a_relays_hosts_ask_for_goes_up_at_once_when_it_is_urgent() {
     on_site(|site| async move {
         make_relay(&site.host);
-        let waiting = AskCount {
+        let waiting = RequestCounts {
             asked: 1,
             waiting: 1,
-            ..AskCount::default()
+            ..RequestCounts::default()
         };
         let model = ModelAsk {
             model: "m".into(),
--- a/src/ordering/demand.rs
+++ b/src/ordering/demand.rs
@@ -9,7 +9,7 @@
 
 /// The requests for one model or adapter at one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskCount {
+pub struct RequestCounts {
     /// Requests since the last message to the orderer.
     pub asked: u32,
     /// The part of `asked` that has long prompts.
@@ -22,7 +22,7 @@
     pub tokens: u64,
 }
 
-impl AskCount {
+impl RequestCounts {
     /// Adds the requests that another count received since its last message.
     pub fn add_arrivals(&mut self, other: &Self) {
         self.asked += other.asked;
@@ -40,13 +40,13 @@
 /// The demand at one host.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    counts: IndexMap<ModelAsk, AskCount>,
+    counts: IndexMap<ModelAsk, RequestCounts>,
 }
 
 impl Demand {
     /// Returns the counts of a model or adapter for an update; `None` if the host already counts
     /// [`MAX_COUNTED_MODELS`] others.
-    pub fn count(&mut self, ask: &ModelAsk) -> Option<&mut AskCount> {
+    pub fn count(&mut self, ask: &ModelAsk) -> Option<&mut RequestCounts> {
         if self.counts.len() >= MAX_COUNTED_MODELS && !self.counts.contains_key(ask) {
             return None;
         }
@@ -55,7 +55,7 @@
 
     /// Returns the counts and starts the next interval. Requests that wait or are running stay
     /// counted.
-    pub fn take(&mut self) -> Vec<(ModelAsk, AskCount)> {
+    pub fn take(&mut self) -> Vec<(ModelAsk, RequestCounts)> {
         let counts = self.counts.iter().map(|(ask, count)| (ask.clone(), *count));
         let counts = counts.collect();
         self.counts
--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -1,7 +1,7 @@
 //! The demand of all hosts, aggregated by the orderer.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -48,7 +48,7 @@
         0.5f64.powf(now.since(self.updated_at).0 as f64 / RATE_HALF_LIFE_MS)
     }
 
-    fn add(&mut self, now: Millis, count: &AskCount) {
+    fn add(&mut self, now: Millis, count: &RequestCounts) {
         let decay = self.decay(now);
         self.requests = self.requests * decay + f64::from(count.asked);
         self.long_requests = self.long_requests * decay + f64::from(count.long);
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -1,7 +1,7 @@
 //! The last report of each host that reports to this one.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 
@@ -18,7 +18,7 @@
     /// How many other hosts report through this one, if it is a relay.
     pub relayed_hosts: u32,
     /// Requests since the host's last report, and those that wait or are running.
-    pub demand: Vec<(ModelAsk, AskCount)>,
+    pub demand: Vec<(ModelAsk, RequestCounts)>,
     /// The host's own request load on each engine.
     pub work: Vec<(Name, Work)>,
 }
@@ -29,7 +29,7 @@
     received_at: Millis,
     relayed_hosts: u32,
     /// Requests that wait or are running, by model and adapter.
-    current: Vec<(ModelAsk, AskCount)>,
+    current: Vec<(ModelAsk, RequestCounts)>,
     work: IndexMap<Name, Work>,
 }
 
@@ -47,7 +47,7 @@
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&host) {
             return false;
         }
-        let is_current = |count: &AskCount| count.waiting > 0 || count.running > 0;
+        let is_current = |count: &RequestCounts| count.waiting > 0 || count.running > 0;
         let demand = report.demand.into_iter();
         let kept = KeptReport {
             received_at: now,
@@ -75,7 +75,7 @@
     }
 
     /// Returns the requests of all hosts that wait or are running.
-    pub fn current(&self) -> impl Iterator<Item = &(ModelAsk, AskCount)> {
+    pub fn current(&self) -> impl Iterator<Item = &(ModelAsk, RequestCounts)> {
         self.hosts.values().flat_map(|report| &report.current)
     }
 
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -6,7 +6,7 @@
 use crate::entry::platform::{AppendOutcome, ModelAsk};
 use crate::group::Member;
 use crate::group::members::MembersNews;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::lease::Resignation;
 use crate::ordering::published::{EnginesNews, EnginesVersion};
@@ -97,7 +97,7 @@
     /// The generation of the member list that the sender has.
     pub members_generation: u64,
     /// The requests of the sender's callers since its last message.
-    pub demand: Vec<(ModelAsk, AskCount)>,
+    pub demand: Vec<(ModelAsk, RequestCounts)>,
     /// The sender's own request load on each engine.
     pub work: Vec<(Name, Work)>,
     /// The offset from which the sender needs rows of the list of upstreams.
--- a/src/ordering/relay_aggregate.rs
+++ b/src/ordering/relay_aggregate.rs
@@ -1,7 +1,7 @@
 //! Aggregates, on a relay, the reports of the hosts that it relays for.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::demand::{AskCount, MAX_COUNTED_MODELS};
+use crate::ordering::demand::{MAX_COUNTED_MODELS, RequestCounts};
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
 use crate::routing::pick::Work;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RelayAggregate {
     /// Requests since the relay's last message to the orderer.
-    counts: IndexMap<ModelAsk, AskCount>,
+    counts: IndexMap<ModelAsk, RequestCounts>,
     hosts: HostReports,
 }
 
@@ -30,8 +30,8 @@
     pub fn take_demand(
         &mut self,
         now: Millis,
-        own: Vec<(ModelAsk, AskCount)>,
-    ) -> Vec<(ModelAsk, AskCount)> {
+        own: Vec<(ModelAsk, RequestCounts)>,
+    ) -> Vec<(ModelAsk, RequestCounts)> {
         self.hosts.expire(now);
         let mut sum = std::mem::take(&mut self.counts);
         for (ask, count) in own {
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -4,7 +4,7 @@
 use super::fake_engine::{FakeEngine, spec};
 use crate::entry::platform::ModelAsk;
 use crate::ordering::copy::LoadTime;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_index::EngineIndex;
 use crate::ordering::engine_inventory::EngineInventory;
@@ -195,7 +195,7 @@
                 }
             }
             10 => {
-                let count = AskCount {
+                let count = RequestCounts {
                     asked: 1,
                     long: 0,
                     waiting: u.int_in_range(0..=2u32)?,
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -39,9 +39,9 @@
         spec.models[model].adapters = names.collect();
     }
     let mut site = Site::new(spec, &[&["m0"], &["m0"], &["m1"]]);
-    let count = AskCount {
+    let count = RequestCounts {
         asked: 1,
-        ..AskCount::default()
+        ..RequestCounts::default()
     };
     site.request(1, NOW, &[(adapter("m0", "a4"), count)]);
     let first = site.next(NOW).expect("an order");
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -8,7 +8,7 @@
     site.spec.weights_mb = 40_000.0;
     for step in 0..20 {
         let at = NOW - Millis(100 * (20 - step));
-        let count = AskCount {
+        let count = RequestCounts {
             asked: 1,
             long: 0,
             waiting: 0,
@@ -26,7 +26,7 @@
 fn a_copy_is_not_unloaded_from_an_engine_that_runs_requests() {
     let spec = spec(60.0, &[50.0, 50.0]);
     let mut site = Site::new(spec, &[&["m0"], &["m0"], &["m0"]]);
-    let running = AskCount {
+    let running = RequestCounts {
         running: 9,
         ..waiting(0)
     };
@@ -57,7 +57,7 @@
         let mut site = Site::new(spec(60.0, &[50.0]), &engines);
         site.spec.slots = 24;
         (1..10).for_each(|engine| site.set_cached(engine, "m0"));
-        let busy = AskCount {
+        let busy = RequestCounts {
             asked: 10,
             running,
             ..waiting(0)
@@ -81,7 +81,7 @@
     let engines: [&[&str]; 4] = [&["m0", "m1"], &["m1"], &["m1"], &["m1"]];
     let mut site = Site::new(spec(110.0, &[50.0, 50.0, 50.0]), &engines);
     site.spec.slots = 24;
-    let counts = |running| AskCount {
+    let counts = |running| RequestCounts {
         asked: 3,
         running,
         ..waiting(0)
@@ -108,7 +108,7 @@
     let engines: [&[&str]; 4] = [&["m0"], &["m1"], &["m1"], &["m1"]];
     let mut site = Site::new(spec(110.0, &[50.0, 50.0]), &engines);
     site.spec.slots = 24;
-    let counts = |running| AskCount {
+    let counts = |running| RequestCounts {
         asked: 3,
         running,
         ..waiting(0)
@@ -139,7 +139,7 @@
     site.spec.models["m0"].weights_mb = 34_000.0;
     site.spec.weights_mb = 83_000.0;
     site.set_cached(2, "m0");
-    let demand = AskCount {
+    let demand = RequestCounts {
         asked: 2,
         tokens: 18_000,
         running: 2,
@@ -173,7 +173,7 @@
         ..EngineReport::default()
     };
     site.inventory.record_report(NOW, "e1", Some(report));
-    let demand = |tokens| AskCount {
+    let demand = |tokens| RequestCounts {
         asked: 2,
         tokens,
         running: 2,
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -35,7 +35,7 @@
 #[test]
 fn a_model_in_use_is_not_unloaded_for_a_requested_one() {
     let mut site = Site::new(spec(60.0, &[50.0, 50.0]), &[&["m0"]]);
-    let running = AskCount {
+    let running = RequestCounts {
         running: 2,
         ..waiting(0)
     };
@@ -51,7 +51,7 @@
         NOW - Millis(3_000),
         &[(
             model("m0"),
-            AskCount {
+            RequestCounts {
                 waiting: 0,
                 ..waiting(9)
             },
@@ -62,7 +62,7 @@
         NOW - Millis(3_000),
         &[(
             model("m1"),
-            AskCount {
+            RequestCounts {
                 waiting: 0,
                 ..waiting(1)
             },
@@ -135,10 +135,10 @@
     // The weight store admits no load now, so the six models that are on no engine cannot be
     // loaded.
     site.limiter = StoreLoadLimiter::new(NOW, None);
-    let count = AskCount {
+    let count = RequestCounts {
         asked: 100,
         tokens: 900_000,
-        ..AskCount::default()
+        ..RequestCounts::default()
     };
     site.request(1, NOW, &[(model("m1"), count)]);
     let planned = site.next(NOW).expect("its weights are cached");
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -9,7 +9,7 @@
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
 use crate::ordering::copy::LoadTime;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::estimates::Pace;
@@ -91,7 +91,7 @@
         &mut self,
         host: u64,
         at: Millis,
-        demand: Vec<(ModelAsk, AskCount)>,
+        demand: Vec<(ModelAsk, RequestCounts)>,
         work: Vec<(Name, Work)>,
     ) {
         let report = HostReport {
@@ -102,7 +102,7 @@
         self.demand.record(at, host, report);
     }
 
-    fn request(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, AskCount)]) {
+    fn request(&mut self, host: u64, at: Millis, asks: &[(ModelAsk, RequestCounts)]) {
         self.report(host, at, asks.to_vec(), Vec::new());
     }
 
@@ -164,8 +164,8 @@
     }
 }
 
-fn waiting(requests: u32) -> AskCount {
-    AskCount {
+fn waiting(requests: u32) -> RequestCounts {
+    RequestCounts {
         asked: requests,
         long: 0,
         waiting: requests,
--- a/src/ordering/tests/relay_aggregate.rs
+++ b/src/ordering/tests/relay_aggregate.rs
@@ -2,7 +2,7 @@
 //! directly.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
@@ -10,14 +10,14 @@
 use crate::test_support::seeded;
 use arbtest::arbitrary::{Result, Unstructured};
 
-fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelAsk, AskCount)>> {
-    let mut demand: IndexMap<ModelAsk, AskCount> = IndexMap::new();
+fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelAsk, RequestCounts)>> {
+    let mut demand: IndexMap<ModelAsk, RequestCounts> = IndexMap::new();
     for _ in 0..u.int_in_range(0..=4u8)? {
         let ask = ModelAsk {
             model: format!("m{}", u.int_in_range(0..=3u8)?).into(),
             adapter: None,
         };
-        let count = AskCount {
+        let count = RequestCounts {
             asked: u.int_in_range(0..=9u32)?,
             long: 1,
             waiting: u.int_in_range(0..=2u32)?,
@@ -29,7 +29,7 @@
     Ok(demand.into_iter().collect())
 }
 
-fn sum_of(demands: &[Vec<(ModelAsk, AskCount)>], of: impl Fn(&AskCount) -> u64) -> u64 {
+fn sum_of(demands: &[Vec<(ModelAsk, RequestCounts)>], of: impl Fn(&RequestCounts) -> u64) -> u64 {
     demands.iter().flatten().map(|(_, count)| of(count)).sum()
 }
 
@@ -38,7 +38,7 @@
     seeded(200, |u| {
         let mut relay = RelayAggregate::default();
         let (mut reported, mut passed_on) = (Vec::new(), Vec::new());
-        let mut newest: IndexMap<u64, Vec<(ModelAsk, AskCount)>> = IndexMap::new();
+        let mut newest: IndexMap<u64, Vec<(ModelAsk, RequestCounts)>> = IndexMap::new();
         let mut now = Millis(1_000);
         for _ in 0..30 {
             now += Millis(u.int_in_range(0..=40u64)?);
@@ -58,7 +58,8 @@
                 let sum = relay.take_demand(now, own.clone());
                 let mut present: Vec<_> = newest.values().cloned().collect();
                 present.push(own);
-                let now_present = |count: &AskCount| u64::from(count.waiting * 100 + count.running);
+                let now_present =
+                    |count: &RequestCounts| u64::from(count.waiting * 100 + count.running);
                 assert_eq!(
                     sum_of(std::slice::from_ref(&sum), now_present),
                     sum_of(&present, now_present),
@@ -69,9 +70,9 @@
         }
         passed_on.push(relay.take_demand(now, Vec::new()));
         for of in [
-            |count: &AskCount| u64::from(count.asked),
-            |count: &AskCount| u64::from(count.long),
-            |count: &AskCount| count.tokens,
+            |count: &RequestCounts| u64::from(count.asked),
+            |count: &RequestCounts| u64::from(count.long),
+            |count: &RequestCounts| count.tokens,
         ] {
             assert_eq!(sum_of(&passed_on, of), sum_of(&reported, of));
         }
