--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -7,7 +7,7 @@
 use crate::entry::table_rows;
 use crate::group::Member;
 use crate::http1::client::within;
-use crate::ordering::copy::Loaded;
+use crate::ordering::copy::LoadProgress;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_inventory::EngineInventory;
 use crate::ordering::estimates::Pace;
@@ -303,7 +303,7 @@
         };
         lines::write(LogEvent::EngineRead, &line);
     }
-    for Loaded {
+    for LoadProgress {
         model,
         took_ms,
         from_store,
@@ -344,11 +344,11 @@
 /// Lowers the number of loads at once when an engine says that it still carries out one that is overdue.
 fn learn_from_overdue<P: Platform>(host: &Host<P>, orders: &mut Orders, id: &str, now: Millis) {
     let engine = orders.ledger.get(id);
-    let under_way: Vec<Loaded> = engine
+    let under_way: Vec<LoadProgress> = engine
         .into_iter()
         .flat_map(|engine| engine.loads_under_way(now))
         .collect();
-    for Loaded {
+    for LoadProgress {
         model,
         took_ms,
         beside,
--- a/src/ordering/copy.rs
+++ b/src/ordering/copy.rs
@@ -39,14 +39,14 @@
     }
 
     /// Returns the progress of the load of `model`; `None` if the copy is not being loaded.
-    pub(super) fn progress(&self, now: Millis, model: &Name) -> Option<Loaded> {
+    pub(super) fn progress(&self, now: Millis, model: &Name) -> Option<LoadProgress> {
         match *self {
             Self::Loading {
                 since,
                 from_store,
                 beside,
                 ..
-            } => Some(Loaded {
+            } => Some(LoadProgress {
                 model: model.clone(),
                 took_ms: (since != Millis::NEVER).then(|| now.since(since)),
                 from_store,
@@ -74,7 +74,7 @@
 
 /// The progress of a load that finished or is still running.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loaded {
+pub struct LoadProgress {
     /// The model that is loaded.
     pub model: Name,
     /// The time since the order was accepted; `None` if that is unknown because the order got no
--- a/src/ordering/engine.rs
+++ b/src/ordering/engine.rs
@@ -3,7 +3,7 @@
 
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelAsk;
-use crate::ordering::copy::{Loaded, ModelCopy};
+use crate::ordering::copy::{LoadProgress, ModelCopy};
 use crate::ordering::message::{Action, EngineReport, Order};
 use crate::ordering::published::EngineView;
 use crate::prelude::*;
@@ -203,7 +203,7 @@
 
     /// Returns the loads from the weight store that, according to a report just read, are still
     /// running.
-    pub fn loads_under_way(&self, now: Millis) -> impl Iterator<Item = Loaded> {
+    pub fn loads_under_way(&self, now: Millis) -> impl Iterator<Item = LoadProgress> {
         let reported = self.was_busy && self.is_known;
         let copies = self.copies.iter().filter(move |_| reported);
         let from_store = copies.filter(|(_, copy)| copy.is_loading_from_store());
@@ -271,7 +271,7 @@
         now: Millis,
         report: EngineReport,
         idle_ms: Millis,
-    ) -> Vec<Loaded> {
+    ) -> Vec<LoadProgress> {
         self.is_reading_report = false;
         if report.born_at > self.born_at {
             self.begin_lifetime(now, report.born_at);
@@ -322,7 +322,7 @@
         let loaded = unfinished
             .into_iter()
             .filter(|(model, _)| self.holds_model(model));
-        let loaded: Vec<Loaded> = loaded
+        let loaded: Vec<LoadProgress> = loaded
             .filter_map(|(model, copy)| copy.progress(now, &model))
             .collect();
         for load in &loaded {
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -7,7 +7,7 @@
 //! of that order counts as held, and the engine gets no other order.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::copy::{LoadTime, Loaded, ModelCopy};
+use crate::ordering::copy::{LoadProgress, LoadTime, ModelCopy};
 use crate::ordering::engine::Engine;
 use crate::ordering::engine_index::{EngineIndex, ServiceIndex};
 use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
@@ -304,7 +304,7 @@
         now: Millis,
         id: &str,
         report: Option<EngineReport>,
-    ) -> Vec<Loaded> {
+    ) -> Vec<LoadProgress> {
         let Some(report) = report else {
             if let Some(engine) = self.engines.get_mut(id) {
                 engine.record_report_failure(now);
