--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -307,7 +307,7 @@
         model,
         took_ms,
         from_store,
-        beside,
+        concurrent_loads,
     } in loaded
     {
         if from_store
@@ -315,7 +315,7 @@
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
             && let Some(ceiling) = &mut orders.ceiling
         {
-            ceiling.record_finish(took_ms, stated_ms, beside);
+            ceiling.record_finish(took_ms, stated_ms, concurrent_loads);
         }
         let line = LoadedLine {
             upstream: id,
@@ -351,7 +351,7 @@
     for LoadProgress {
         model,
         took_ms,
-        beside,
+        concurrent_loads,
         ..
     } in under_way
     {
@@ -359,7 +359,7 @@
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
             && let Some(ceiling) = &mut orders.ceiling
         {
-            ceiling.record_overdue(took_ms, stated_ms, beside);
+            ceiling.record_overdue(took_ms, stated_ms, concurrent_loads);
         }
     }
 }
--- a/src/ordering/copy.rs
+++ b/src/ordering/copy.rs
@@ -20,7 +20,7 @@
         from_store: bool,
         /// The largest number of loads from the weight store that ran at the same time as this one,
         /// itself included.
-        beside: usize,
+        concurrent_loads: usize,
     },
     /// The copy is being unloaded.
     Unloading,
@@ -44,13 +44,13 @@
             Self::Loading {
                 since,
                 from_store,
-                beside,
+                concurrent_loads,
                 ..
             } => Some(LoadProgress {
                 model: model.clone(),
                 took_ms: (since != Millis::NEVER).then(|| now.since(since)),
                 from_store,
-                beside,
+                concurrent_loads,
             }),
             Self::Held | Self::Unloading => None,
         }
@@ -84,7 +84,7 @@
     pub from_store: bool,
     /// The largest number of loads from the weight store that ran at the same time, itself
     /// included.
-    pub beside: usize,
+    pub concurrent_loads: usize,
 }
 
 /// How long a load should take, and where the weights come from.
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -342,10 +342,10 @@
 fn update_concurrency(copy: &mut ModelCopy, loads: usize) {
     if let ModelCopy::Loading {
         from_store: true,
-        beside,
+        concurrent_loads,
         ..
     } = copy
     {
-        *beside = loads.max(*beside);
+        *concurrent_loads = loads.max(*concurrent_loads);
     }
 }
--- a/src/ordering/engine_orders.rs
+++ b/src/ordering/engine_orders.rs
@@ -124,7 +124,7 @@
                     since: now,
                     ready_at: now + load.takes_ms,
                     from_store: load.from_store,
-                    beside: 1,
+                    concurrent_loads: 1,
                 };
                 self.copies.insert(order.ask.model.clone(), copy);
                 self.was_busy = true;
@@ -163,7 +163,7 @@
                         since: Millis::NEVER,
                         ready_at: Millis::NEVER,
                         from_store,
-                        beside: 1,
+                        concurrent_loads: 1,
                     });
                 }
             }
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -116,7 +116,7 @@
             since,
             ready_at,
             from_store,
-            beside,
+            concurrent_loads,
         } = *copy
         else {
             return None;
@@ -124,7 +124,7 @@
         if ready_at == Millis::NEVER {
             return None;
         }
-        let slowed_by = (beside as f64 / store_loads_at_once.max(1) as f64).max(1.0);
+        let slowed_by = (concurrent_loads as f64 / store_loads_at_once.max(1) as f64).max(1.0);
         let stated_ms = self.spec.models.get(model).map(|spec| spec.load_ms);
         let ready_at = match stated_ms {
             Some(stated_ms) if from_store => {
