--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -10,7 +10,7 @@
 use crate::ordering::copy::LoadProgress;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_inventory::EngineInventory;
-use crate::ordering::estimates::Pace;
+use crate::ordering::estimates::OrderTiming;
 use crate::ordering::lease::Lease;
 use crate::ordering::message::{Action, Order, OrderAnswer};
 use crate::ordering::planner::{PlannedOrder, Planner, load_time};
@@ -202,7 +202,7 @@
 ) -> Vec<(ModelAsk, Millis)> {
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
-    let pace = Pace {
+    let pace = OrderTiming {
         store_loads_at_once: orders
             .ceiling
             .as_ref()
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -25,7 +25,7 @@
 
 /// What the predictions assume about the orderer and the weight store.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct OrderTiming {
     /// How many concurrent loads the weight store serves at full speed.
     pub store_loads_at_once: usize,
     /// How long until orders may be sent. A new orderer waits until its predecessor's orders can no
@@ -40,7 +40,7 @@
 impl Planner<'_> {
     /// Returns the expected time until each model or adapter that callers wait for is ready. Those
     /// without a prediction are left out.
-    pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelAsk, Millis)> {
+    pub fn ready_in_ms(&self, timing: OrderTiming) -> Vec<(ModelAsk, Millis)> {
         let Some(index) = self.inventory.service_index(self.service) else {
             return Vec::new();
         };
@@ -54,7 +54,7 @@
         }
         queue.retain(|model, _| !self.will_be_held(index, model));
         waited_for()
-            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(index, ask, pace, &queue)?)))
+            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(index, ask, timing, &queue)?)))
             .collect()
     }
 
@@ -71,12 +71,12 @@
         &self,
         index: &ServiceIndex,
         ask: &ModelAsk,
-        pace: Pace,
+        timing: OrderTiming,
         queue: &LoadQueue<'_>,
     ) -> Option<Millis> {
-        let at_once = pace.store_loads_at_once;
+        let at_once = timing.store_loads_at_once;
         let adapter_ms = match &ask.adapter {
-            Some(_) => ADAPTER_READY_MS.max(pace.orders_in_ms),
+            Some(_) => ADAPTER_READY_MS.max(timing.orders_in_ms),
             None => Millis::ZERO,
         };
         let model_in = |engine: &Engine| match engine.copies.get(&ask.model)? {
@@ -91,7 +91,7 @@
             Some(in_ms) => in_ms,
             // An engine that has not reported yet may hold the model.
             None if self.has_unreported(index) => return None,
-            None => pace.orders_in_ms + self.new_load_ms(index, &ask.model, at_once, queue),
+            None => timing.orders_in_ms + self.new_load_ms(index, &ask.model, at_once, queue),
         };
         Some(model_ms + adapter_ms)
     }
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -12,7 +12,7 @@
 use crate::ordering::demand::RequestCounts;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_inventory::EngineInventory;
-use crate::ordering::estimates::Pace;
+use crate::ordering::estimates::OrderTiming;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::message::{Action, EngineReport, OrderAnswer};
 use crate::ordering::planner::{PlannedOrder, Planner, load_time};
@@ -23,7 +23,7 @@
 
 const NOW: Millis = Millis(1_000_000);
 /// An orderer that may send orders, and a weight store that serves one load at a time.
-const PACE: Pace = Pace {
+const TIMING: OrderTiming = OrderTiming {
     store_loads_at_once: 1,
     orders_in_ms: Millis::ZERO,
 };
@@ -112,9 +112,9 @@
         planner.next(&mut self.limiter)
     }
 
-    fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelAsk, Millis)> {
+    fn ready_in_ms(&self, now: Millis, timing: OrderTiming) -> Vec<(ModelAsk, Millis)> {
         let excluded = IndexSet::new();
-        planner(now, &self.spec, &self.inventory, &self.demand, &excluded).ready_in_ms(pace)
+        planner(now, &self.spec, &self.inventory, &self.demand, &excluded).ready_in_ms(timing)
     }
 
     /// Sends planned orders until there are none. The engines accept every order and do not finish
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -8,7 +8,7 @@
     let asks = [(model("m0"), waiting(5)), (model("m1"), waiting(1))];
     site.request(1, NOW, &asks);
     let ready_in = |site: &Site, now: Millis, name: &str| {
-        let ready = site.ready_in_ms(now, PACE);
+        let ready = site.ready_in_ms(now, TIMING);
         let found = ready.into_iter().find(|(ask, _)| *ask == model(name));
         found.expect("callers wait for the model").1
     };
@@ -25,7 +25,7 @@
     site.plan_all();
     let now = NOW + Millis(20_000);
     site.request(1, now, &[(model("m0"), waiting(1))]);
-    let ready = site.ready_in_ms(now, PACE);
+    let ready = site.ready_in_ms(now, TIMING);
     assert!(ready[0].1 >= Millis(4_000), "{ready:?}");
 }
 
@@ -33,11 +33,11 @@
 fn the_prediction_includes_the_wait_of_a_new_orderer_and_is_absent_before_engines_report() {
     let mut site = Site::new(spec(80_000.0, &[30_000.0]), &[&["m0"]]);
     site.request(1, NOW, &[(adapter("m0", "a1"), waiting(1))]);
-    let pace = Pace {
+    let timing = OrderTiming {
         orders_in_ms: Millis(2_500),
-        ..PACE
+        ..TIMING
     };
-    let ready = |site: &Site| site.ready_in_ms(NOW, pace);
+    let ready = |site: &Site| site.ready_in_ms(NOW, timing);
     assert_eq!(ready(&site), [(adapter("m0", "a1"), Millis(2_500))]);
     site.inventory = EngineInventory::default();
     let unknown = [(unknown_start("e0".into()), Name::from("s"))];
