--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -8,7 +8,7 @@
 use mangovale::entry::sync::SYNC_MS;
 use mangovale::group::{Member, Members};
 use mangovale::ordering::engine_inventory::EngineChanges;
-use mangovale::ordering::message::{OrdererNews, SyncAsk, SyncReply, Totals};
+use mangovale::ordering::message::{OrdererNews, SyncReply, SyncRequest, Totals};
 use mangovale::ordering::published::{EngineView, PublishedEngines};
 use mangovale::prelude::*;
 use mangovale::rate_limit::UpstreamLimitsReport;
@@ -79,8 +79,8 @@
     Millis(SYNC_MS.0 * world.tree.interval_factor(is_direct))
 }
 
-fn ask(host: &Member) -> SyncAsk {
-    SyncAsk {
+fn ask(host: &Member) -> SyncRequest {
+    SyncRequest {
         incarnation: host.incarnation,
         is_for_orderer: false,
         is_urgent: false,
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -9,7 +9,7 @@
 use crate::entry::upstream_limits;
 use crate::group::Member;
 use crate::group::parents::{Parent, STALE_MS};
-use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncAsk, SyncReply, Totals};
+use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncReply, SyncRequest, Totals};
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use smol::Timer;
@@ -23,7 +23,7 @@
 const LEAST_SYNC_MS: Millis = Millis(4);
 
 /// Answers a host that tells its demand: as the orderer, or as a relay by what the orderer said last.
-pub fn answer<P: Platform>(host: &Host<P>, ask: SyncAsk) -> SyncReply {
+pub fn answer<P: Platform>(host: &Host<P>, ask: SyncRequest) -> SyncReply {
     match (host.is_orderer(), host.is_relay() && !ask.is_for_orderer) {
         (true, _) => answer_as_orderer(host, ask),
         (false, true) => answer_as_relay(host, ask),
@@ -39,7 +39,7 @@
     }
 }
 
-fn answer_as_orderer<P: Platform>(host: &Host<P>, mut ask: SyncAsk) -> SyncReply {
+fn answer_as_orderer<P: Platform>(host: &Host<P>, mut ask: SyncRequest) -> SyncReply {
     let now = host.now();
     if ask.incarnation != host.incarnation {
         take_counts(host, &ask);
@@ -72,7 +72,7 @@
     }))
 }
 
-fn answer_as_relay<P: Platform>(host: &Host<P>, mut ask: SyncAsk) -> SyncReply {
+fn answer_as_relay<P: Platform>(host: &Host<P>, mut ask: SyncRequest) -> SyncReply {
     let now = host.now();
     take_counts(host, &ask);
     let totals = totals(host, &ask);
@@ -104,14 +104,14 @@
 }
 
 /// Takes what a host reports to be added up.
-fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
+fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncRequest) {
     limits::take_usage(host, &ask.usage);
     upstream_limits::take_report(host, &ask.upstream_limits);
     crashes::take_report(host, &ask.crashes);
 }
 
 /// Returns what is added up, for a host that reported to it.
-fn totals<P: Platform>(host: &Host<P>, ask: &SyncAsk) -> Totals {
+fn totals<P: Platform>(host: &Host<P>, ask: &SyncRequest) -> Totals {
     Totals {
         limits: limits::news(host),
         crashes: crashes::news(host, ask.crashes.known),
@@ -143,7 +143,7 @@
     peers: &Peers,
     me: &Member,
     asked_at: Millis,
-    ask: SyncAsk,
+    ask: SyncRequest,
 ) -> bool {
     if host.is_orderer() {
         take_reply(host, asked_at, answer(host, ask));
@@ -157,7 +157,7 @@
         parents.choose(asked_at, &host.tree.borrow(), me)
     };
     let Parent::Relay(relay) = parent else {
-        let mut ask = SyncAsk {
+        let mut ask = SyncRequest {
             is_for_orderer: true,
             ..ask
         };
@@ -187,7 +187,7 @@
     peers: &Peers,
     me: &Member,
     asked_at: Millis,
-    ask: &mut SyncAsk,
+    ask: &mut SyncRequest,
 ) {
     let first = {
         let tree = host.tree.borrow();
@@ -200,7 +200,7 @@
     let Some(first) = first.filter(|first| first.incarnation != me.incarnation) else {
         return;
     };
-    let use_alone = SyncAsk {
+    let use_alone = SyncRequest {
         is_for_orderer: false,
         demand: Vec::new(),
         work: Vec::new(),
@@ -225,7 +225,7 @@
     ask.crashes.evidence.clear();
 }
 
-async fn ask_peer(peers: &Peers, address: SocketAddr, ask: SyncAsk) -> Option<SyncReply> {
+async fn ask_peer(peers: &Peers, address: SocketAddr, ask: SyncRequest) -> Option<SyncReply> {
     match peers.call(address, &PeerCall::Sync(ask)).await? {
         PeerReply::Sync(reply) => Some(reply),
         PeerReply::AppendedLease(_) | PeerReply::List(_) | PeerReply::Desired(_) => None,
@@ -276,14 +276,14 @@
     work.collect()
 }
 
-fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
+fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncRequest {
     let mut work = own_work(host);
     let mut gather = host.gather.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
     gather.add_work(None, &mut work);
     let through = gather.relayed_hosts() as u32;
     drop(gather);
-    SyncAsk {
+    SyncRequest {
         incarnation: me.incarnation,
         is_for_orderer: false,
         is_urgent,
--- a/src/entry/tests/peers.rs
+++ b/src/entry/tests/peers.rs
@@ -2,11 +2,11 @@
 
 use super::site::{bind_peers, on_site, sync_ask};
 use crate::entry::peers;
-use crate::ordering::message::{PeerCall, PeerReply, SyncAsk, SyncReply};
+use crate::ordering::message::{PeerCall, PeerReply, SyncReply, SyncRequest};
 use crate::prelude::*;
 
 fn ask() -> PeerCall {
-    PeerCall::Sync(SyncAsk {
+    PeerCall::Sync(SyncRequest {
         is_for_orderer: true,
         ..sync_ask(1)
     })
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -13,7 +13,7 @@
 use crate::entry::settings::{EntrySettings, PlatformBounds};
 use crate::group::Member;
 use crate::http1::{BodyReader, Connection, ReadError, ResponseHead};
-use crate::ordering::message::SyncAsk;
+use crate::ordering::message::SyncRequest;
 use crate::prelude::*;
 use crate::rate_limit::UpstreamLimitsReport;
 use crate::retry::CrashReport;
@@ -274,8 +274,8 @@
 }
 
 /// A message of a host that has nothing to tell and knows nothing.
-pub fn sync_ask(incarnation: u64) -> SyncAsk {
-    SyncAsk {
+pub fn sync_ask(incarnation: u64) -> SyncRequest {
+    SyncRequest {
         incarnation,
         is_for_orderer: false,
         is_urgent: false,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -9,7 +9,7 @@
 use crate::entry::sync::answer;
 use crate::group::Member;
 use crate::ordering::demand::RequestCounts;
-use crate::ordering::message::{OrdererNews, SyncAsk, SyncReply};
+use crate::ordering::message::{OrdererNews, SyncReply, SyncRequest};
 use crate::ordering::published::{EngineView, EnginesNews};
 use crate::prelude::*;
 use crate::rate_limit::levels::Level;
@@ -23,7 +23,7 @@
 
 const ASKER: u64 = 7;
 
-fn ask() -> SyncAsk {
+fn ask() -> SyncRequest {
     sync_ask(ASKER)
 }
 
@@ -94,7 +94,7 @@
         tell(&site.host, Millis(100));
         let reply = answer(
             &site.host,
-            SyncAsk {
+            SyncRequest {
                 is_for_orderer: true,
                 ..ask()
             },
@@ -119,13 +119,13 @@
     on_site(|site| async move {
         make_relay(&site.host);
         tell(&site.host, Millis(400));
-        let other = SyncAsk {
+        let other = SyncRequest {
             incarnation: 8,
             work: work(2),
             ..ask()
         };
         answer(&site.host, other);
-        let own = SyncAsk {
+        let own = SyncRequest {
             work: work(5),
             ..ask()
         };
@@ -135,7 +135,7 @@
         assert_eq!(first.work, work(12), "the asker's own work is not among it");
         assert!(first.engines.is_whole);
         assert_eq!(first.members.map(|members| members.generation), Some(1));
-        let again = SyncAsk {
+        let again = SyncRequest {
             view_version: first.engines.version,
             ..ask()
         };
@@ -157,7 +157,7 @@
             model: "m".into(),
             adapter: None,
         };
-        let urgent = SyncAsk {
+        let urgent = SyncRequest {
             is_urgent: true,
             demand: vec![(model, waiting)],
             ..ask()
@@ -198,7 +198,7 @@
         site.until_version(1).await;
         make_relay(&site.host);
         let tell = |host, through, requests| {
-            let ask = SyncAsk {
+            let ask = SyncRequest {
                 incarnation: host,
                 through,
                 usage: used(requests),
@@ -239,7 +239,7 @@
             levels: vec![("o".into(), level)],
         };
         limits::take_reply(&site.host, site.host.now(), Some(word));
-        let ask = SyncAsk {
+        let ask = SyncRequest {
             usage: used(100),
             ..ask()
         };
@@ -280,7 +280,7 @@
 fn a_host_that_neither_orders_nor_relays_tells_others_which_requests_crash_upstreams() {
     on_site(|site| async move {
         let (digest, crashes) = crash_report();
-        answer(&site.host, SyncAsk { crashes, ..ask() });
+        answer(&site.host, SyncRequest { crashes, ..ask() });
         let SyncReply::NotOrderer { crashes, .. } = answer(&site.host, sync_ask(8)) else {
             panic!("the host orders nothing");
         };
@@ -303,7 +303,7 @@
             stated: vec![limit],
             usage: Vec::new(),
         };
-        let report = SyncAsk {
+        let report = SyncRequest {
             crashes,
             upstream_limits,
             ..ask()
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -84,7 +84,7 @@
 /// A host's periodic message to the orderer, or to a relay that passes its content on to the
 /// orderer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SyncAsk {
+pub struct SyncRequest {
     /// The incarnation of the host's process.
     pub incarnation: u64,
     /// Whether the sender takes the receiver for the orderer; otherwise for a relay.
@@ -112,7 +112,7 @@
     pub upstream_limits: UpstreamLimitsReport,
 }
 
-impl SyncAsk {
+impl SyncRequest {
     /// Moves the demand and the request load out of the message.
     pub fn take_report(&mut self) -> HostReport {
         HostReport {
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerCall {
     /// Reports the demand of the sender's callers and asks for the orderer's state.
-    Sync(SyncAsk),
+    Sync(SyncRequest),
     /// Appends a record to the lease stream for a host that cannot reach the store.
     AppendLease {
         /// The offset at which the stream must end for the append to succeed.
