--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -8,7 +8,7 @@
 use mangovale::entry::sync::SYNC_MS;
 use mangovale::group::{Member, Members};
 use mangovale::ordering::engine_inventory::EngineChanges;
-use mangovale::ordering::message::{OrdererNews, SyncReply, SyncRequest, Totals};
+use mangovale::ordering::message::{OrdererUpdate, SyncReply, SyncRequest, Totals};
 use mangovale::ordering::published::{EngineView, PublishedEngines};
 use mangovale::prelude::*;
 use mangovale::rate_limit::UpstreamLimitsReport;
@@ -103,7 +103,7 @@
         end: Offset(u64::from(u32::MAX)),
         age_ms: Millis(200),
     };
-    SyncReply::News(Box::new(OrdererNews {
+    SyncReply::News(Box::new(OrdererUpdate {
         age_ms: Millis(200),
         lease_end: None,
         orderer: world.hosts[0].clone(),
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -9,7 +9,9 @@
 use crate::entry::upstream_limits;
 use crate::group::Member;
 use crate::group::parents::{Parent, STALE_MS};
-use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncReply, SyncRequest, Totals};
+use crate::ordering::message::{
+    OrdererUpdate, PeerCall, PeerReply, SyncReply, SyncRequest, Totals,
+};
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use smol::Timer;
@@ -56,7 +58,7 @@
     }
     orders.publish(now, &host.upstreams.borrow());
     let ready_at = orders.ready_at.iter();
-    SyncReply::News(Box::new(OrdererNews {
+    SyncReply::News(Box::new(OrdererUpdate {
         age_ms: Millis::ZERO,
         lease_end: Some(holding.end),
         orderer: holding.me,
@@ -89,7 +91,7 @@
     let mut work = own_work(host);
     gather.add_work(Some(ask.incarnation), &mut work);
     view.add_work(&mut work);
-    SyncReply::News(Box::new(OrdererNews {
+    SyncReply::News(Box::new(OrdererUpdate {
         age_ms: now.since(answered_at),
         lease_end: None,
         orderer,
@@ -325,9 +327,9 @@
     upstream_limits::take_news(host, asked_at, totals.upstream_limits);
 }
 
-fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererNews) {
+fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererUpdate) {
     let now = host.now();
-    let OrdererNews {
+    let OrdererUpdate {
         age_ms,
         lease_end,
         orderer,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -9,7 +9,7 @@
 use crate::entry::sync::answer;
 use crate::group::Member;
 use crate::ordering::demand::RequestCounts;
-use crate::ordering::message::{OrdererNews, SyncReply, SyncRequest};
+use crate::ordering::message::{OrdererUpdate, SyncReply, SyncRequest};
 use crate::ordering::published::{EngineView, EnginesNews};
 use crate::prelude::*;
 use crate::rate_limit::levels::Level;
@@ -71,7 +71,7 @@
     host.orders.borrow_mut().note_told(member(1, "there", 500));
 }
 
-fn news(reply: SyncReply) -> OrdererNews {
+fn news(reply: SyncReply) -> OrdererUpdate {
     match reply {
         SyncReply::News(news) => *news,
         other => panic!("no news: {other:?}"),
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -125,7 +125,7 @@
 
 /// The orderer's state as sent to one host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OrdererNews {
+pub struct OrdererUpdate {
     /// The age of the orderer's state; zero in a message from the orderer itself.
     pub age_ms: Millis,
     /// The end of the lease stream after the orderer's newest record; only in a message from the
@@ -212,5 +212,5 @@
         totals: Totals,
     },
     /// The orderer's state.
-    News(Box<OrdererNews>),
+    News(Box<OrdererUpdate>),
 }
