--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -3,7 +3,7 @@
 use super::site::entry;
 use crate::entry::choice::{holders, holds};
 use crate::entry::platform::ModelAsk;
-use crate::ordering::published::{EngineView, EnginesNews};
+use crate::ordering::published::{EngineView, EnginesUpdate};
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
@@ -46,7 +46,7 @@
             }
         }
         let mut view = View::default();
-        view.take_engines(EnginesNews {
+        view.take_engines(EnginesUpdate {
             version: (1, 1),
             is_whole: true,
             engines: told,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -10,7 +10,7 @@
 use crate::group::Member;
 use crate::ordering::demand::RequestCounts;
 use crate::ordering::message::{OrdererUpdate, SyncReply, SyncRequest};
-use crate::ordering::published::{EngineView, EnginesNews};
+use crate::ordering::published::{EngineView, EnginesUpdate};
 use crate::prelude::*;
 use crate::rate_limit::levels::Level;
 use crate::rate_limit::{LimitsNews, Scope, StatedLimit, UpstreamLimitsReport, Usage};
@@ -61,7 +61,7 @@
     };
     let mut view = host.view.borrow_mut();
     view.answered_at = Some(host.now() - age_ms);
-    view.take_engines(EnginesNews {
+    view.take_engines(EnginesUpdate {
         version: (3, 1),
         is_whole: true,
         engines: vec![engine],
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -9,7 +9,7 @@
 use crate::ordering::demand::RequestCounts;
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::lease::Resignation;
-use crate::ordering::published::{EnginesNews, EnginesVersion};
+use crate::ordering::published::{EnginesUpdate, EnginesVersion};
 use crate::prelude::*;
 use crate::rate_limit::{LimitsNews, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
 use crate::retry::{CrashNews, CrashReport};
@@ -134,7 +134,7 @@
     /// The current orderer.
     pub orderer: Member,
     /// What the engines hold: the changes since the version that the receiver has.
-    pub engines: EnginesNews,
+    pub engines: EnginesUpdate,
     /// The request load of all other hosts on each engine.
     pub work: Vec<(Name, Work)>,
     /// The expected time until each model or adapter that callers wait for is ready.
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -30,7 +30,7 @@
 
 /// An update of the engines' state for a host with an older version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EnginesNews {
+pub struct EnginesUpdate {
     /// The version that the host has after the update.
     pub version: EnginesVersion,
     /// Whether `engines` is the full state; otherwise only the changes.
@@ -138,11 +138,11 @@
 
     /// Returns the update for a host that has version `known`; an empty one if that is not older
     /// than this version.
-    pub fn since(&self, known: EnginesVersion) -> EnginesNews {
+    pub fn since(&self, known: EnginesVersion) -> EnginesUpdate {
         if known >= self.version {
-            return EnginesNews {
+            return EnginesUpdate {
                 version: known,
-                ..EnginesNews::default()
+                ..EnginesUpdate::default()
             };
         }
         let is_whole = known.0 != self.version.0 || known.1 < self.complete_from;
@@ -155,7 +155,7 @@
             .removed
             .iter()
             .filter(|(at, _)| !is_whole && is_newer(*at));
-        EnginesNews {
+        EnginesUpdate {
             version: self.version,
             is_whole,
             engines: changed
@@ -170,30 +170,30 @@
 
     /// Applies an update from the orderer or a relay. One that is not newer than the own version is
     /// ignored.
-    pub fn apply(&mut self, news: EnginesNews) {
-        if news.version <= self.version {
+    pub fn apply(&mut self, update: EnginesUpdate) {
+        if update.version <= self.version {
             return;
         }
-        let version = news.version.1;
-        if news.is_whole {
+        let version = update.version.1;
+        if update.is_whole {
             *self = Self {
-                version: news.version,
+                version: update.version,
                 complete_from: version,
                 ..Self::default()
             };
-        } else if news.version.0 != self.version.0 {
+        } else if update.version.0 != self.version.0 {
             return;
         }
-        for engine in &news.gone {
+        for engine in &update.gone {
             self.record_removed(version, engine);
         }
-        for EngineView { engine, held } in news.engines {
+        for EngineView { engine, held } in update.engines {
             let published = PublishedEngine {
                 changed_at: version,
                 held: held.into_iter().collect(),
             };
             self.engines.insert(engine, published);
         }
-        self.version = news.version;
+        self.version = update.version;
     }
 }
--- a/src/ordering/tests/view.rs
+++ b/src/ordering/tests/view.rs
@@ -2,7 +2,7 @@
 
 use super::fake_engine::unknown_start;
 use crate::entry::platform::ModelAsk;
-use crate::ordering::published::{EngineView, EnginesNews, EnginesVersion};
+use crate::ordering::published::{EngineView, EnginesUpdate, EnginesVersion};
 use crate::ordering::view::View;
 use crate::prelude::*;
 
@@ -13,12 +13,12 @@
     }
 }
 
-fn state(version: EnginesVersion, models: &[&str]) -> EnginesNews {
+fn state(version: EnginesVersion, models: &[&str]) -> EnginesUpdate {
     let engine = EngineView {
         engine: unknown_start("e".into()),
         held: models.iter().map(|model| ask(model)).collect(),
     };
-    EnginesNews {
+    EnginesUpdate {
         version,
         is_whole: true,
         engines: vec![engine],
--- a/src/ordering/view.rs
+++ b/src/ordering/view.rs
@@ -1,7 +1,7 @@
 //! The orderer's state as one host knows it.
 
 use crate::entry::platform::ModelAsk;
-use crate::ordering::published::{EnginesNews, EnginesVersion, PublishedEngines};
+use crate::ordering::published::{EnginesUpdate, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use crate::upstreams::Lifetime;
@@ -45,12 +45,12 @@
     }
 
     /// Applies an update of the engines' state.
-    pub fn take_engines(&mut self, news: EnginesNews) {
-        self.engines.apply(news);
+    pub fn take_engines(&mut self, update: EnginesUpdate) {
+        self.engines.apply(update);
     }
 
     /// Returns the update of the engines' state for a host that has version `known`.
-    pub fn engines_since(&self, known: EnginesVersion) -> EnginesNews {
+    pub fn engines_since(&self, known: EnginesVersion) -> EnginesUpdate {
         self.engines.since(known)
     }
 
