--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -4,7 +4,7 @@
 use crate::entry::host::Host;
 use crate::entry::platform::{ModelAsk, Platform, RequestFacts};
 use crate::entry::tries::Tries;
-use crate::ordering::view::View;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
 use crate::prelude::*;
 use crate::routing::pick::{self, ModelCopies, PromptShape};
 use crate::routing::prefix;
@@ -44,7 +44,11 @@
     chosen.map(|upstream| upstream.entry.id.clone())
 }
 
-fn model_copies<'a>(view: &View, model: &'a ModelAsk, fetch_share: Option<f64>) -> ModelCopies<'a> {
+fn model_copies<'a>(
+    view: &CachedOrdererState,
+    model: &'a ModelAsk,
+    fetch_share: Option<f64>,
+) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
         are_separate: view.is_separate(&model.model),
@@ -83,7 +87,7 @@
 /// Returns the engines of a service that may get new work and hold a model, by the orderer's word or else by their entries.
 pub fn holders<'a>(
     upstreams: &'a Registry,
-    view: &'a View,
+    view: &'a CachedOrdererState,
     now: Millis,
     service: &'a str,
     model: &'a ModelAsk,
@@ -99,7 +103,12 @@
 }
 
 /// Tells whether an engine holds a model, as far as this host knows.
-pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelAsk) -> bool {
+pub fn holds(
+    view: &CachedOrdererState,
+    now: Millis,
+    upstream: &Upstream,
+    model: &ModelAsk,
+) -> bool {
     let id = &upstream.entry.id;
     if view.is_lacking(now, id, model) {
         return false;
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -14,8 +14,8 @@
 use crate::group::reading::is_begun_or_large;
 use crate::group::{Member, Members, Tree};
 use crate::http1::client::within;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
 use crate::ordering::relay_aggregate::RelayAggregate;
-use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::rate_limit::{Limiter, SharedLimits, UpstreamLimits};
 use crate::retry::{Retries, RetryBudget};
@@ -57,7 +57,7 @@
     /// What hosts told this one as their relay.
     pub gather: RefCell<RelayAggregate>,
     /// What the orderer says.
-    pub view: RefCell<View>,
+    pub view: RefCell<CachedOrdererState>,
     /// The state of ordering loads.
     pub orders: RefCell<Orders>,
     /// The certificates of hosts that are accepted.
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -3,8 +3,8 @@
 use super::site::entry;
 use crate::entry::choice::{holders, holds};
 use crate::entry::platform::ModelAsk;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
 use crate::ordering::published::{EngineView, EnginesUpdate};
-use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
                 });
             }
         }
-        let mut view = View::default();
+        let mut view = CachedOrdererState::default();
         view.take_engines(EnginesUpdate {
             version: (1, 1),
             is_whole: true,
--- a/src/ordering/view.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -18,7 +18,7 @@
 
 /// The orderer's state as this host received it, corrected by the engines' refusals.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct CachedOrdererState {
     /// When the orderer was in the state that this host knows; `None` before the first answer.
     pub answered_at: Option<Millis>,
     /// The number of updates received so far.
@@ -38,7 +38,7 @@
     version: EnginesVersion,
 }
 
-impl View {
+impl CachedOrdererState {
     /// Returns the version of the engines' state. A new orderer's versions are higher.
     pub fn version(&self) -> EnginesVersion {
         self.engines.version()
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -10,10 +10,11 @@
 //! counts it per model. [`store_load_limiter`] limits loads from the weight store. [`planner`]
 //! chooses the next order for a model, [`adapters`] for an adapter. [`estimates`] predicts when a
 //! model that callers wait for is ready. [`demand`], [`host_reports`], [`relay_aggregate`] and
-//! [`demand_totals`] add up what hosts report to the orderer; [`published`] and [`view`] carry the
-//! state of the engines back to the hosts.
+//! [`demand_totals`] add up what hosts report to the orderer; [`published`] and
+//! [`cached_orderer_state`] carry the state of the engines back to the hosts.
 
 pub mod adapters;
+pub mod cached_orderer_state;
 mod candidates;
 pub mod copy;
 pub mod demand;
@@ -31,7 +32,6 @@
 pub mod published;
 pub mod relay_aggregate;
 pub mod store_load_limiter;
-pub mod view;
 
 #[cfg(test)]
 mod tests;
--- a/src/ordering/tests.rs
+++ b/src/ordering/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of the ordering decisions, which need no network.
 
+mod cached_orderer_state;
 mod engine_inventory;
 mod fake_engine;
 mod lease;
@@ -7,4 +8,3 @@
 mod published;
 mod relay_aggregate;
 mod store_load_limiter;
-mod view;
--- a/src/ordering/tests/view.rs
+++ b/src/ordering/tests/cached_orderer_state.rs
@@ -2,8 +2,8 @@
 
 use super::fake_engine::unknown_start;
 use crate::entry::platform::ModelAsk;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
 use crate::ordering::published::{EngineView, EnginesUpdate, EnginesVersion};
-use crate::ordering::view::View;
 use crate::prelude::*;
 
 fn ask(model: &str) -> ModelAsk {
@@ -29,7 +29,7 @@
 /// While the orderer is lost, engines change and hosts use its last state for seconds.
 #[test]
 fn an_engine_that_lacks_a_model_is_avoided_while_the_orderers_state_is_stale() {
-    let mut view = View::default();
+    let mut view = CachedOrdererState::default();
     let engine: Name = "e".into();
     let now = Millis(10_000);
     view.take_engines(state((1, 7), &["m"]));
@@ -48,7 +48,7 @@
 /// reachable.
 #[test]
 fn an_engine_that_lacks_a_model_is_retried_soon_while_the_orderers_state_is_fresh() {
-    let mut view = View::default();
+    let mut view = CachedOrdererState::default();
     let engine: Name = "e".into();
     let now = Millis(10_000);
     view.take_engines(state((1, 7), &["m"]));
