--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -346,7 +346,7 @@
         let mut orders = host.orders.borrow_mut();
         orders.note_told(orderer);
         if let Some(end) = lease_end {
-            orders.lease.note_told_end(now, end);
+            orders.lease.note_reported_end(now, end);
         }
         drop(orders);
         if age_ms < STALE_MS {
--- a/src/ordering/tests/lease.rs
+++ b/src/ordering/tests/lease.rs
@@ -228,7 +228,7 @@
             }
             1 if !statements.is_empty() => {
                 let end = statements.swap_remove(u.choose_index(statements.len())?);
-                world.leases[host].note_told_end(world.now, end);
+                world.leases[host].note_reported_end(world.now, end);
             }
             _ => step(&mut world, u)?,
         }
@@ -380,7 +380,7 @@
     world.deliver(0, true);
     let end = world.leases[0].end().expect("a claimed lease");
     let stated_at = world.now;
-    world.leases[1].note_told_end(stated_at, end);
+    world.leases[1].note_reported_end(stated_at, end);
     assert!(!world.leases[1].is_worth_reading(stated_at + Millis(1_000)));
     assert!(world.leases[1].is_worth_reading(stated_at + Millis(1_900)));
     world.now = stated_at + Millis(2_300);
@@ -402,7 +402,7 @@
     world.deliver(0, true);
     world.read(1);
     let end = world.leases[1].end().expect("a stream that was read");
-    world.leases[1].note_told_end(world.now + Millis(500), end);
+    world.leases[1].note_reported_end(world.now + Millis(500), end);
     assert_eq!(world.leases[1].holder(), world.leases[0].holder());
 }
 
