--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -98,7 +98,7 @@
 fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     !host.hears_orderer(now)
         && !host.parents.borrow().has_answered(now)
-        && host.orders.borrow().lease.is_worth_reading(now)
+        && host.orders.borrow().lease.should_read(now)
 }
 
 /// Renews the lease when that is due, and gives it up when no other host is heard of.
--- a/src/ordering/lease.rs
+++ b/src/ordering/lease.rs
@@ -205,7 +205,7 @@
 
     /// Returns whether a read of the stream may show that the lease is free, or who holds it now. A
     /// stream that changed a moment ago is not read, because the lease cannot be claimed yet.
-    pub fn is_worth_reading(&self, now: Millis) -> bool {
+    pub fn should_read(&self, now: Millis) -> bool {
         let is_free = self.newest.as_ref().is_some_and(|newest| newest.released);
         let unchanged_since = self.unchanged_since.unwrap_or(Millis::ZERO);
         let is_known = !self.holder_denied && !is_free && self.resigned_at().is_none();
