--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -130,7 +130,7 @@
     /// Returns the models that use separate copies for long and for short prompts.
     pub fn split_models(&self, now: Millis) -> Vec<Name> {
         let models = self.model_demands(now).into_iter();
-        let separate = models.filter(|(_, demand)| demand.has_both_kinds());
+        let separate = models.filter(|(_, demand)| demand.needs_separate_copies());
         separate.map(|(model, _)| model.clone()).collect()
     }
 
@@ -189,7 +189,7 @@
 
 impl ModelDemand {
     /// Returns whether the model gets enough long and enough short prompts to use separate copies.
-    pub fn has_both_kinds(&self) -> bool {
+    pub fn needs_separate_copies(&self) -> bool {
         has_both_kinds(
             self.long_requests_per_s,
             self.requests_per_s - self.long_requests_per_s,
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -46,8 +46,8 @@
     gone: Vec<Lifetime>,
     /// Engines that have, or had, memory reserved for a model.
     reserving: IndexSet<Name>,
-    lacks_engines: bool,
-    looked_at: Cell<u64>,
+    needs_engine_list: bool,
+    engines_visited: Cell<u64>,
 }
 
 impl EngineInventory {
@@ -99,7 +99,7 @@
         for id in &unlisted {
             self.remove(id);
         }
-        self.lacks_engines = false;
+        self.needs_engine_list = false;
         for (id, (lifetime, service)) in listed {
             match self.engines.get(&id).map(|engine| engine.born_at) {
                 // An engine's own report may show a new start before the list does.
@@ -115,7 +115,7 @@
     /// Returns whether an engine was dropped that may still be listed, so that
     /// [`EngineInventory::set_engines`] must be called.
     pub fn needs_engine_list(&self) -> bool {
-        self.lacks_engines
+        self.needs_engine_list
     }
 
     /// Assumes that unloads are done whose time has passed.
@@ -135,20 +135,20 @@
 
     /// Returns all engines.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
-        self.visited(self.engines.values())
+        self.count_visits(self.engines.values())
     }
 
-    fn visited<'a>(
+    fn count_visits<'a>(
         &'a self,
         engines: impl Iterator<Item = &'a Engine>,
     ) -> impl Iterator<Item = &'a Engine> {
-        engines.inspect(|_| self.looked_at.set(self.looked_at.get() + 1))
+        engines.inspect(|_| self.engines_visited.set(self.engines_visited.get() + 1))
     }
 
     /// Returns how many engines the iterators of this type have returned: the cost of plans beyond
     /// what the index answers.
     pub fn engines_visited(&self) -> u64 {
-        self.looked_at.get()
+        self.engines_visited.get()
     }
 
     /// Returns the index of a service; `None` if it has no engines.
@@ -162,7 +162,7 @@
         let count = self.engines.len();
         let start = (from % count.max(1) as u64) as usize;
         let places = (start..start + max.min(count)).map(move |at| at % count);
-        self.visited(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
+        self.count_visits(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
     }
 
     /// Returns the engines with these names; unknown names are left out.
@@ -170,7 +170,7 @@
         &'a self,
         ids: impl Iterator<Item = &'a Name>,
     ) -> impl Iterator<Item = &'a Engine> {
-        self.visited(ids.filter_map(|id| self.engines.get(id)))
+        self.count_visits(ids.filter_map(|id| self.engines.get(id)))
     }
 
     /// Returns engines that have changed recently. All those with adapters that are not ready yet
@@ -264,7 +264,7 @@
         }
         if answer == OrderAnswer::OtherLifetime {
             self.remove(id);
-            self.lacks_engines = true;
+            self.needs_engine_list = true;
             return;
         }
         self.update(id, |engine| {
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -14,9 +14,8 @@
 /// The time from the decision to load an adapter until it can run: the order, the fetch and the
 /// notification of hosts.
 const ADAPTER_READY_MS: Millis = Millis(30);
-/// An overdue load is expected to take this fraction (one in so many) of its time so far in
-/// addition. A load that waits for others has no predictable end, and callers are told to retry
-/// then.
+/// An overdue load is expected to take its time so far divided by this in addition. A load that
+/// waits for others has no predictable end, and callers are told to retry then.
 const OVERDUE_DIVISOR: u64 = 4;
 /// The time until an engine that unloads a model accepts orders again: the unload and its report.
 const UNLOAD_AND_REPORT_MS: Millis = Millis(550);
@@ -44,16 +43,16 @@
         let Some(index) = self.inventory.service_index(self.service) else {
             return Vec::new();
         };
-        let waited_for = || {
+        let requested = || {
             let waiting = self.demand.iter().filter(|(_, demand)| demand.waiting > 0);
             waiting.filter(|(ask, _)| self.spec.models.contains_key(&ask.model))
         };
         let mut queue = LoadQueue::new();
-        for (ask, demand) in waited_for() {
+        for (ask, demand) in requested() {
             *queue.entry(&ask.model).or_default() += demand.waiting;
         }
         queue.retain(|model, _| !self.will_be_held(index, model));
-        waited_for()
+        requested()
             .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(index, ask, timing, &queue)?)))
             .collect()
     }
@@ -74,24 +73,26 @@
         timing: OrderTiming,
         queue: &LoadQueue<'_>,
     ) -> Option<Millis> {
-        let at_once = timing.store_loads_at_once;
+        let max_store_loads = timing.store_loads_at_once;
         let adapter_ms = match &ask.adapter {
             Some(_) => ADAPTER_READY_MS.max(timing.orders_in_ms),
             None => Millis::ZERO,
         };
         let model_in = |engine: &Engine| match engine.copies.get(&ask.model)? {
             ModelCopy::Held if engine.is_busy() && ask.adapter.is_some() => {
-                Some(self.free_in_ms(engine, at_once))
+                Some(self.free_in_ms(engine, max_store_loads))
             }
             ModelCopy::Held => Some(Millis::ZERO),
-            copy => self.remaining_load_ms(&ask.model, copy, at_once),
+            copy => self.remaining_load_ms(&ask.model, copy, max_store_loads),
         };
         let soonest = self.holders(index, &ask.model).filter_map(model_in).min();
         let model_ms = match soonest {
             Some(in_ms) => in_ms,
             // An engine that has not reported yet may hold the model.
             None if self.has_unreported(index) => return None,
-            None => timing.orders_in_ms + self.new_load_ms(index, &ask.model, at_once, queue),
+            None => {
+                timing.orders_in_ms + self.new_load_ms(index, &ask.model, max_store_loads, queue)
+            }
         };
         Some(model_ms + adapter_ms)
     }
@@ -194,13 +195,13 @@
             .values()
             .filter(|waiting| **waiting > own_waiting)
             .count();
-        let at_once = store_loads_at_once.max(1);
-        let free = at_once.saturating_sub(ends.len());
+        let max_store_loads = store_loads_at_once.max(1);
+        let free = max_store_loads.saturating_sub(ends.len());
         if ahead < free {
             return Millis::ZERO;
         }
         let position = ahead - free;
         let first_ms = ends.first().copied().unwrap_or(load_ms);
-        first_ms + Millis(load_ms.0 * (position / at_once) as u64)
+        first_ms + Millis(load_ms.0 * (position / max_store_loads) as u64)
     }
 }
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -35,9 +35,9 @@
 const MAX_COPIES_SHARE: f64 = 0.5;
 /// A model is loaded, or gets another copy, only if it was requested within this time.
 pub(super) const RECENT_REQUEST_MS: Millis = Millis(2_500);
-/// A model with at least this many megabytes of weights, and with enough long and short prompts,
-/// gets a copy for each kind. Prompts of smaller models are read so fast that streams are seldom
-/// late.
+/// A model with at least this many megabytes of weights, and with enough long and below_target
+/// prompts, gets a copy for each kind. Prompts of smaller models are read so fast that streams are
+/// seldom late.
 const MIN_SEPARATE_MB: f64 = 20_000.0;
 /// How long a loaded model is kept at least, because callers return within seconds.
 const MIN_RESIDENCY_MS: Millis = Millis(3_000);
@@ -145,15 +145,15 @@
         if let Some(order) = self.continue_reserved(needs, limiter) {
             return Some(order);
         }
-        let short = needs.values().filter(|need| need.copies < need.target);
-        let mut short: Vec<Need<'_>> = short.copied().collect();
-        short.sort_by(|a, b| {
+        let below_target = needs.values().filter(|need| need.copies < need.target);
+        let mut below_target: Vec<Need<'_>> = below_target.copied().collect();
+        below_target.sort_by(|a, b| {
             let key = |need: &Need<'_>| (need.copies == 0, need.demand.waiting);
             let by_waiting = key(b).cmp(&key(a));
             by_waiting.then(b.demand.tokens_per_s.total_cmp(&a.demand.tokens_per_s))
         });
         let mut unrequested = 0;
-        let mut tried = short.into_iter().filter(|need| {
+        let mut tried = below_target.into_iter().filter(|need| {
             unrequested += usize::from(!need.is_requested());
             need.is_requested() || unrequested <= MAX_UNREQUESTED
         });
@@ -241,7 +241,8 @@
         }
         let for_prompts =
             (demand.tokens_per_s / prompt_speed(spec) / MAX_PROMPT_SHARE).ceil() as usize;
-        let has_separate_copies = spec.weights_mb >= MIN_SEPARATE_MB && demand.has_both_kinds();
+        let has_separate_copies =
+            spec.weights_mb >= MIN_SEPARATE_MB && demand.needs_separate_copies();
         let for_prompt_lengths = 1 + usize::from(has_separate_copies);
         for_prompts
             .max(self.copies_for_slots(demand.running))
--- a/src/ordering/store_load_limiter.rs
+++ b/src/ordering/store_load_limiter.rs
@@ -67,10 +67,10 @@
 }
 
 impl StoreLoadLimiter {
-    /// Creates the limiter of a host that becomes the orderer. `learned_at_once` is the limit that
-    /// an earlier orderer learned.
-    pub fn new(now: Millis, learned_at_once: Option<usize>) -> Self {
-        let learned = learned_at_once.map(|at_once| (at_once as f64).max(1.0));
+    /// Creates the limiter of a host that becomes the orderer. `learned_limit` is the limit that an
+    /// earlier orderer learned.
+    pub fn new(now: Millis, learned_limit: Option<usize>) -> Self {
+        let learned = learned_limit.map(|limit| (limit as f64).max(1.0));
         Self {
             tokens: 0.0,
             refilled_at: now,
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether a load of a model without requests may start. While any model is requested,
-    /// some places are reserved for loads of requested models.
+    /// some of the concurrent loads are reserved for loads of requested models.
     pub fn admits_unrequested(
         &mut self,
         now: Millis,
@@ -171,6 +171,7 @@
     }
 }
 
+/// Returns the time that a load took relative to its stated time.
 fn slowdown(took_ms: Millis, stated_ms: Millis) -> f64 {
     took_ms.0 as f64 / stated_ms.0.max(1) as f64
 }
