--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -2,14 +2,14 @@
 
 use crate::fleet::world::{SERVICE, World, engine_id, model};
 use mangovale::entry::platform::ModelRef;
-use mangovale::ordering::book::Book;
-use mangovale::ordering::ceiling::Ceiling;
 use mangovale::ordering::copy::LoadTime;
-use mangovale::ordering::demand::AskCount;
+use mangovale::ordering::demand::RequestCounts;
+use mangovale::ordering::demand_totals::DemandTotals;
+use mangovale::ordering::engine_inventory::EngineInventory;
 use mangovale::ordering::host_reports::HostReport;
-use mangovale::ordering::ledger::Ledger;
 use mangovale::ordering::message::{EngineReport, OrderAnswer};
 use mangovale::ordering::planner::Planner;
+use mangovale::ordering::store_load_limiter::StoreLoadLimiter;
 use mangovale::prelude::*;
 use serde::Serialize;
 use std::time::Instant;
@@ -37,22 +37,22 @@
 
 struct Site<'a> {
     world: &'a World,
-    ledger: Ledger,
-    book: Book,
-    ceiling: Ceiling,
+    ledger: EngineInventory,
+    book: DemandTotals,
+    ceiling: StoreLoadLimiter,
 }
 
 /// Measures the plan.
 pub fn measure(world: &World) -> Plan {
     let mut site = Site::new(world);
-    let before = site.ledger.looked_at();
+    let before = site.ledger.engines_visited();
     site.next();
-    let idle_looks = site.ledger.looked_at() - before;
+    let idle_looks = site.ledger.engines_visited() - before;
     let began = Instant::now();
     (0..REPEATS).for_each(|_| drop(site.next()));
     let idle_us = began.elapsed().as_secs_f64() * 1e6 / f64::from(REPEATS);
     site.lose_models();
-    let before = site.ledger.looked_at();
+    let before = site.ledger.engines_visited();
     let began = Instant::now();
     let orders = site.order_all();
     let took_us = began.elapsed().as_secs_f64() * 1e6;
@@ -60,7 +60,7 @@
     Plan {
         idle_looks,
         idle_us,
-        order_looks: each((site.ledger.looked_at() - before) as f64),
+        order_looks: each((site.ledger.engines_visited() - before) as f64),
         order_us: each(took_us),
         orders,
     }
@@ -68,33 +68,33 @@
 
 impl<'a> Site<'a> {
     fn new(world: &'a World) -> Self {
-        let mut ledger = Ledger::default();
-        ledger.take_engines(NOW, world.engines());
+        let mut ledger = EngineInventory::default();
+        ledger.set_engines(NOW, world.engines());
         for engine in world.upstreams.iter() {
             let report = EngineReport {
                 born_at: engine.entry.born_at,
                 models: engine.entry.models.clone(),
                 ..EngineReport::default()
             };
-            ledger.take_report(NOW, &engine.entry.id, Some(report));
+            ledger.record_report(NOW, &engine.entry.id, Some(report));
         }
         Self {
             world,
             ledger,
-            book: Book::default(),
-            ceiling: Ceiling::new(Millis::ZERO, Some(WAITED_FOR)),
+            book: DemandTotals::default(),
+            ceiling: StoreLoadLimiter::new(Millis::ZERO, Some(WAITED_FOR)),
         }
     }
 
-    fn next(&mut self) -> Option<mangovale::ordering::planner::Planned> {
+    fn next(&mut self) -> Option<mangovale::ordering::planner::PlannedOrder> {
         let unusable = IndexSet::new();
         let planner = Planner {
             now: NOW,
             service: SERVICE,
             spec: &self.world.spec,
-            ledger: &self.ledger,
-            book: &self.book,
-            unusable: &unusable,
+            inventory: &self.ledger,
+            demand: &self.book,
+            excluded: &unusable,
         };
         planner.next(&mut self.ceiling)
     }
@@ -111,15 +111,15 @@
                 born_at: engine.entry.born_at + Millis(1),
                 ..EngineReport::default()
             };
-            self.ledger.take_report(NOW, &id, Some(report));
+            self.ledger.record_report(NOW, &id, Some(report));
         }
-        let waiting = AskCount {
+        let waiting = RequestCounts {
             asked: 1,
             waiting: 1,
-            ..AskCount::default()
+            ..RequestCounts::default()
         };
         let lost = (0..last).map(model).filter(|model| {
-            let census = self.ledger.census(SERVICE);
+            let census = self.ledger.service_index(SERVICE);
             let holders = census.and_then(|census| census.model(model));
             holders.is_none_or(|holders| holders.copies() == 0)
         });
@@ -131,7 +131,7 @@
             demand: asks.map(|ask| (ask, waiting)).collect(),
             ..HostReport::default()
         };
-        self.book.take(NOW, 1, report);
+        self.book.record(NOW, 1, report);
     }
 
     /// Makes orders until there is none, with engines that accept each.
@@ -143,16 +143,16 @@
                 &planned.engine,
                 planned.action,
                 planned.ask,
-                planned.makes_way_for,
+                planned.freed_for,
             );
             let Some(order) = order else { break };
             let load = LoadTime {
                 takes_ms: Millis(13_200),
                 from_store: true,
             };
-            self.ledger.due(NOW);
+            self.ledger.take_due_orders(NOW);
             self.ledger
-                .take_answer(NOW, &planned.engine, &order, OrderAnswer::Accepted, load);
+                .record_answer(NOW, &planned.engine, &order, OrderAnswer::Accepted, load);
             orders += 1;
             if orders >= WAITED_FOR {
                 break;
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -4,7 +4,7 @@
 use crate::entry::attempts::Attempts;
 use crate::entry::host::Host;
 use crate::entry::platform::{ModelRef, Platform, RequestFacts};
-use crate::ordering::view::View;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
 use crate::prelude::*;
 use crate::routing::pick::{self, ModelCopies, PromptShape};
 use crate::routing::prefix;
@@ -50,7 +50,11 @@
     chosen.map(|upstream| upstream.entry.id.clone())
 }
 
-fn model_copies<'a>(view: &View, model: &'a ModelRef, fetch_share: Option<f64>) -> ModelCopies<'a> {
+fn model_copies<'a>(
+    view: &CachedOrdererState,
+    model: &'a ModelRef,
+    fetch_share: Option<f64>,
+) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
         are_separate: view.is_separate(&model.model),
@@ -92,7 +96,7 @@
 /// published about an engine takes precedence over the engine's own entry in the list of upstreams.
 pub fn holders<'a>(
     upstreams: &'a Registry,
-    view: &'a View,
+    view: &'a CachedOrdererState,
     now: Millis,
     service: &'a str,
     model: &'a ModelRef,
@@ -109,7 +113,11 @@
 
 /// Tells whether an engine holds a model, as far as this host knows. An engine that recently
 /// refused a request because it lacks the model does not hold it.
-pub fn holds(view: &View, now: Millis, upstream: &Upstream, model: &ModelRef) -> bool {
+pub fn holds(
+    view: &CachedOrdererState,
+    now: Millis,
+    upstream: &Upstream,
+    model: &ModelRef) -> bool {
     let id = &upstream.entry.id;
     if view.is_lacking(now, id, model) {
         return false;
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -14,8 +14,8 @@
 use crate::group::read_policy::may_have_many_unlisted;
 use crate::group::{Member, Members, RelayTree};
 use crate::http1::client::within;
-use crate::ordering::gather::Gather;
-use crate::ordering::view::View;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
+use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
 use crate::rate_limit::{Limiter, SharedLimits, UpstreamLimits};
 use crate::retry::{Retries, RetryBudget};
@@ -56,9 +56,9 @@
     /// The relays that this host sends its messages to.
     pub parents: RefCell<ParentSelector>,
     /// The reports that other hosts sent to this one as their relay.
-    pub relay_aggregate: RefCell<Gather>,
+    pub relay_aggregate: RefCell<RelayAggregate>,
     /// The latest state that the orderer published, as this host received it.
-    pub orderer_state: RefCell<View>,
+    pub orderer_state: RefCell<CachedOrdererState>,
     /// The orderer lease as this host knows it, and the state of ordering loads while it holds it.
     pub orders: RefCell<Orders>,
     /// The certificate fingerprints that are accepted on connections from other hosts.
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -98,7 +98,7 @@
 fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     !host.has_recent_orderer_answer(now)
         && !host.parents.borrow().answered_recently(now)
-        && host.orders.borrow().lease.is_worth_reading(now)
+        && host.orders.borrow().lease.should_read(now)
 }
 
 /// Renews the lease when that is due, and gives it up when no other host is heard of.
@@ -218,7 +218,7 @@
 fn is_alone<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     let mut orders = host.orders.borrow_mut();
     let has_others = host.members.borrow().count() > 1;
-    let hears_others = orders.book.hosts() > 1;
+    let hears_others = orders.book.reporting_hosts() > 1;
     if !has_others || hears_others {
         orders.alone_since = None;
         return false;
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -194,13 +194,13 @@
     match (host.is_orderer(), tree.is_relay(host.incarnation)) {
         (true, _) => Place {
             scope: Scope::Site,
-            heard: host.orders.borrow().book.heard(),
+            heard: host.orders.borrow().book.live_hosts(),
             expected: members.count(),
             members: known,
         },
         (false, is_relay) => Place {
             scope: Scope::Group,
-            heard: 1 + host.relay_aggregate.borrow().heard(),
+            heard: 1 + host.relay_aggregate.borrow().relayed_hosts(),
             expected: if is_relay { tree.hosts_per_relay() } else { 1 },
             members: known,
         },
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -7,15 +7,15 @@
 use crate::entry::table_rows;
 use crate::group::Member;
 use crate::http1::client::within;
-use crate::ordering::book::Book;
-use crate::ordering::ceiling::Ceiling;
-use crate::ordering::copy::Loaded;
-use crate::ordering::estimates::Pace;
+use crate::ordering::copy::LoadProgress;
+use crate::ordering::demand_totals::DemandTotals;
+use crate::ordering::engine_inventory::EngineInventory;
+use crate::ordering::estimates::OrderTiming;
 use crate::ordering::lease::Lease;
-use crate::ordering::ledger::Ledger;
 use crate::ordering::message::{Action, Order, OrderAnswer};
-use crate::ordering::planner::{Planned, Planner, load_time};
+use crate::ordering::planner::{PlannedOrder, Planner, load_time};
 use crate::ordering::published::{EngineView, PublishedEngines};
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 use crate::upstreams::{Lifetime, Registry};
 use smol::{LocalExecutor, Timer};
@@ -39,13 +39,13 @@
     /// The lease as this host knows it.
     pub lease: Lease,
     /// What the engines hold.
-    pub ledger: Ledger,
+    pub ledger: EngineInventory,
     /// What the hosts are told of it.
     pub published: PublishedEngines,
     /// The versions of the list of upstreams and of the desired state by which the engines were taken.
     engines_as_of: Option<(u64, u64)>,
     /// What callers ask for.
-    pub book: Book,
+    pub book: DemandTotals,
     told_holder: Option<Member>,
     reports_under_way: usize,
     /// When what callers wait for will be ready, as the last plan had it.
@@ -53,7 +53,7 @@
     /// The models whose copies are kept apart for long and for short prompts.
     pub separate: Vec<Name>,
     /// The load on the weight store, while this host orders.
-    pub ceiling: Option<Ceiling>,
+    pub ceiling: Option<StoreLoadLimiter>,
     /// Since when no other host was heard of.
     pub alone_since: Option<Millis>,
     /// Until when this host does not claim the lease.
@@ -65,13 +65,16 @@
 impl Orders {
     /// Returns how many loads the weight store serves at full speed, as far as any holder has learned it.
     pub fn store_loads_at_once(&self) -> Option<usize> {
-        let own = self.ceiling.as_ref().and_then(Ceiling::learned_at_once);
+        let own = self
+            .ceiling
+            .as_ref()
+            .and_then(StoreLoadLimiter::learned_max_concurrent);
         own.or(self.lease.store_loads_at_once())
     }
 
     /// Forgets the engines, because another host may order from now on.
     pub fn forget_engines(&mut self) {
-        self.ledger = Ledger::default();
+        self.ledger = EngineInventory::default();
         self.engines_as_of = None;
         self.ready_at = Vec::new();
     }
@@ -182,7 +185,7 @@
         let ready_at = expect_ready(&host, &table, &unusable, now);
         let mut orders = host.orders.borrow_mut();
         orders.ready_at = ready_at;
-        orders.separate = orders.book.separate(now);
+        orders.separate = orders.book.split_models(now);
     }
 }
 
@@ -199,8 +202,11 @@
 ) -> Vec<(ModelRef, Millis)> {
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
-    let pace = Pace {
-        store_loads_at_once: orders.ceiling.as_ref().map_or(1, Ceiling::at_once),
+    let pace = OrderTiming {
+        store_loads_at_once: orders
+            .ceiling
+            .as_ref()
+            .map_or(1, StoreLoadLimiter::max_concurrent),
         orders_in_ms: holding.map_or(Millis::ZERO, |holding| holding.orders_from.since(now)),
     };
     let specs = engine_specs(table).map(|(service, spec)| {
@@ -208,9 +214,9 @@
             now,
             service,
             spec,
-            ledger: &orders.ledger,
-            book: &orders.book,
-            unusable,
+            inventory: &orders.ledger,
+            demand: &orders.book,
+            excluded: unusable,
         };
         planner.ready_in_ms(pace)
     });
@@ -222,7 +228,7 @@
     let upstreams = host.upstreams.borrow();
     let mut orders = host.orders.borrow_mut();
     let as_of = Some((upstreams.version(), table.version));
-    if orders.engines_as_of == as_of && !orders.ledger.lacks_engines() {
+    if orders.engines_as_of == as_of && !orders.ledger.needs_engine_list() {
         return;
     }
     orders.engines_as_of = as_of;
@@ -234,7 +240,7 @@
         .iter()
         .filter(|upstream| is_engine(&upstream.entry.service))
         .map(|upstream| (upstream.lifetime(), upstream.entry.service.clone()));
-    orders.ledger.take_engines(now, engines);
+    orders.ledger.set_engines(now, engines);
 }
 
 fn ask_reports<P: Platform + 'static>(
@@ -285,7 +291,7 @@
     let mut orders = host.orders.borrow_mut();
     let was_known = orders.ledger.get(id).is_some_and(|engine| engine.is_known);
     let is_answered = report.is_some();
-    let loaded = orders.ledger.take_report(now, id, report);
+    let loaded = orders.ledger.record_report(now, id, report);
     if is_answered {
         learn_from_overdue(host, &mut orders, id, now);
     }
@@ -297,11 +303,11 @@
         };
         lines::write(LogEvent::EngineRead, &line);
     }
-    for Loaded {
+    for LoadProgress {
         model,
         took_ms,
         from_store,
-        beside,
+        concurrent_loads,
     } in loaded
     {
         if from_store
@@ -309,14 +315,17 @@
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
             && let Some(ceiling) = &mut orders.ceiling
         {
-            ceiling.note_done(took_ms, stated_ms, beside);
+            ceiling.record_finish(took_ms, stated_ms, concurrent_loads);
         }
         let line = LoadedLine {
             upstream: id,
             model: &model,
             took_ms,
             from_store,
-            store_loads_at_once: orders.ceiling.as_ref().map_or(0, Ceiling::at_once),
+            store_loads_at_once: orders
+                .ceiling
+                .as_ref()
+                .map_or(0, StoreLoadLimiter::max_concurrent),
         };
         lines::write(LogEvent::CopyReady, &line);
     }
@@ -335,14 +344,14 @@
 /// Lowers the number of loads at once when an engine says that it still carries out one that is overdue.
 fn learn_from_overdue<P: Platform>(host: &Host<P>, orders: &mut Orders, id: &str, now: Millis) {
     let engine = orders.ledger.get(id);
-    let under_way: Vec<Loaded> = engine
+    let under_way: Vec<LoadProgress> = engine
         .into_iter()
         .flat_map(|engine| engine.loads_under_way(now))
         .collect();
-    for Loaded {
+    for LoadProgress {
         model,
         took_ms,
-        beside,
+        concurrent_loads,
         ..
     } in under_way
     {
@@ -350,7 +359,7 @@
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
             && let Some(ceiling) = &mut orders.ceiling
         {
-            ceiling.note_overdue(took_ms, stated_ms, beside);
+            ceiling.record_overdue(took_ms, stated_ms, concurrent_loads);
         }
     }
 }
@@ -379,7 +388,8 @@
         lease,
         ..
     } = &mut *orders;
-    let ceiling = ceiling.get_or_insert_with(|| Ceiling::new(now, lease.store_loads_at_once()));
+    let ceiling =
+        ceiling.get_or_insert_with(|| StoreLoadLimiter::new(now, lease.store_loads_at_once()));
     let fence = lease.holding().map_or(0, |holding| holding.fence);
     for (service, spec) in engine_specs(table) {
         for _ in 0..MAX_PLANNED {
@@ -387,25 +397,25 @@
                 now,
                 service,
                 spec,
-                ledger,
-                book,
-                unusable,
+                inventory: ledger,
+                demand: book,
+                excluded: unusable,
             };
             let Some(planned) = planner.next(ceiling) else {
                 break;
             };
             let load = planner.load_time(&planned);
-            let Planned {
+            let PlannedOrder {
                 engine,
                 action,
                 ask,
-                makes_way_for,
+                freed_for,
                 why,
             } = planned;
             if load.from_store && action == Action::Load {
-                ceiling.note_begun();
+                ceiling.record_start();
             }
-            if let Some(order) = ledger.begin(now, &engine, action, ask, makes_way_for) {
+            if let Some(order) = ledger.begin(now, &engine, action, ask, freed_for) {
                 let line = OrderLine {
                     upstream: &engine,
                     order: &order,
@@ -439,7 +449,7 @@
     me: &Member,
     now: Millis,
 ) {
-    let due = host.orders.borrow_mut().ledger.due(now);
+    let due = host.orders.borrow_mut().ledger.take_due_orders(now);
     for (id, order) in due {
         let host = host.clone();
         let holder: Name = format!("{}-{:x}", host.settings().name, me.incarnation).into();
@@ -485,7 +495,7 @@
     host.orders
         .borrow_mut()
         .ledger
-        .take_answer(now, id, order, answer, load);
+        .record_answer(now, id, order, answer, load);
     let line = OrderAnswerLine {
         upstream: id,
         order,
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -9,7 +9,9 @@
 use crate::entry::upstream_limits;
 use crate::group::Member;
 use crate::group::parents::{ORDERER_STALE_MS, Parent};
-use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncAsk, SyncReply, Totals};
+use crate::ordering::message::{
+    OrdererUpdate, PeerCall, PeerReply, SyncReply, SyncRequest, Totals,
+};
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use smol::Timer;
@@ -23,7 +25,7 @@
 const LEAST_SYNC_MS: Millis = Millis(4);
 
 /// Answers a host that tells its demand: as the orderer, or as a relay by what the orderer said last.
-pub fn answer<P: Platform>(host: &Host<P>, ask: SyncAsk) -> SyncReply {
+pub fn answer<P: Platform>(host: &Host<P>, ask: SyncRequest) -> SyncReply {
     match (host.is_orderer(), host.is_relay() && !ask.is_for_orderer) {
         (true, _) => answer_as_orderer(host, ask),
         (false, true) => answer_as_relay(host, ask),
@@ -39,7 +41,7 @@
     }
 }
 
-fn answer_as_orderer<P: Platform>(host: &Host<P>, mut ask: SyncAsk) -> SyncReply {
+fn answer_as_orderer<P: Platform>(host: &Host<P>, mut ask: SyncRequest) -> SyncReply {
     let now = host.now();
     if ask.incarnation != host.incarnation {
         take_counts(host, &ask);
@@ -50,13 +52,13 @@
         return SyncReply::NoNews { totals };
     };
     let wants = ask.demand.iter().any(|(_, count)| count.waiting > 0);
-    orders.book.take(now, ask.incarnation, ask.take_report());
+    orders.book.record(now, ask.incarnation, ask.take_report());
     if wants {
         host.request_sync();
     }
     orders.publish(now, &host.upstreams.borrow());
     let ready_at = orders.ready_at.iter();
-    SyncReply::News(Box::new(OrdererNews {
+    SyncReply::News(Box::new(OrdererUpdate {
         age_ms: Millis::ZERO,
         lease_end: Some(holding.end),
         orderer: holding.me,
@@ -72,7 +74,7 @@
     }))
 }
 
-fn answer_as_relay<P: Platform>(host: &Host<P>, mut ask: SyncAsk) -> SyncReply {
+fn answer_as_relay<P: Platform>(host: &Host<P>, mut ask: SyncRequest) -> SyncReply {
     let now = host.now();
     take_counts(host, &ask);
     let totals = totals(host, &ask);
@@ -89,7 +91,7 @@
     let mut work = own_work(host);
     gather.add_work(Some(ask.incarnation), &mut work);
     view.add_work(&mut work);
-    SyncReply::News(Box::new(OrdererNews {
+    SyncReply::News(Box::new(OrdererUpdate {
         age_ms: now.since(answered_at),
         lease_end: None,
         orderer,
@@ -104,14 +106,14 @@
 }
 
 /// Takes what a host reports to be added up.
-fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
+fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncRequest) {
     limits::merge_usage(host, &ask.usage);
     upstream_limits::merge_report(host, &ask.upstream_limits);
     crashes::merge_report(host, &ask.crashes);
 }
 
 /// Returns what is added up, for a host that reported to it.
-fn totals<P: Platform>(host: &Host<P>, ask: &SyncAsk) -> Totals {
+fn totals<P: Platform>(host: &Host<P>, ask: &SyncRequest) -> Totals {
     Totals {
         limits: limits::build_update(host),
         crashes: crashes::build_update(host, ask.crashes.known),
@@ -146,7 +148,7 @@
     peers: &Peers,
     me: &Member,
     asked_at: Millis,
-    ask: SyncAsk,
+    ask: SyncRequest,
 ) -> bool {
     if host.is_orderer() {
         take_reply(host, asked_at, answer(host, ask));
@@ -160,7 +162,7 @@
         parents.choose(asked_at, &host.tree.borrow(), me)
     };
     let Parent::Relay(relay) = parent else {
-        let mut ask = SyncAsk {
+        let mut ask = SyncRequest {
             is_for_orderer: true,
             ..ask
         };
@@ -190,7 +192,7 @@
     peers: &Peers,
     me: &Member,
     asked_at: Millis,
-    ask: &mut SyncAsk,
+    ask: &mut SyncRequest,
 ) {
     let first = {
         let tree = host.tree.borrow();
@@ -203,7 +205,7 @@
     let Some(first) = first.filter(|first| first.incarnation != me.incarnation) else {
         return;
     };
-    let use_alone = SyncAsk {
+    let use_alone = SyncRequest {
         is_for_orderer: false,
         demand: Vec::new(),
         work: Vec::new(),
@@ -228,7 +230,7 @@
     ask.crashes.evidence.clear();
 }
 
-async fn ask_peer(peers: &Peers, address: SocketAddr, ask: SyncAsk) -> Option<SyncReply> {
+async fn ask_peer(peers: &Peers, address: SocketAddr, ask: SyncRequest) -> Option<SyncReply> {
     match peers.call(address, &PeerCall::Sync(ask)).await? {
         PeerReply::Sync(reply) => Some(reply),
         PeerReply::AppendedLease(_) | PeerReply::List(_) | PeerReply::Desired(_) => None,
@@ -279,14 +281,14 @@
     work.collect()
 }
 
-fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
+fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncRequest {
     let mut work = own_work(host);
     let mut gather = host.relay_aggregate.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
     gather.add_work(None, &mut work);
-    let through = gather.heard() as u32;
+    let through = gather.relayed_hosts() as u32;
     drop(gather);
-    SyncAsk {
+    SyncRequest {
         incarnation: me.incarnation,
         is_for_orderer: false,
         is_urgent,
@@ -328,9 +330,9 @@
     upstream_limits::take_news(host, asked_at, totals.upstream_limits);
 }
 
-fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererNews) {
+fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererUpdate) {
     let now = host.now();
-    let OrdererNews {
+    let OrdererUpdate {
         age_ms,
         lease_end,
         orderer,
@@ -347,7 +349,7 @@
         let mut orders = host.orders.borrow_mut();
         orders.note_told(orderer);
         if let Some(end) = lease_end {
-            orders.lease.note_told_end(now, end);
+            orders.lease.note_reported_end(now, end);
         }
         drop(orders);
         if age_ms < ORDERER_STALE_MS {
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -3,8 +3,8 @@
 use super::site::entry;
 use crate::entry::choice::{holders, holds};
 use crate::entry::platform::ModelRef;
-use crate::ordering::published::{EngineView, EnginesNews};
-use crate::ordering::view::View;
+use crate::ordering::cached_orderer_state::CachedOrdererState;
+use crate::ordering::published::{EngineView, EnginesUpdate};
 use crate::prelude::*;
 use crate::upstreams::{HeldModel, Lifetime, Registry, UpstreamEntry};
 use std::net::SocketAddr;
@@ -46,8 +46,8 @@
                 });
             }
         }
-        let mut view = View::default();
-        view.take_engines(EnginesNews {
+        let mut view = CachedOrdererState::default();
+        view.take_engines(EnginesUpdate {
             version: (1, 1),
             is_whole: true,
             engines: published,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -8,9 +8,9 @@
 use crate::entry::platform::ModelRef;
 use crate::entry::sync::answer;
 use crate::group::Member;
-use crate::ordering::demand::AskCount;
-use crate::ordering::message::{OrdererNews, SyncAsk, SyncReply};
-use crate::ordering::published::{EngineView, EnginesNews};
+use crate::ordering::demand::RequestCounts;
+use crate::ordering::message::{OrdererUpdate, SyncReply, SyncRequest};
+use crate::ordering::published::{EngineView, EnginesUpdate};
 use crate::prelude::*;
 use crate::rate_limit::levels::Level;
 use crate::rate_limit::{LimitsNews, Scope, StatedLimit, UpstreamLimitsReport, Usage};
@@ -23,7 +23,7 @@
 
 const ASKER: u64 = 7;
 
-fn ask() -> SyncAsk {
+fn ask() -> SyncRequest {
     sync_ask(ASKER)
 }
 
@@ -61,7 +61,7 @@
     };
     let mut view = host.orderer_state.borrow_mut();
     view.answered_at = Some(host.now() - age_ms);
-    view.take_engines(EnginesNews {
+    view.take_engines(EnginesUpdate {
         version: (3, 1),
         is_whole: true,
         engines: vec![engine],
@@ -71,7 +71,7 @@
     host.orders.borrow_mut().note_told(member(1, "there", 500));
 }
 
-fn news(reply: SyncReply) -> OrdererNews {
+fn news(reply: SyncReply) -> OrdererUpdate {
     match reply {
         SyncReply::News(news) => *news,
         other => panic!("no news: {other:?}"),
@@ -94,7 +94,7 @@
         tell(&site.host, Millis(100));
         let reply = answer(
             &site.host,
-            SyncAsk {
+            SyncRequest {
                 is_for_orderer: true,
                 ..ask()
             },
@@ -119,13 +119,13 @@
     on_site(|site| async move {
         make_relay(&site.host);
         tell(&site.host, Millis(400));
-        let other = SyncAsk {
+        let other = SyncRequest {
             incarnation: 8,
             work: work(2),
             ..ask()
         };
         answer(&site.host, other);
-        let own = SyncAsk {
+        let own = SyncRequest {
             work: work(5),
             ..ask()
         };
@@ -135,7 +135,7 @@
         assert_eq!(first.work, work(12), "the asker's own work is not among it");
         assert!(first.engines.is_whole);
         assert_eq!(first.members.map(|members| members.generation), Some(1));
-        let again = SyncAsk {
+        let again = SyncRequest {
             view_version: first.engines.version,
             ..ask()
         };
@@ -148,16 +148,16 @@
 fn what_a_relays_hosts_ask_for_goes_up_at_once_when_it_is_urgent() {
     on_site(|site| async move {
         make_relay(&site.host);
-        let waiting = AskCount {
+        let waiting = RequestCounts {
             asked: 1,
             waiting: 1,
-            ..AskCount::default()
+            ..RequestCounts::default()
         };
         let model = ModelRef {
             model: "m".into(),
             adapter: None,
         };
-        let urgent = SyncAsk {
+        let urgent = SyncRequest {
             is_urgent: true,
             demand: vec![(model, waiting)],
             ..ask()
@@ -198,7 +198,7 @@
         site.until_version(1).await;
         make_relay(&site.host);
         let tell = |host, through, requests| {
-            let ask = SyncAsk {
+            let ask = SyncRequest {
                 incarnation: host,
                 through,
                 usage: used(requests),
@@ -239,7 +239,7 @@
             levels: vec![("o".into(), level)],
         };
         limits::take_reply(&site.host, site.host.now(), Some(word));
-        let ask = SyncAsk {
+        let ask = SyncRequest {
             usage: used(100),
             ..ask()
         };
@@ -280,7 +280,7 @@
 fn a_host_that_neither_orders_nor_relays_tells_others_which_requests_crash_upstreams() {
     on_site(|site| async move {
         let (digest, crashes) = crash_report();
-        answer(&site.host, SyncAsk { crashes, ..ask() });
+        answer(&site.host, SyncRequest { crashes, ..ask() });
         let SyncReply::NotOrderer { crashes, .. } = answer(&site.host, sync_ask(8)) else {
             panic!("the host orders nothing");
         };
@@ -303,7 +303,7 @@
             stated: vec![limit],
             usage: Vec::new(),
         };
-        let report = SyncAsk {
+        let report = SyncRequest {
             crashes,
             upstream_limits,
             ..ask()
--- a/src/ordering/census.rs
+++ b/src/ordering/engine_index.rs
@@ -1,110 +1,112 @@
-//! How many engines hold what, kept as engines change.
+//! Indexes which engines hold which models and adapters, updated with each change of an engine.
 //!
-//! Answers the pattern of thousands of engines of which a few change a second: the next order is asked for many times a
-//! second, and counting anew what all engines hold takes longer than everything else that it needs.
+//! A site may have thousands of engines, of which a few change per second. The planner asks for the
+//! next order many times per second, and counting over all engines each time would cost more than
+//! everything else that it does.
 
 use crate::entry::platform::ModelRef;
-use crate::ordering::copy::Copy;
+use crate::ordering::copy::ModelCopy;
 use crate::ordering::engine::Engine;
 use crate::prelude::*;
 
-/// The engines that hold a model.
+/// The engines that hold a model or have its weights cached.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Holders {
-    /// Those that hold it, or will.
+    /// Engines that hold the model or will hold it.
     engines: IndexSet<Name>,
-    /// How many of them hold it now.
+    /// How many of `engines` hold it now.
     held: usize,
-    /// Engines that have its weights at hand.
-    at_hand: IndexSet<Name>,
+    /// Engines that have its weights cached.
+    cached: IndexSet<Name>,
 }
 
 impl Holders {
-    /// Returns how many engines hold it, or will.
+    /// Returns how many engines hold the model or will hold it.
     pub fn copies(&self) -> usize {
         self.engines.len()
     }
 
-    /// Returns how many engines hold it now.
+    /// Returns how many engines hold the model now.
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// Returns the engines that hold it, or will.
+    /// Returns the engines that hold the model or will hold it.
     pub fn engines(&self) -> impl Iterator<Item = &Name> {
         self.engines.iter()
     }
 
-    /// Returns the engines that have its weights at hand, in memory or on disk.
-    pub fn at_hand(&self) -> impl Iterator<Item = &Name> {
-        self.at_hand.iter()
+    /// Returns the engines that have the weights cached in memory or on disk.
+    pub fn cached(&self) -> impl Iterator<Item = &Name> {
+        self.cached.iter()
     }
 
     fn is_empty(&self) -> bool {
-        self.engines.is_empty() && self.at_hand.is_empty()
+        self.engines.is_empty() && self.cached.is_empty()
     }
 }
 
-/// The counts of one service.
+/// The index of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ServiceCensus {
+pub struct ServiceIndex {
     engines: usize,
-    unknown: usize,
+    unreported: usize,
     models: IndexMap<Name, Holders>,
     adapters: IndexMap<ModelRef, usize>,
 }
 
-impl ServiceCensus {
-    /// Returns how many engines there are.
+impl ServiceIndex {
+    /// Returns how many engines the service has.
     pub fn engines(&self) -> usize {
         self.engines
     }
 
-    /// Returns how many engines' reports were not read yet.
-    pub fn unknown(&self) -> usize {
-        self.unknown
+    /// Returns how many engines have not reported yet.
+    pub fn unreported(&self) -> usize {
+        self.unreported
     }
 
-    /// Returns the engines that hold a model or have its weights; nothing when there are none.
+    /// Returns the engines that hold a model or have its weights cached; `None` if there are none.
     pub fn model(&self, model: &str) -> Option<&Holders> {
         self.models.get(model)
     }
 
-    /// Returns how many engines have an adapter, or are bringing it.
+    /// Returns how many engines have an adapter or are loading it.
     pub fn adapter(&self, ask: &ModelRef) -> usize {
         self.adapters.get(ask).copied().unwrap_or_default()
     }
 
     fn add(&mut self, engine: &Engine) {
         self.engines += 1;
-        self.unknown += usize::from(!engine.is_known);
-        for (model, copy) in staying(engine) {
+        self.unreported += usize::from(!engine.is_known);
+        for (model, copy) in staying_copies(engine) {
             let holders = self.models.entry(model.clone()).or_default();
             holders.engines.insert(engine.id.clone());
-            holders.held += usize::from(*copy == Copy::Held);
+            holders.held += usize::from(*copy == ModelCopy::Held);
         }
-        for model in &engine.at_hand {
+        for model in &engine.cached_models {
             let holders = self.models.entry(model.clone()).or_default();
-            holders.at_hand.insert(engine.id.clone());
+            holders.cached.insert(engine.id.clone());
         }
         for ask in engine.adapters.keys() {
             *self.adapters.entry(ask.clone()).or_default() += 1;
         }
     }
 
-    /// Takes out what [`ServiceCensus::add`] counted of the engine as it was then.
+    /// Removes an engine. `engine` must be in the state in which it was added by
+    /// [`ServiceIndex::add`].
     fn remove(&mut self, engine: &Engine) {
         self.engines -= 1;
-        self.unknown -= usize::from(!engine.is_known);
-        for (model, copy) in staying(engine) {
-            self.change_holders(model, |holders| {
+        self.unreported -= usize::from(!engine.is_known);
+        for (model, copy) in staying_copies(engine) {
+            self.update_holders(model, |holders| {
                 holders.engines.swap_remove(&engine.id);
-                holders.held -= usize::from(*copy == Copy::Held);
+                holders.held -= usize::from(*copy == ModelCopy::Held);
             });
         }
-        for model in &engine.at_hand {
-            self.change_holders(model, |holders| {
-                holders.at_hand.swap_remove(&engine.id);
+        for model in &engine.cached_models {
+            self.update_holders(model, |holders| {
+                holders.cached.swap_remove(&engine.id);
             });
         }
         for ask in engine.adapters.keys() {
@@ -117,43 +119,43 @@
         }
     }
 
-    fn change_holders(&mut self, model: &Name, change: impl FnOnce(&mut Holders)) {
+    fn update_holders(&mut self, model: &Name, update: impl FnOnce(&mut Holders)) {
         let Some(holders) = self.models.get_mut(model) else {
             return;
         };
-        change(holders);
+        update(holders);
         if holders.is_empty() {
             self.models.swap_remove(model);
         }
     }
 }
 
-/// The counts of all services.
+/// The index of all services.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Census {
-    services: IndexMap<Name, ServiceCensus>,
+pub struct EngineIndex {
+    services: IndexMap<Name, ServiceIndex>,
     store_loads: usize,
-    /// The engines with loads from the weight store.
+    /// The engines that are loading from the weight store.
     loading: IndexSet<Name>,
 }
 
-impl Census {
-    /// Returns the counts of a service; nothing when it has no engines.
-    pub fn of(&self, service: &str) -> Option<&ServiceCensus> {
+impl EngineIndex {
+    /// Returns the index of a service; `None` if it has no engines.
+    pub fn service(&self, service: &str) -> Option<&ServiceIndex> {
         self.services.get(service)
     }
 
-    /// Returns how many loads from the weight store are under way.
+    /// Returns how many loads from the weight store are running.
     pub fn store_loads(&self) -> usize {
         self.store_loads
     }
 
-    /// Returns the engines with loads from the weight store.
+    /// Returns the engines that are loading from the weight store.
     pub fn loading(&self) -> impl Iterator<Item = &Name> {
         self.loading.iter()
     }
 
-    /// Counts an engine.
+    /// Adds an engine.
     pub fn add(&mut self, engine: &Engine) {
         let loads = store_loads(engine);
         self.store_loads += loads;
@@ -164,7 +166,7 @@
         service.or_default().add(engine);
     }
 
-    /// Takes out an engine as it was counted.
+    /// Removes an engine. `engine` must be in the state in which it was added.
     pub fn remove(&mut self, engine: &Engine) {
         self.store_loads -= store_loads(engine);
         self.loading.swap_remove(&engine.id);
@@ -178,13 +180,13 @@
     }
 }
 
-/// Returns the copies on an engine that are not being dropped.
-fn staying(engine: &Engine) -> impl Iterator<Item = (&Name, &Copy)> {
+/// Returns the copies on an engine that are not being unloaded.
+fn staying_copies(engine: &Engine) -> impl Iterator<Item = (&Name, &ModelCopy)> {
     let copies = engine.copies.iter();
-    copies.filter(|(_, copy)| **copy != Copy::Unloading)
+    copies.filter(|(_, copy)| **copy != ModelCopy::Unloading)
 }
 
 fn store_loads(engine: &Engine) -> usize {
     let copies = engine.copies.values();
-    copies.filter(|copy| copy.is_from_store()).count()
+    copies.filter(|copy| copy.is_loading_from_store()).count()
 }
--- /dev/null
+++ b/src/ordering/engine_inventory.rs
@@ -0,0 +1,351 @@
+//! Tracks what each engine holds, what it is loading or unloading, and which orders may still take
+//! effect.
+//!
+//! An engine accepts an order only if it has accepted exactly as many orders before as the order
+//! states. So at most one of two orders with the same number takes effect, and an order without an
+//! answer can be sent again unchanged. Until the engine's report shows a higher number, the model
+//! of that order counts as held, and the engine gets no other order.
+
+use crate::entry::platform::ModelRef;
+use crate::ordering::copy::{LoadProgress, LoadTime, ModelCopy};
+use crate::ordering::engine::Engine;
+use crate::ordering::engine_index::{EngineIndex, ServiceIndex};
+use crate::ordering::message::{Action, EngineReport, Order, OrderAnswer};
+use crate::ordering::published::EngineView;
+use crate::prelude::*;
+use crate::upstreams::Lifetime;
+use std::cell::Cell;
+
+/// How long freed memory stays reserved for the model that it was freed for. The unload waits for
+/// running requests.
+pub(super) const RESERVATION_MS: Millis = Millis(3_000);
+/// The interval at which the report of an engine without a running order is read. A report costs
+/// about a sixth of an order.
+const IDLE_REPORT_INTERVAL_MS: Millis = Millis(5_000);
+/// The least average time between two such reports over all engines. With thousands of engines,
+/// each is read less often.
+const MIN_REPORT_SPACING_MS: Millis = Millis(5);
+
+/// The changes of engines since the last call of [`EngineInventory::take_changes`].
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct EngineChanges {
+    /// The new state of engines that may have changed.
+    pub views: Vec<EngineView>,
+    /// Starts of engines that are over, because the engine was removed or started again.
+    pub gone: Vec<Lifetime>,
+}
+
+/// The state of all engines, by name.
+#[derive(Clone, Debug, Default)]
+pub struct EngineInventory {
+    engines: IndexMap<Name, Engine>,
+    index: EngineIndex,
+    /// Engines whose state may have changed since the last call of
+    /// [`EngineInventory::take_changes`].
+    changed: IndexSet<Name>,
+    gone: Vec<Lifetime>,
+    /// Engines that have, or had, memory reserved for a model.
+    reserving: IndexSet<Name>,
+    needs_engine_list: bool,
+    engines_visited: Cell<u64>,
+}
+
+impl EngineInventory {
+    /// Changes an engine and keeps the index and the sets of engines up to date.
+    fn update<T>(&mut self, id: &str, with: impl FnOnce(&mut Engine) -> T) -> Option<T> {
+        let engine = self.engines.get_mut(id)?;
+        self.index.remove(engine);
+        let former = engine.lifetime();
+        let result = with(engine);
+        self.index.add(engine);
+        if engine.born_at != former.born_at {
+            self.gone.push(former);
+        }
+        match engine.reserved_for.is_some() {
+            true => drop(self.reserving.insert(engine.id.clone())),
+            false => drop(self.reserving.swap_remove(id)),
+        }
+        self.changed.insert(engine.id.clone());
+        Some(result)
+    }
+
+    fn insert(&mut self, engine: Engine) {
+        self.index.add(&engine);
+        self.engines.insert(engine.id.clone(), engine);
+    }
+
+    fn remove(&mut self, id: &str) {
+        let Some(engine) = self.engines.swap_remove(id) else {
+            return;
+        };
+        self.index.remove(&engine);
+        self.changed.swap_remove(id);
+        self.reserving.swap_remove(id);
+        self.gone.push(engine.lifetime());
+    }
+
+    /// Sets the engines to those that are listed. The state of a new one is unknown until its
+    /// report is read.
+    pub fn set_engines(&mut self, now: Millis, engines: impl Iterator<Item = (Lifetime, Name)>) {
+        let listed: IndexMap<Name, (Lifetime, Name)> = engines
+            .map(|(lifetime, service)| (lifetime.id.clone(), (lifetime, service)))
+            .collect();
+        let unlisted: Vec<Name> = self
+            .engines
+            .keys()
+            .filter(|id| !listed.contains_key(*id))
+            .cloned()
+            .collect();
+        for id in &unlisted {
+            self.remove(id);
+        }
+        self.needs_engine_list = false;
+        for (id, (lifetime, service)) in listed {
+            match self.engines.get(&id).map(|engine| engine.born_at) {
+                // An engine's own report may show a new start before the list does.
+                Some(born_at) if born_at >= lifetime.born_at => {}
+                Some(_) => drop(self.update(&id, |engine| {
+                    engine.begin_lifetime(now, lifetime.born_at);
+                })),
+                None => self.insert(Engine::new(lifetime, service)),
+            }
+        }
+    }
+
+    /// Returns whether an engine was dropped that may still be listed, so that
+    /// [`EngineInventory::set_engines`] must be called.
+    pub fn needs_engine_list(&self) -> bool {
+        self.needs_engine_list
+    }
+
+    /// Assumes that unloads are done whose time has passed.
+    pub fn assume_unloaded(&mut self, now: Millis) {
+        let engines = self.engines.values();
+        let due = engines.filter(|engine| engine.is_unload_due(now));
+        let due: Vec<Name> = due.map(|engine| engine.id.clone()).collect();
+        for id in &due {
+            self.update(id, Engine::assume_unloaded);
+        }
+    }
+
+    /// Returns an engine.
+    pub fn get(&self, id: &str) -> Option<&Engine> {
+        self.engines.get(id)
+    }
+
+    /// Returns all engines.
+    pub fn iter(&self) -> impl Iterator<Item = &Engine> {
+        self.count_visits(self.engines.values())
+    }
+
+    fn count_visits<'a>(
+        &'a self,
+        engines: impl Iterator<Item = &'a Engine>,
+    ) -> impl Iterator<Item = &'a Engine> {
+        engines.inspect(|_| self.engines_visited.set(self.engines_visited.get() + 1))
+    }
+
+    /// Returns how many engines the iterators of this type have returned: the cost of plans beyond
+    /// what the index answers.
+    pub fn engines_visited(&self) -> u64 {
+        self.engines_visited.get()
+    }
+
+    /// Returns the index of a service; `None` if it has no engines.
+    pub fn service_index(&self, service: &str) -> Option<&ServiceIndex> {
+        self.index.service(service)
+    }
+
+    /// Returns a window of at most `max` consecutive engines, starting at position `from` modulo
+    /// their number.
+    pub fn window(&self, from: u64, max: usize) -> impl Iterator<Item = &Engine> {
+        let count = self.engines.len();
+        let start = (from % count.max(1) as u64) as usize;
+        let places = (start..start + max.min(count)).map(move |at| at % count);
+        self.count_visits(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
+    }
+
+    /// Returns the engines with these names; unknown names are left out.
+    pub fn by_name<'a>(
+        &'a self,
+        ids: impl Iterator<Item = &'a Name>,
+    ) -> impl Iterator<Item = &'a Engine> {
+        self.count_visits(ids.filter_map(|id| self.engines.get(id)))
+    }
+
+    /// Returns engines that have changed recently. All those with adapters that are not ready yet
+    /// are among them.
+    pub fn recently_changed(&self) -> impl Iterator<Item = &Engine> {
+        self.by_name(self.changed.iter())
+    }
+
+    /// Returns the engines on which memory is reserved for a model, with that model.
+    pub fn reservations(&self, now: Millis) -> impl Iterator<Item = (&Engine, &Name)> {
+        let engines = self.reserving.iter().filter_map(|id| self.engines.get(id));
+        engines.filter_map(move |engine| Some((engine, engine.reserved_for(now)?)))
+    }
+
+    /// Returns how many loads from the weight store are running.
+    pub fn store_loads(&self) -> usize {
+        self.index.store_loads()
+    }
+
+    /// Returns the engines that are loading from the weight store.
+    pub fn loading(&self) -> impl Iterator<Item = &Engine> {
+        self.by_name(self.index.loading())
+    }
+
+    /// Updates each running load from the weight store with the number of loads that run at the
+    /// same time.
+    fn update_concurrent_loads(&mut self) {
+        let loads = self.store_loads();
+        for id in self.index.loading() {
+            let Some(engine) = self.engines.get_mut(id) else {
+                continue;
+            };
+            for copy in engine.copies.values_mut() {
+                update_concurrency(copy, loads);
+            }
+        }
+    }
+
+    /// Creates an order for an engine and reserves what it needs. `freed_for` is the model to load
+    /// next into the memory that the order frees.
+    pub fn begin(
+        &mut self,
+        now: Millis,
+        id: &str,
+        action: Action,
+        ask: ModelRef,
+        freed_for: Option<Name>,
+    ) -> Option<Order> {
+        self.update(id, |engine| {
+            let order = engine.order(action, ask);
+            engine.reserved_for = freed_for.map(|model| (model, now + RESERVATION_MS));
+            engine.begin(&order);
+            order
+        })
+    }
+
+    /// Returns the orders to send now, which are new ones and unanswered ones, and marks them as
+    /// being sent.
+    pub fn take_due_orders(&mut self, now: Millis) -> Vec<(Name, Order)> {
+        let mut due = Vec::new();
+        for engine in self.engines.values_mut() {
+            if now < engine.backoff_until {
+                continue;
+            }
+            if let Some(pending) = &mut engine.pending
+                && !pending.is_sending
+            {
+                pending.is_sending = true;
+                due.push((engine.id.clone(), pending.order.clone()));
+            }
+        }
+        due
+    }
+
+    /// Updates an engine from its answer to an order. `load` is the expected time and source of the
+    /// load that the order starts.
+    pub fn record_answer(
+        &mut self,
+        now: Millis,
+        id: &str,
+        order: &Order,
+        answer: OrderAnswer,
+        load: LoadTime,
+    ) {
+        let engine = self.engines.get(id);
+        let is_pending = engine
+            .and_then(|engine| engine.pending.as_ref())
+            .is_some_and(|pending| pending.order == *order);
+        if !is_pending {
+            return;
+        }
+        if answer == OrderAnswer::OtherLifetime {
+            self.remove(id);
+            self.needs_engine_list = true;
+            return;
+        }
+        self.update(id, |engine| {
+            engine.record_answer(now, order, answer, load);
+        });
+        if matches!(answer, OrderAnswer::Accepted | OrderAnswer::AlreadyDone) {
+            self.update_concurrent_loads();
+        }
+    }
+
+    /// Returns the interval at which the report of each engine without a running order is read.
+    fn idle_report_interval(&self) -> Millis {
+        Millis(MIN_REPORT_SPACING_MS.0 * self.engines.len() as u64).max(IDLE_REPORT_INTERVAL_MS)
+    }
+
+    /// Returns the engines whose reports are to be read now: all that have an order whose outcome
+    /// is awaited, and at most `max_idle` others.
+    pub fn due_reports(&mut self, now: Millis, max_idle: usize) -> Vec<Name> {
+        let is_due = |engine: &&Engine| !engine.is_reading_report && now >= engine.next_report_at;
+        let due = self.engines.values().filter(is_due);
+        let (awaited, idle): (Vec<&Engine>, Vec<&Engine>) =
+            due.partition(|engine| engine.awaits_outcome());
+        let due = awaited.into_iter().chain(idle.into_iter().take(max_idle));
+        let due: Vec<Name> = due.map(|engine| engine.id.clone()).collect();
+        for id in &due {
+            if let Some(engine) = self.engines.get_mut(id) {
+                engine.is_reading_report = true;
+            }
+        }
+        due
+    }
+
+    /// Updates an engine from its report; `None` means that the report could not be read. Returns
+    /// the loads that the report shows as finished.
+    pub fn record_report(
+        &mut self,
+        now: Millis,
+        id: &str,
+        report: Option<EngineReport>,
+    ) -> Vec<LoadProgress> {
+        let Some(report) = report else {
+            if let Some(engine) = self.engines.get_mut(id) {
+                engine.record_report_failure(now);
+            }
+            return Vec::new();
+        };
+        let idle_ms = self.idle_report_interval();
+        let loaded = self.update(id, |engine| engine.record_report(now, report, idle_ms));
+        loaded.unwrap_or_default()
+    }
+
+    /// Returns the changes since the last call.
+    pub fn take_changes(&mut self, now: Millis) -> EngineChanges {
+        let mut changes = EngineChanges {
+            views: Vec::new(),
+            gone: std::mem::take(&mut self.gone),
+        };
+        let Self {
+            engines, changed, ..
+        } = self;
+        changed.retain(|id| {
+            let Some(engine) = engines.get(id) else {
+                return false;
+            };
+            if engine.is_known {
+                changes.views.push(engine.view(now));
+            }
+            engine.changes_with_time(now)
+        });
+        changes
+    }
+}
+
+/// Raises the number of concurrent loads of a copy that is loading from the weight store.
+fn update_concurrency(copy: &mut ModelCopy, loads: usize) {
+    if let ModelCopy::Loading {
+        from_store: true,
+        concurrent_loads,
+        ..
+    } = copy
+    {
+        *concurrent_loads = loads.max(*concurrent_loads);
+    }
+}
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -1,109 +1,123 @@
-//! When what callers wait for will be ready.
+//! Predicts when a model or adapter that callers wait for will be ready.
 //!
-//! Answers the pattern of callers that wait for a model which is not ready: those that cannot be served in time are
-//! refused at once and told when to come back, so the time must count the turn at the weight store, loads that slow each
-//! other, and loads that take longer than stated.
+//! Callers that cannot be served in time are refused immediately and told when to retry. The
+//! prediction therefore includes the queue at the weight store, loads that slow each other, and
+//! loads that take longer than stated.
 
 use crate::entry::platform::ModelRef;
-use crate::ordering::census::ServiceCensus;
-use crate::ordering::copy::Copy;
+use crate::ordering::copy::ModelCopy;
 use crate::ordering::engine::Engine;
+use crate::ordering::engine_index::ServiceIndex;
 use crate::ordering::planner::Planner;
 use crate::prelude::*;
 
-/// How long an adapter takes from the wish to the engine's readiness: an order, the fetch, and the word of it.
-const ADAPTER_IN_MS: Millis = Millis(30);
-/// By which part of its time so far a load that is overdue is expected to go on: one that waits for others has no end
-/// that could be told, and callers are told to come back then.
-const OVERDUE_PART: u64 = 4;
-/// When an engine that unloads a model takes orders again: the unload and the report of it.
-const UNLOADED_IN_MS: Millis = Millis(550);
-/// The time of a load from the engine's memory or disk beyond what is stated: the report of its end lags.
+/// The time from the decision to load an adapter until it can run: the order, the fetch and the
+/// notification of hosts.
+const ADAPTER_READY_MS: Millis = Millis(30);
+/// An overdue load is expected to take its time so far divided by this in addition. A load that
+/// waits for others has no predictable end, and callers are told to retry then.
+const OVERDUE_DIVISOR: u64 = 4;
+/// The time until an engine that unloads a model accepts orders again: the unload and its report.
+const UNLOAD_AND_REPORT_MS: Millis = Millis(550);
+/// The time after a load from memory or disk until the report shows its end.
 const REPORT_LAG_MS: Millis = Millis(250);
 
-/// How fast orders take effect.
+/// What the predictions assume about the orderer and the weight store.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    /// How many loads at once the weight store serves at full speed.
+pub struct OrderTiming {
+    /// How many concurrent loads the weight store serves at full speed.
     pub store_loads_at_once: usize,
-    /// How long until orders may be sent: a new orderer waits until its predecessor's last one is long past.
+    /// How long until orders may be sent. A new orderer waits until its predecessor's orders can no
+    /// longer take effect.
     pub orders_in_ms: Millis,
 }
 
-/// The models that callers wait for and no engine holds or is to hold, with how many wait.
-type Row<'a> = IndexMap<&'a Name, u32>;
+/// Models that callers wait for and that no engine holds or will hold, with the number of waiting
+/// requests.
+type LoadQueue<'a> = IndexMap<&'a Name, u32>;
 
 impl Planner<'_> {
-    /// Returns how long until what callers wait for is ready, as far as that can be told.
-    pub fn ready_in_ms(&self, pace: Pace) -> Vec<(ModelRef, Millis)> {
-        let Some(census) = self.ledger.census(self.service) else {
+    /// Returns the expected time until each model or adapter that callers wait for is ready. Those
+    /// without a prediction are left out.
+    pub fn ready_in_ms(&self, timing: OrderTiming) -> Vec<(ModelRef, Millis)> {
+        let Some(index) = self.inventory.service_index(self.service) else {
             return Vec::new();
         };
-        let waited_for = || {
-            let waiting = self.book.iter().filter(|(_, asked)| asked.waiting > 0);
+        let requested = || {
+            let waiting = self.demand.iter().filter(|(_, demand)| demand.waiting > 0);
             waiting.filter(|(ask, _)| self.spec.models.contains_key(&ask.model))
         };
-        let mut row = Row::new();
-        for (ask, asked) in waited_for() {
-            *row.entry(&ask.model).or_default() += asked.waiting;
+        let mut queue = LoadQueue::new();
+        for (ask, demand) in requested() {
+            *queue.entry(&ask.model).or_default() += demand.waiting;
         }
-        row.retain(|model, _| !self.will_be_held(census, model));
-        waited_for()
-            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(census, ask, pace, &row)?)))
+        queue.retain(|model, _| !self.will_be_held(index, model));
+        requested()
+            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(index, ask, timing, &queue)?)))
             .collect()
     }
 
-    /// Tells whether a model is on an engine, on its way, or about to be.
-    fn will_be_held(&self, census: &ServiceCensus, model: &str) -> bool {
-        let mut intending = self.ledger.intending(self.now);
-        self.holders(census, model).next().is_some()
-            || intending.any(|(engine, intended)| self.is_used(engine) && &**intended == model)
+    /// Returns whether a model is on an engine, is being loaded, or has memory reserved.
+    fn will_be_held(&self, index: &ServiceIndex, model: &str) -> bool {
+        let mut reservations = self.inventory.reservations(self.now);
+        self.holders(index, model).next().is_some()
+            || reservations
+                .any(|(engine, reserved_for)| self.is_eligible(engine) && &**reserved_for == model)
     }
 
+    /// Returns how long until a model or adapter is ready; `None` if that is unknown.
     fn ready_in(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         ask: &ModelRef,
-        pace: Pace,
-        row: &Row<'_>,
+        timing: OrderTiming,
+        queue: &LoadQueue<'_>,
     ) -> Option<Millis> {
-        let at_once = pace.store_loads_at_once;
+        let max_store_loads = timing.store_loads_at_once;
         let adapter_ms = match &ask.adapter {
-            Some(_) => ADAPTER_IN_MS.max(pace.orders_in_ms),
+            Some(_) => ADAPTER_READY_MS.max(timing.orders_in_ms),
             None => Millis::ZERO,
         };
         let model_in = |engine: &Engine| match engine.copies.get(&ask.model)? {
-            Copy::Held if engine.is_busy() && ask.adapter.is_some() => {
-                Some(self.free_in(engine, at_once))
+            ModelCopy::Held if engine.is_busy() && ask.adapter.is_some() => {
+                Some(self.free_in_ms(engine, max_store_loads))
             }
-            Copy::Held => Some(Millis::ZERO),
-            copy => self.loaded_in(&ask.model, copy, at_once),
+            ModelCopy::Held => Some(Millis::ZERO),
+            copy => self.remaining_load_ms(&ask.model, copy, max_store_loads),
         };
-        let soonest = self.holders(census, &ask.model).filter_map(model_in).min();
+        let soonest = self.holders(index, &ask.model).filter_map(model_in).min();
         let model_ms = match soonest {
             Some(in_ms) => in_ms,
-            // An engine of which no report was read may hold the model.
-            None if self.has_unknown(census) => return None,
-            None => pace.orders_in_ms + self.load_in(census, &ask.model, at_once, row),
+            // An engine that has not reported yet may hold the model.
+            None if self.has_unreported(index) => return None,
+            None => {
+                timing.orders_in_ms + self.new_load_ms(index, &ask.model, max_store_loads, queue)
+            }
         };
         Some(model_ms + adapter_ms)
     }
 
-    /// Tells whether there are engines of which no report was read.
-    fn has_unknown(&self, census: &ServiceCensus) -> bool {
-        let unused = self.unused_engines().filter(|engine| !engine.is_known);
-        census.unknown() > unused.count()
+    /// Returns whether any engine that is not excluded has not reported yet.
+    fn has_unreported(&self, index: &ServiceIndex) -> bool {
+        let excluded = self.excluded_engines().filter(|engine| !engine.is_known);
+        index.unreported() > excluded.count()
     }
 
-    /// Returns how long until a load under way is done; nothing when the copy is not being loaded, or its order may not
-    /// have taken effect. Loads from the weight store beyond those at full speed slow each other in proportion. One
-    /// that is overdue all the same is taken to need a quarter of its time so far in addition.
-    fn loaded_in(&self, model: &str, copy: &Copy, store_loads_at_once: usize) -> Option<Millis> {
-        let Copy::Loading {
+    /// Returns the remaining time of a load; `None` if the copy is not being loaded or its order
+    /// may not have taken effect. Loads from the weight store beyond the number that it serves at
+    /// full speed slow each other in proportion. A load that is overdue nevertheless is expected to
+    /// take a quarter of its time so far in addition.
+    fn remaining_load_ms(
+        &self,
+        model: &str,
+        copy: &ModelCopy,
+        store_loads_at_once: usize,
+    ) -> Option<Millis> {
+        let ModelCopy::Loading {
             since,
             ready_at,
             from_store,
-            beside,
+            concurrent_loads,
         } = *copy
         else {
             return None;
@@ -111,7 +125,7 @@
         if ready_at == Millis::NEVER {
             return None;
         }
-        let slowed_by = (beside as f64 / store_loads_at_once.max(1) as f64).max(1.0);
+        let slowed_by = (concurrent_loads as f64 / store_loads_at_once.max(1) as f64).max(1.0);
         let stated_ms = self.spec.models.get(model).map(|spec| spec.load_ms);
         let ready_at = match stated_ms {
             Some(stated_ms) if from_store => {
@@ -121,69 +135,73 @@
         };
         let left_ms = match ready_at > self.now {
             true => ready_at - self.now,
-            false => Millis(self.now.since(since).0 / OVERDUE_PART),
+            false => Millis(self.now.since(since).0 / OVERDUE_DIVISOR),
         };
         Some(left_ms + REPORT_LAG_MS)
     }
 
-    /// Returns how long until an engine takes orders again.
-    fn free_in(&self, engine: &Engine, store_loads_at_once: usize) -> Millis {
+    /// Returns how long until an engine accepts orders again.
+    fn free_in_ms(&self, engine: &Engine, store_loads_at_once: usize) -> Millis {
         let ends = engine
             .copies
             .iter()
-            .filter_map(|(model, copy)| self.loaded_in(model, copy, store_loads_at_once));
-        ends.max().unwrap_or(UNLOADED_IN_MS)
+            .filter_map(|(model, copy)| self.remaining_load_ms(model, copy, store_loads_at_once));
+        ends.max().unwrap_or(UNLOAD_AND_REPORT_MS)
     }
 
-    /// Returns how long a load that has not begun will take, with the wait for its turn at the weight store.
-    fn load_in(
+    /// Returns the time until a load that has not started will be done, including the wait at the
+    /// weight store.
+    fn new_load_ms(
         &self,
-        census: &ServiceCensus,
+        index: &ServiceIndex,
         model: &Name,
         store_loads_at_once: usize,
-        row: &Row<'_>,
+        queue: &LoadQueue<'_>,
     ) -> Millis {
         let Some(spec) = self.spec.models.get(model) else {
             return Millis::NEVER;
         };
-        let is_at_hand = self
-            .having_at_hand(census, model)
+        let is_cached = self
+            .engines_caching(index, model)
             .any(|engine| !engine.is_busy());
-        match is_at_hand {
+        match is_cached {
             true => spec.from_disk_ms + REPORT_LAG_MS + REPORT_LAG_MS,
             false => {
-                let turn_ms = self.turn_in(model, spec.load_ms, store_loads_at_once, row);
+                let turn_ms = self.store_wait_ms(model, spec.load_ms, store_loads_at_once, queue);
                 turn_ms + spec.load_ms + REPORT_LAG_MS
             }
         }
     }
 
-    /// Returns how long until a load may begin at the weight store: when one of those under way ends, and after the
-    /// loads of models that more callers wait for.
-    fn turn_in(
+    /// Returns how long until a load may start at the weight store: a running load must end, and
+    /// models with more waiting requests are loaded first.
+    fn store_wait_ms(
         &self,
         model: &Name,
         load_ms: Millis,
         store_loads_at_once: usize,
-        row: &Row<'_>,
+        queue: &LoadQueue<'_>,
     ) -> Millis {
-        let loading = self.ledger.loading();
+        let loading = self.inventory.loading();
         let mut ends: Vec<Millis> = loading
-            .filter(|engine| self.is_used(engine))
+            .filter(|engine| self.is_eligible(engine))
             .flat_map(|engine| engine.copies.iter())
-            .filter(|(_, copy)| copy.is_from_store())
-            .filter_map(|(other, copy)| self.loaded_in(other, copy, store_loads_at_once))
+            .filter(|(_, copy)| copy.is_loading_from_store())
+            .filter_map(|(other, copy)| self.remaining_load_ms(other, copy, store_loads_at_once))
             .collect();
         ends.sort_unstable();
-        let own = row.get(model).copied().unwrap_or_default();
-        let before = row.values().filter(|waiting| **waiting > own).count();
-        let at_once = store_loads_at_once.max(1);
-        let free = at_once.saturating_sub(ends.len());
-        if before < free {
+        let own_waiting = queue.get(model).copied().unwrap_or_default();
+        let ahead = queue
+            .values()
+            .filter(|waiting| **waiting > own_waiting)
+            .count();
+        let max_store_loads = store_loads_at_once.max(1);
+        let free = max_store_loads.saturating_sub(ends.len());
+        if ahead < free {
             return Millis::ZERO;
         }
-        let place = before - free;
+        let position = ahead - free;
         let first_ms = ends.first().copied().unwrap_or(load_ms);
-        first_ms + Millis(load_ms.0 * (place / at_once) as u64)
+        first_ms + Millis(load_ms.0 * (position / max_store_loads) as u64)
     }
 }
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -1,95 +1,101 @@
-//! The last message of each host that speaks with this one.
+//! The last report of each host that reports to this one.
 
 use crate::entry::platform::ModelRef;
-use crate::ordering::demand::AskCount;
+use crate::ordering::demand::RequestCounts;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 
-/// How long a silent host's counts are used: six of the intervals at which hosts speak.
-const HOST_MS: Millis = Millis(1_500);
-/// Most hosts: above the largest site planned for, of which few speak with one host.
+/// How long the counts of a host that stopped reporting are used. This is six times the interval of
+/// the reports.
+const HOST_TIMEOUT_MS: Millis = Millis(1_500);
+/// The most hosts whose reports are kept. It exceeds the size of the largest planned site, of which
+/// only a few hosts report to the same one.
 const MAX_HOSTS: usize = 1_024;
 
-/// What one host tells of its callers and its work.
+/// One host's report of its callers' demand and its request load.
 #[derive(Clone, Debug, Default)]
 pub struct HostReport {
-    /// How many other hosts speak through it.
-    pub through: u32,
-    /// What its callers asked since its last message, and what waits or runs.
-    pub demand: Vec<(ModelRef, AskCount)>,
-    /// Its own work at each engine.
+    /// How many other hosts report through this one, if it is a relay.
+    pub relayed_hosts: u32,
+    /// Requests since the host's last report, and those that wait or are running.
+    pub demand: Vec<(ModelRef, RequestCounts)>,
+    /// The host's own request load on each engine.
     pub work: Vec<(Name, Work)>,
 }
 
-/// What is kept of a host's message.
+/// The parts of a host's last report that are kept.
 #[derive(Clone, Debug, Default)]
-struct Kept {
-    at: Millis,
-    through: u32,
-    /// Requests that wait or run, by what they ask for.
-    present: Vec<(ModelRef, AskCount)>,
+struct KeptReport {
+    received_at: Millis,
+    relayed_hosts: u32,
+    /// Requests that wait or are running, by model and adapter.
+    current: Vec<(ModelRef, RequestCounts)>,
     work: IndexMap<Name, Work>,
 }
 
-/// The last messages by the incarnation of the host.
+/// The last reports, by the incarnation of the host's process.
 #[derive(Clone, Debug, Default)]
 pub struct HostReports {
-    hosts: IndexMap<u64, Kept>,
+    hosts: IndexMap<u64, KeptReport>,
 }
 
 impl HostReports {
-    /// Takes one host's message. Returns false when too many hosts speak with this one.
-    pub fn take(&mut self, now: Millis, host: u64, report: HostReport) -> bool {
+    /// Stores one host's report. Returns false, without storing it, if [`MAX_HOSTS`] other hosts
+    /// report to this one.
+    pub fn record(&mut self, now: Millis, host: u64, report: HostReport) -> bool {
         self.expire(now);
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&host) {
             return false;
         }
-        let is_present = |count: &AskCount| count.waiting > 0 || count.running > 0;
+        let is_current = |count: &RequestCounts| count.waiting > 0 || count.running > 0;
         let demand = report.demand.into_iter();
-        let kept = Kept {
-            at: now,
-            through: report.through,
-            present: demand.filter(|(_, count)| is_present(count)).collect(),
+        let kept = KeptReport {
+            received_at: now,
+            relayed_hosts: report.relayed_hosts,
+            current: demand.filter(|(_, count)| is_current(count)).collect(),
             work: report.work.into_iter().collect(),
         };
         self.hosts.insert(host, kept);
         true
     }
 
-    /// Returns how many hosts were heard of late, those that speak through others included.
-    pub fn heard(&self) -> usize {
-        let through = self.hosts.values().map(|report| report.through as usize);
-        self.hosts.len() + through.sum::<usize>()
+    /// Returns how many hosts reported recently, including those that report through a relay.
+    pub fn live_hosts(&self) -> usize {
+        let relayed = self
+            .hosts
+            .values()
+            .map(|report| report.relayed_hosts as usize);
+        self.hosts.len() + relayed.sum::<usize>()
     }
 
-    /// Forgets hosts that fell silent.
+    /// Drops the reports of hosts that stopped reporting.
     pub fn expire(&mut self, now: Millis) {
         self.hosts
-            .retain(|_, report| now.since(report.at) < HOST_MS);
+            .retain(|_, report| now.since(report.received_at) < HOST_TIMEOUT_MS);
     }
 
-    /// Returns the requests of all hosts that wait or run.
-    pub fn present(&self) -> impl Iterator<Item = &(ModelRef, AskCount)> {
-        self.hosts.values().flat_map(|report| &report.present)
+    /// Returns the requests of all hosts that wait or are running.
+    pub fn current(&self) -> impl Iterator<Item = &(ModelRef, RequestCounts)> {
+        self.hosts.values().flat_map(|report| &report.current)
     }
 
-    /// Adds the work of all hosts but one.
-    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
-        let others = self.hosts.iter().filter(|(host, _)| Some(**host) != but);
+    /// Adds the request load of all hosts to `sum`, except that of host `except`.
+    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+        let others = self.hosts.iter().filter(|(host, _)| Some(**host) != except);
         for (upstream, work) in others.flat_map(|(_, report)| &report.work) {
             *sum.entry(upstream.clone()).or_default() += *work;
         }
     }
 
-    /// Returns how many requests of all hosts run at an engine.
+    /// Returns how many requests of all hosts are running on an engine.
     pub fn running_at(&self, engine: &str) -> u32 {
         let reports = self.hosts.values();
         let at_engine = reports.filter_map(|report| report.work.get(engine));
         at_engine.map(|work| work.running).sum()
     }
 
-    /// Returns how many hosts spoke with this one of late.
-    pub fn count(&self) -> usize {
+    /// Returns how many hosts reported recently to this host directly.
+    pub fn reporting_hosts(&self) -> usize {
         self.hosts.len()
     }
 }
--- a/src/ordering/mod.rs
+++ b/src/ordering/mod.rs
@@ -1,29 +1,37 @@
-//! Which engine holds which model: one host at a time orders loads and unloads, the others tell it what callers ask.
+//! Decides which engine holds which model.
 //!
-//! Everything here decides without network: [`lease`] who may order, [`ledger`] what engines hold and what is on
-//! its way, [`census`] how many of them hold what, [`ceiling`] how many loads the weight store gets, [`planner`] what to
-//! order next, [`adapters`] also of adapters, [`estimates`] when what callers wait for is ready, [`gather`] and [`published`] what
-//! goes up to the orderer and down from it.
+//! One host at a time, the orderer, plans loads and unloads and sends them to the engines as
+//! orders. It holds a lease that the other hosts observe. All other hosts report the demand of
+//! their callers to the orderer, directly or through a relay, and receive the state of the engines
+//! in return. A copy is one model on one engine.
+//!
+//! Nothing in this module does any network I/O. [`lease`] decides who may send orders.
+//! [`engine_inventory`] tracks what each engine holds, is loading or unloading; [`engine_index`]
+//! counts it per model. [`store_load_limiter`] limits loads from the weight store. [`planner`]
+//! chooses the next order for a model, [`adapters`] for an adapter. [`estimates`] predicts when a
+//! model that callers wait for is ready. [`demand`], [`host_reports`], [`relay_aggregate`] and
+//! [`demand_totals`] add up what hosts report to the orderer; [`published`] and
+//! [`cached_orderer_state`] carry the state of the engines back to the hosts.
 
 pub mod adapters;
-pub mod book;
+pub mod cached_orderer_state;
 mod candidates;
-pub mod ceiling;
-pub mod census;
 pub mod copy;
 pub mod demand;
+pub mod demand_totals;
 pub mod engine;
+pub mod engine_index;
+pub mod engine_inventory;
 mod engine_orders;
 pub mod estimates;
-pub mod gather;
+mod free_memory;
 pub mod host_reports;
 pub mod lease;
-pub mod ledger;
 pub mod message;
 pub mod planner;
 pub mod published;
-mod spare;
-pub mod view;
+pub mod relay_aggregate;
+pub mod store_load_limiter;
 
 #[cfg(test)]
 mod tests;
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -1,86 +1,92 @@
-//! What engines hold, as it is passed from the orderer to every host: only what changed since the receiver's version.
+//! The engines' state as the orderer publishes it to all hosts, with only the changes since the
+//! version that a host has.
 //!
-//! Answers the pattern of some hundred engines with a dozen models and adapters each, of which a few change a second,
-//! and hundreds of hosts that are to know it within half a second. The whole takes some 30 KB: told each time, it
-//! filled a link of 20 Mbit/s at the orderer of 195 hosts; the changes take a few hundred bytes.
+//! A site may have some hundred engines, each with a dozen models and adapters, of which a few
+//! change per second, and hundreds of hosts that need the changes within half a second. The full
+//! state is about 30 KB. If each message contained it, it would fill a link of 20 Mbit/s at the
+//! orderer of 195 hosts; the changes are a few hundred bytes.
 
 use crate::entry::platform::ModelRef;
-use crate::ordering::ledger::EngineChanges;
+use crate::ordering::engine_inventory::EngineChanges;
 use crate::prelude::*;
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
-/// Most engines that are gone and remembered for hosts that may still know them; a host that knows an older version gets
-/// the whole.
-const MAX_GONE: usize = 256;
+/// The most removed engines that are remembered, so that hosts which still know them are told. A
+/// host with an older version receives the full state.
+const MAX_REMOVED: usize = 256;
 
 /// What one engine holds, as the orderer knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineView {
-    /// The start of the engine that this is known of.
+    /// The start of the engine that `held` belongs to.
     pub engine: Lifetime,
-    /// What it holds: models by themselves, and adapters.
+    /// The models, each without an adapter, and the adapters that the engine holds.
     pub held: Vec<ModelRef>,
 }
 
-/// The fence of the orderer, and its count of changes.
+/// The version of the engines' state: the fencing token of the orderer, and its number of changes.
 pub type EnginesVersion = (u64, u64);
 
-/// What a host with an older version is told.
+/// An update of the engines' state for a host with an older version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EnginesNews {
-    /// The version that it has then.
+pub struct EnginesUpdate {
+    /// The version that the host has after the update.
     pub version: EnginesVersion,
-    /// Whether this is all; else what changed.
+    /// Whether `engines` is the full state; otherwise only the changes.
     pub is_whole: bool,
-    /// Engines that hold other things than before.
+    /// The engines whose state changed; all engines if the update is the full state.
     pub engines: Vec<EngineView>,
-    /// Engines that are gone.
+    /// The engines that were removed.
     pub gone: Vec<Lifetime>,
 }
 
 #[derive(Clone, Debug)]
-struct Published {
+struct PublishedEngine {
     changed_at: u64,
     held: IndexSet<ModelRef>,
 }
 
-impl Published {
-    fn is(&self, held: &[ModelRef]) -> bool {
+impl PublishedEngine {
+    fn holds_exactly(&self, held: &[ModelRef]) -> bool {
         held.len() == self.held.len() && held.iter().all(|ask| self.held.contains(ask))
     }
 }
 
-/// What the engines hold, with the version of each one's last change.
+/// The engines' state, with the version of each engine's last change. The orderer builds it with
+/// [`PublishedEngines::update`], other hosts with [`PublishedEngines::apply`].
 #[derive(Clone, Debug, Default)]
 pub struct PublishedEngines {
     version: EnginesVersion,
-    engines: IndexMap<Lifetime, Published>,
-    gone: VecDeque<(u64, Lifetime)>,
-    /// From this version on every change is known.
+    engines: IndexMap<Lifetime, PublishedEngine>,
+    /// The engines that were removed, with the version of the removal, oldest first.
+    removed: VecDeque<(u64, Lifetime)>,
+    /// From this version on, all changes are known.
     complete_from: u64,
 }
 
 impl PublishedEngines {
-    /// Returns the version.
+    /// Returns the current version.
     pub fn version(&self) -> EnginesVersion {
         self.version
     }
 
-    /// Returns what an engine holds; nothing when this start of it is not known.
+    /// Returns what an engine holds; `None` if this start of it is not known.
     pub fn held(&self, engine: &Lifetime) -> Option<&IndexSet<ModelRef>> {
         Some(&self.engines.get(engine)?.held)
     }
 
-    /// Returns the engines that hold a model or adapter, of those that are told of.
+    /// Returns the engines that hold a model or adapter, among those whose state is published.
     pub fn holders<'a>(&'a self, ask: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
         let holding = self.engines.iter();
         let holding = holding.filter(|(_, published)| published.held.contains(ask));
         holding.map(|(engine, _)| engine)
     }
 
-    /// Takes what changed on the engines, at the orderer with this fence. An engine that its entry in the list of upstreams
-    /// describes is not told of, until it was told of once: every host has the entry.
+    /// Adds the orderer's changes to the published state. `fence` is the fencing token of the
+    /// orderer; a new one starts from an empty state. An engine whose state is as in its entry in
+    /// the list of upstreams is left out until it was published once, because every host has the
+    /// list.
     pub fn update(
         &mut self,
         fence: u64,
@@ -97,17 +103,17 @@
         let mut is_changed = false;
         for engine in &changes.gone {
             if self.engines.contains_key(engine) {
-                self.note_gone(next, engine);
+                self.record_removed(next, engine);
                 is_changed = true;
             }
         }
         for view in changes.views {
             let is_new = match self.engines.get(&view.engine) {
-                Some(known) => !known.is(&view.held),
+                Some(known) => !known.holds_exactly(&view.held),
                 None => !is_as_listed(&view),
             };
             if is_new {
-                let published = Published {
+                let published = PublishedEngine {
                     changed_at: next,
                     held: view.held.into_iter().collect(),
                 };
@@ -120,32 +126,36 @@
         }
     }
 
-    fn note_gone(&mut self, version: u64, engine: &Lifetime) {
+    fn record_removed(&mut self, version: u64, engine: &Lifetime) {
         self.engines.swap_remove(engine);
-        self.gone.push_back((version, engine.clone()));
-        if self.gone.len() > MAX_GONE
-            && let Some((version, _)) = self.gone.pop_front()
+        self.removed.push_back((version, engine.clone()));
+        if self.removed.len() > MAX_REMOVED
+            && let Some((version, _)) = self.removed.pop_front()
         {
             self.complete_from = self.complete_from.max(version);
         }
     }
 
-    /// Returns what a host with a version is told: nothing new when it knows as much.
-    pub fn since(&self, known: EnginesVersion) -> EnginesNews {
+    /// Returns the update for a host that has version `known`; an empty one if that is not older
+    /// than this version.
+    pub fn since(&self, known: EnginesVersion) -> EnginesUpdate {
         if known >= self.version {
-            return EnginesNews {
+            return EnginesUpdate {
                 version: known,
-                ..EnginesNews::default()
+                ..EnginesUpdate::default()
             };
         }
         let is_whole = known.0 != self.version.0 || known.1 < self.complete_from;
-        let is_news = |at: u64| is_whole || at > known.1;
+        let is_newer = |at: u64| is_whole || at > known.1;
         let changed = self
             .engines
             .iter()
-            .filter(|(_, engine)| is_news(engine.changed_at));
-        let gone = self.gone.iter().filter(|(at, _)| !is_whole && is_news(*at));
-        EnginesNews {
+            .filter(|(_, engine)| is_newer(engine.changed_at));
+        let removed = self
+            .removed
+            .iter()
+            .filter(|(at, _)| !is_whole && is_newer(*at));
+        EnginesUpdate {
             version: self.version,
             is_whole,
             engines: changed
@@ -154,35 +164,36 @@
                     held: published.held.iter().cloned().collect(),
                 })
                 .collect(),
-            gone: gone.map(|(_, engine)| engine.clone()).collect(),
+            gone: removed.map(|(_, engine)| engine.clone()).collect(),
         }
     }
 
-    /// Takes another host's news. Older ones than what is known change nothing.
-    pub fn apply(&mut self, news: EnginesNews) {
-        if news.version <= self.version {
+    /// Applies an update from the orderer or a relay. One that is not newer than the own version is
+    /// ignored.
+    pub fn apply(&mut self, update: EnginesUpdate) {
+        if update.version <= self.version {
             return;
         }
-        let version = news.version.1;
-        if news.is_whole {
+        let version = update.version.1;
+        if update.is_whole {
             *self = Self {
-                version: news.version,
+                version: update.version,
                 complete_from: version,
                 ..Self::default()
             };
-        } else if news.version.0 != self.version.0 {
+        } else if update.version.0 != self.version.0 {
             return;
         }
-        for engine in &news.gone {
-            self.note_gone(version, engine);
+        for engine in &update.gone {
+            self.record_removed(version, engine);
         }
-        for EngineView { engine, held } in news.engines {
-            let published = Published {
+        for EngineView { engine, held } in update.engines {
+            let published = PublishedEngine {
                 changed_at: version,
                 held: held.into_iter().collect(),
             };
             self.engines.insert(engine, published);
         }
-        self.version = news.version;
+        self.version = update.version;
     }
 }
--- /dev/null
+++ b/src/ordering/relay_aggregate.rs
@@ -0,0 +1,57 @@
+//! Aggregates, on a relay, the reports of the hosts that it relays for.
+
+use crate::entry::platform::ModelRef;
+use crate::ordering::demand::{MAX_COUNTED_MODELS, RequestCounts};
+use crate::ordering::host_reports::{HostReport, HostReports};
+use crate::prelude::*;
+use crate::routing::pick::Work;
+
+/// The demand and the request load of the hosts that report through one relay.
+#[derive(Clone, Debug, Default)]
+pub struct RelayAggregate {
+    /// Requests since the relay's last message to the orderer.
+    counts: IndexMap<ModelRef, RequestCounts>,
+    hosts: HostReports,
+}
+
+impl RelayAggregate {
+    /// Adds one host's report. `host` is the incarnation of its process.
+    pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
+        for (ask, count) in &report.demand {
+            if self.counts.len() < MAX_COUNTED_MODELS || self.counts.contains_key(ask) {
+                let sum = self.counts.entry(ask.clone()).or_default();
+                sum.add_arrivals(count);
+            }
+        }
+        self.hosts.record(now, host, report);
+    }
+
+    /// Returns the demand of the hosts together with the relay's own, and starts the next interval.
+    pub fn take_demand(
+        &mut self,
+        now: Millis,
+        own: Vec<(ModelRef, RequestCounts)>,
+    ) -> Vec<(ModelRef, RequestCounts)> {
+        self.hosts.expire(now);
+        let mut sum = std::mem::take(&mut self.counts);
+        for (ask, count) in own {
+            let entry = sum.entry(ask).or_default();
+            entry.add_arrivals(&count);
+            entry.add_current(&count);
+        }
+        for (ask, count) in self.hosts.current() {
+            sum.entry(ask.clone()).or_default().add_current(count);
+        }
+        sum.into_iter().collect()
+    }
+
+    /// Returns how many hosts reported recently through this relay.
+    pub fn relayed_hosts(&self) -> usize {
+        self.hosts.live_hosts()
+    }
+
+    /// Adds the request load of all hosts to `sum`, except that of host `except`.
+    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+        self.hosts.add_work(except, sum);
+    }
+}
--- a/src/ordering/tests.rs
+++ b/src/ordering/tests.rs
@@ -1,10 +1,10 @@
-//! The lease, the ledger, the ceiling and the plan, without network.
+//! Tests of the ordering decisions, which need no network.
 
-mod ceiling;
+mod cached_orderer_state;
+mod engine_inventory;
 mod fake_engine;
-mod gather;
 mod lease;
-mod ledger;
 mod planner;
 mod published;
-mod view;
+mod relay_aggregate;
+mod store_load_limiter;
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -1,20 +1,20 @@
-//! Which adapters are brought to which engine, and which make way.
+//! Tests which adapters are loaded on which engine, and which are unloaded.
 
 use super::*;
 
 #[test]
-fn an_adapter_goes_to_an_engine_with_its_model_and_the_oldest_makes_way() {
+fn an_adapter_is_loaded_beside_its_model_and_replaces_the_least_recently_requested() {
     let mut site = Site::new(spec(200.0, &[50.0]), &[&["m0"]]);
     for (n, name) in ["a0", "a1", "a2"].iter().enumerate() {
         let at = NOW - Millis(9_000) + Millis(n as u64 * 1_000);
-        site.ask(1, at, &[(adapter("m0", name), waiting(1))]);
+        site.request(1, at, &[(adapter("m0", name), waiting(1))]);
         let planned = site.next(NOW).expect("a plan");
         assert_eq!(planned.ask, adapter("m0", name));
         let order = site
-            .ledger
+            .inventory
             .begin(NOW, &planned.engine, planned.action, planned.ask, None);
         let order = order.expect("a known engine");
-        site.ledger.take_answer(
+        site.inventory.record_answer(
             NOW,
             "e0",
             &order,
@@ -22,7 +22,7 @@
             LoadTime::default(),
         );
     }
-    site.ask(1, NOW, &[(adapter("m0", "a3"), waiting(1))]);
+    site.request(1, NOW, &[(adapter("m0", "a3"), waiting(1))]);
     let planned = site.next(NOW).expect("a plan");
     assert_eq!(
         (planned.action, planned.ask),
@@ -30,61 +30,68 @@
     );
 }
 
-/// Answers the pattern of an orderer that is lost for some seconds while callers ask for one adapter after the other.
+/// While the orderer is lost for some seconds, callers may request one adapter after the other.
 #[test]
-fn adapters_are_brought_before_anyone_asks_as_long_as_places_are_free() {
+fn adapters_are_prefetched_into_free_slots() {
     let mut spec = spec(80_000.0, &[30_000.0, 30_000.0]);
     for (model, count) in [("m0", 5), ("m1", 2)] {
         let names = (1..=count).map(|n| Name::from(format!("a{n}")));
         spec.models[model].adapters = names.collect();
     }
     let mut site = Site::new(spec, &[&["m0"], &["m0"], &["m1"]]);
-    let asked = AskCount {
+    let count = RequestCounts {
         asked: 1,
-        ..AskCount::default()
+        ..RequestCounts::default()
     };
-    site.ask(1, NOW, &[(adapter("m0", "a4"), asked)]);
+    site.request(1, NOW, &[(adapter("m0", "a4"), count)]);
     let first = site.next(NOW).expect("an order");
     assert_eq!(first.ask, adapter("m0", "a4"));
-    let mut brought = IndexSet::new();
+    let mut loaded = IndexSet::new();
     for step in 0..40 {
         let now = NOW + Millis(20 * step);
         while let Some(planned) = site.next(now) {
-            assert_eq!(planned.action, Action::Load, "nothing makes way for it");
-            let Planned { engine, ask, .. } = planned;
+            assert_eq!(
+                planned.action,
+                Action::Load,
+                "nothing is unloaded for a prefetch"
+            );
+            let PlannedOrder { engine, ask, .. } = planned;
             let order = site
-                .ledger
+                .inventory
                 .begin(now, &engine, Action::Load, ask.clone(), None);
             let order = order.expect("a known engine");
-            site.ledger.due(now);
+            site.inventory.take_due_orders(now);
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
-            site.ledger.take_answer(now, &engine, &order, answer, load);
-            assert!(brought.insert(ask), "an adapter is brought once");
+            site.inventory
+                .record_answer(now, &engine, &order, answer, load);
+            assert!(loaded.insert(ask), "each adapter is loaded once");
         }
     }
-    // Three places an engine, one of them kept free: four of the five of m0, both of m1.
-    assert_eq!(brought.len(), 6);
-    for engine in site.ledger.iter() {
+    // Each engine has three slots, of which one stays free: four of the five adapters of m0 and
+    // both of m1 are loaded.
+    assert_eq!(loaded.len(), 6);
+    for engine in site.inventory.iter() {
         assert!(engine.adapters.len() <= 2);
     }
 }
 
-/// Guards against an adapter that counts as brought because an engine which leaves has it.
+/// Regression test: an adapter counted as available because an engine that is leaving holds it.
 #[test]
-fn an_adapter_on_a_leaving_engine_alone_is_brought_to_another() {
+fn an_adapter_that_only_a_leaving_engine_holds_is_loaded_on_another() {
     let mut site = Site::new(spec(200.0, &[50.0]), &[&["m0"], &["m0"]]);
-    let asked = adapter("m0", "a0");
+    let requested = adapter("m0", "a0");
     let order = site
-        .ledger
-        .begin(NOW, "e0", Action::Load, asked.clone(), None);
+        .inventory
+        .begin(NOW, "e0", Action::Load, requested.clone(), None);
     let order = order.expect("a known engine");
     let (answer, load) = (OrderAnswer::Accepted, LoadTime::default());
-    site.ledger.take_answer(NOW, "e0", &order, answer, load);
-    site.ask(1, NOW, &[(asked.clone(), waiting(1))]);
-    assert_eq!(site.next(NOW), None, "it is there");
+    site.inventory
+        .record_answer(NOW, "e0", &order, answer, load);
+    site.request(1, NOW, &[(requested.clone(), waiting(1))]);
+    assert_eq!(site.next(NOW), None, "the adapter is available");
     let leaving = IndexSet::from([Name::from("e0")]);
-    let planner = planner(NOW, &site.spec, &site.ledger, &site.book, &leaving);
-    let planned = planner.next(&mut site.ceiling).expect("callers wait");
-    assert_eq!((planned.ask, &*planned.engine), (asked, "e1"));
+    let planner = planner(NOW, &site.spec, &site.inventory, &site.demand, &leaving);
+    let planned = planner.next(&mut site.limiter).expect("callers wait");
+    assert_eq!((planned.ask, &*planned.engine), (requested, "e1"));
 }
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -1,29 +1,29 @@
-//! What is loaded for which demand.
+//! Tests of the planner and its estimates.
 
 mod adapters;
 mod copies;
 mod memory;
 mod waits;
 
-use super::fake_engine::{only_start, spec};
+use super::fake_engine::{spec, unknown_start};
 use crate::desired::EngineSpec;
 use crate::entry::platform::ModelRef;
-use crate::ordering::book::Book;
-use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::LoadTime;
-use crate::ordering::demand::AskCount;
-use crate::ordering::estimates::Pace;
+use crate::ordering::demand::RequestCounts;
+use crate::ordering::demand_totals::DemandTotals;
+use crate::ordering::engine_inventory::EngineInventory;
+use crate::ordering::estimates::OrderTiming;
 use crate::ordering::host_reports::HostReport;
-use crate::ordering::ledger::Ledger;
 use crate::ordering::message::{Action, EngineReport, OrderAnswer};
-use crate::ordering::planner::{Planned, Planner, load_time};
+use crate::ordering::planner::{PlannedOrder, Planner, load_time};
+use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use crate::upstreams::HeldModel;
 
 const NOW: Millis = Millis(1_000_000);
-/// An orderer that may order, before a weight store that serves one load at a time.
-const PACE: Pace = Pace {
+/// An orderer that may send orders, and a weight store that serves one load at a time.
+const TIMING: OrderTiming = OrderTiming {
     store_loads_at_once: 1,
     orders_in_ms: Millis::ZERO,
 };
@@ -42,21 +42,21 @@
     }
 }
 
-/// A site of engines `e0`, `e1` and so on that hold these models.
+/// A site of engines `e0`, `e1` and so on that hold the given models.
 struct Site {
     spec: EngineSpec,
-    ledger: Ledger,
-    book: Book,
-    ceiling: Ceiling,
+    inventory: EngineInventory,
+    demand: DemandTotals,
+    limiter: StoreLoadLimiter,
 }
 
 impl Site {
     fn new(spec: EngineSpec, engines: &[&[&str]]) -> Self {
-        let mut ledger = Ledger::default();
+        let mut inventory = EngineInventory::default();
         let id = |n: usize| Name::from(format!("e{n}"));
-        ledger.take_engines(
+        inventory.set_engines(
             NOW,
-            (0..engines.len()).map(|n| (only_start(id(n)), Name::from("s"))),
+            (0..engines.len()).map(|n| (unknown_start(id(n)), Name::from("s"))),
         );
         for (n, models) in engines.iter().enumerate() {
             let held = |name: &&str| HeldModel {
@@ -67,31 +67,31 @@
                 models: models.iter().map(held).collect(),
                 ..EngineReport::default()
             };
-            ledger.take_report(NOW, &id(n), Some(report));
+            inventory.record_report(NOW, &id(n), Some(report));
         }
         Self {
             spec,
-            ledger,
-            book: Book::default(),
-            ceiling: Ceiling::new(Millis(0), None),
+            inventory,
+            demand: DemandTotals::default(),
+            limiter: StoreLoadLimiter::new(Millis(0), None),
         }
     }
 
-    /// Lets an engine that holds nothing report that it has a model's weights on its disk.
-    fn has_at_hand(&mut self, engine: usize, model: &str) {
+    /// Reports for an engine without models that it caches a model's weights on disk.
+    fn set_cached(&mut self, engine: usize, model: &str) {
         let report = EngineReport {
             at_hand: Some(vec![model.into()]),
             ..EngineReport::default()
         };
         let id = Name::from(format!("e{engine}"));
-        self.ledger.take_report(NOW, &id, Some(report));
+        self.inventory.record_report(NOW, &id, Some(report));
     }
 
-    fn tell(
+    fn report(
         &mut self,
         host: u64,
         at: Millis,
-        demand: Vec<(ModelRef, AskCount)>,
+        demand: Vec<(ModelRef, RequestCounts)>,
         work: Vec<(Name, Work)>,
     ) {
         let report = HostReport {
@@ -99,48 +99,49 @@
             work,
             ..HostReport::default()
         };
-        self.book.take(at, host, report);
+        self.demand.record(at, host, report);
     }
 
-    fn ask(&mut self, host: u64, at: Millis, asks: &[(ModelRef, AskCount)]) {
-        self.tell(host, at, asks.to_vec(), Vec::new());
+    fn request(&mut self, host: u64, at: Millis, asks: &[(ModelRef, RequestCounts)]) {
+        self.report(host, at, asks.to_vec(), Vec::new());
     }
 
-    fn next(&mut self, now: Millis) -> Option<Planned> {
-        let unusable = IndexSet::new();
-        let planner = planner(now, &self.spec, &self.ledger, &self.book, &unusable);
-        planner.next(&mut self.ceiling)
+    fn next(&mut self, now: Millis) -> Option<PlannedOrder> {
+        let excluded = IndexSet::new();
+        let planner = planner(now, &self.spec, &self.inventory, &self.demand, &excluded);
+        planner.next(&mut self.limiter)
     }
 
-    fn ready_in_ms(&self, now: Millis, pace: Pace) -> Vec<(ModelRef, Millis)> {
-        let unusable = IndexSet::new();
-        planner(now, &self.spec, &self.ledger, &self.book, &unusable).ready_in_ms(pace)
+    fn ready_in_ms(&self, now: Millis, timing: OrderTiming) -> Vec<(ModelRef, Millis)> {
+        let excluded = IndexSet::new();
+        planner(now, &self.spec, &self.inventory, &self.demand, &excluded).ready_in_ms(timing)
     }
 
-    /// Carries out what is planned until nothing is, with engines that accept every order and have not finished.
-    fn plan_all(&mut self) -> Vec<Planned> {
+    /// Sends planned orders until there are none. The engines accept every order and do not finish
+    /// any.
+    fn plan_all(&mut self) -> Vec<PlannedOrder> {
         let mut all = Vec::new();
         while let Some(planned) = self.next(NOW) {
-            let Planned {
+            let PlannedOrder {
                 engine,
                 action,
                 ask,
-                makes_way_for,
+                freed_for,
                 ..
             } = planned.clone();
             let order = self
-                .ledger
-                .begin(NOW, &engine, action, ask, makes_way_for)
+                .inventory
+                .begin(NOW, &engine, action, ask, freed_for)
                 .expect("a known engine");
-            self.ledger.due(NOW);
+            self.inventory.take_due_orders(NOW);
             let load = LoadTime {
                 takes_ms: Millis(6_000),
                 from_store: true,
             };
-            self.ledger
-                .take_answer(NOW, &engine, &order, OrderAnswer::Accepted, load);
+            self.inventory
+                .record_answer(NOW, &engine, &order, OrderAnswer::Accepted, load);
             all.push(planned);
-            assert!(all.len() < 100, "the plan does not end");
+            assert!(all.len() < 100, "the planner did not stop");
         }
         all
     }
@@ -149,22 +150,22 @@
 fn planner<'a>(
     now: Millis,
     spec: &'a EngineSpec,
-    ledger: &'a Ledger,
-    book: &'a Book,
-    unusable: &'a IndexSet<Name>,
+    inventory: &'a EngineInventory,
+    demand: &'a DemandTotals,
+    excluded: &'a IndexSet<Name>,
 ) -> Planner<'a> {
     Planner {
         now,
         service: "s",
         spec,
-        ledger,
-        book,
-        unusable,
+        inventory,
+        demand,
+        excluded,
     }
 }
 
-fn waiting(requests: u32) -> AskCount {
-    AskCount {
+fn waiting(requests: u32) -> RequestCounts {
+    RequestCounts {
         asked: requests,
         long: 0,
         waiting: requests,
--- a/src/ordering/tests/gather.rs
+++ b/src/ordering/tests/relay_aggregate.rs
@@ -1,22 +1,23 @@
-//! The orderer hears the same through a relay as from each host itself.
+//! A relay passes on the same demand and request load as its hosts would report to the orderer
+//! directly.
 
 use crate::entry::platform::ModelRef;
-use crate::ordering::demand::AskCount;
-use crate::ordering::gather::Gather;
+use crate::ordering::demand::RequestCounts;
 use crate::ordering::host_reports::HostReport;
+use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
 use crate::routing::pick::Work;
 use crate::test_support::seeded;
 use arbtest::arbitrary::{Result, Unstructured};
 
-fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelRef, AskCount)>> {
-    let mut demand: IndexMap<ModelRef, AskCount> = IndexMap::new();
+fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelRef, RequestCounts)>> {
+    let mut demand: IndexMap<ModelRef, RequestCounts> = IndexMap::new();
     for _ in 0..u.int_in_range(0..=4u8)? {
         let ask = ModelRef {
             model: format!("m{}", u.int_in_range(0..=3u8)?).into(),
             adapter: None,
         };
-        let count = AskCount {
+        let count = RequestCounts {
             asked: u.int_in_range(0..=9u32)?,
             long: 1,
             waiting: u.int_in_range(0..=2u32)?,
@@ -28,16 +29,16 @@
     Ok(demand.into_iter().collect())
 }
 
-fn sum_of(demands: &[Vec<(ModelRef, AskCount)>], of: impl Fn(&AskCount) -> u64) -> u64 {
+fn sum_of(demands: &[Vec<(ModelRef, RequestCounts)>], of: impl Fn(&RequestCounts) -> u64) -> u64 {
     demands.iter().flatten().map(|(_, count)| of(count)).sum()
 }
 
 #[test]
-fn no_request_is_lost_or_counted_twice_on_the_way_through_a_relay() {
+fn no_request_is_lost_or_counted_twice_by_a_relay() {
     seeded(200, |u| {
-        let mut relay = Gather::default();
-        let (mut given, mut told) = (Vec::new(), Vec::new());
-        let mut newest: IndexMap<u64, Vec<(ModelRef, AskCount)>> = IndexMap::new();
+        let mut relay = RelayAggregate::default();
+        let (mut reported, mut passed_on) = (Vec::new(), Vec::new());
+        let mut newest: IndexMap<u64, Vec<(ModelRef, RequestCounts)>> = IndexMap::new();
         let mut now = Millis(1_000);
         for _ in 0..30 {
             now += Millis(u.int_in_range(0..=40u64)?);
@@ -49,38 +50,39 @@
                     ..HostReport::default()
                 };
                 relay.take(now, host, report);
-                given.push(demand.clone());
+                reported.push(demand.clone());
                 newest.insert(host, demand);
             } else {
                 let own = demand(u)?;
-                given.push(own.clone());
+                reported.push(own.clone());
                 let sum = relay.take_demand(now, own.clone());
                 let mut present: Vec<_> = newest.values().cloned().collect();
                 present.push(own);
-                let now_present = |count: &AskCount| u64::from(count.waiting * 100 + count.running);
+                let now_present =
+                    |count: &RequestCounts| u64::from(count.waiting * 100 + count.running);
                 assert_eq!(
                     sum_of(std::slice::from_ref(&sum), now_present),
                     sum_of(&present, now_present),
                     "what waits and runs is that of each host's last message"
                 );
-                told.push(sum);
+                passed_on.push(sum);
             }
         }
-        told.push(relay.take_demand(now, Vec::new()));
+        passed_on.push(relay.take_demand(now, Vec::new()));
         for of in [
-            |count: &AskCount| u64::from(count.asked),
-            |count: &AskCount| u64::from(count.long),
-            |count: &AskCount| count.tokens,
+            |count: &RequestCounts| u64::from(count.asked),
+            |count: &RequestCounts| u64::from(count.long),
+            |count: &RequestCounts| count.tokens,
         ] {
-            assert_eq!(sum_of(&told, of), sum_of(&given, of));
+            assert_eq!(sum_of(&passed_on, of), sum_of(&reported, of));
         }
         Ok(())
     });
 }
 
 #[test]
-fn a_host_is_told_the_work_of_the_others_only_and_a_silent_one_counts_no_more() {
-    let mut relay = Gather::default();
+fn request_load_excludes_the_asking_host_and_hosts_that_stopped_reporting() {
+    let mut relay = RelayAggregate::default();
     let work = |running| {
         let work = Work {
             running,
@@ -93,7 +95,7 @@
     };
     relay.take(Millis(1_000), 1, work(3));
     relay.take(Millis(1_000), 2, work(4));
-    let running = |relay: &Gather, but| {
+    let running = |relay: &RelayAggregate, but| {
         let mut sum = IndexMap::new();
         relay.add_work(but, &mut sum);
         sum.get("e").map_or(0, |work: &Work| work.running)
