--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -117,7 +117,8 @@
     view: &CachedOrdererState,
     now: Millis,
     upstream: &Upstream,
-    model: &ModelRef) -> bool {
+    model: &ModelRef,
+) -> bool {
     let id = &upstream.entry.id;
     if view.is_lacking(now, id, model) {
         return false;
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -445,7 +445,8 @@
     spec: &EngineSpec,
     inventory: &EngineInventory,
     engine: &str,
-    ask: &ModelRef) -> LoadTime {
+    ask: &ModelRef,
+) -> LoadTime {
     let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
         return LoadTime::default();
     };
