--- a/src/entry/desired_copy.rs
+++ b/src/entry/desired_copy.rs
@@ -1,32 +1,35 @@
-//! The newest desired state for a host that is behind: from a relay instead of the platform's store.
+//! The newest desired state, fetched by a host that is behind from a relay instead of the
+//! platform's store.
 //!
-//! Answers the pattern of desired states in quick succession before hundreds of hosts: were each to read every version from the
-//! store, its calls and bytes would grow with hosts times versions, and a host that the store turns away would go by an old one.
+//! Desired states can follow each other quickly before hundreds of hosts. If each host read every
+//! version from the store, its calls and bytes would grow with hosts times versions, and a host
+//! that the store refuses would go on serving by an old version.
 
 use crate::desired::DesiredState;
 use crate::entry::host::Host;
 use crate::entry::platform::{Platform, Table};
-use crate::entry::sources::{Sources, is_source};
+use crate::entry::sources::{Sources, serves_tables};
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
 
-/// A desired state, and from where the table is to be followed after it.
+/// A desired state, and where the table is to be followed after it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DesiredCopy {
-    /// The newest state.
+    /// The newest desired state that the relay has.
     pub state: Arc<DesiredState>,
     /// The offset after the last record that the relay had read.
     pub end: Offset,
-    /// How old that is at most.
+    /// How old the relay's knowledge of the end is at most.
     pub age_ms: Millis,
 }
 
-/// Answers a host that is behind; nothing when this host relays for no others, or has read no state since it does.
+/// Answers a host that is behind. Returns nothing when this host neither orders nor relays, or has
+/// read no desired state since it does.
 pub fn answer<P: Platform>(host: &Host<P>) -> Option<DesiredCopy> {
-    if !is_source(host) {
+    if !serves_tables(host) {
         return None;
     }
-    let state = host.followed.kept_desired()?;
+    let state = host.followed.shared_desired()?;
     let table = host.followed.end(host.now(), Table::Desired)?;
     Some(DesiredCopy {
         state,
@@ -35,8 +38,8 @@
     })
 }
 
-/// Takes the newest state from a relay, one of a table that ends after `newer_than`. Returns nothing when this host is to read the
-/// store.
+/// Fetches the newest desired state from a relay whose table ends after `newer_than`. Returns
+/// nothing when this host is to read the store instead.
 pub async fn fetch<P: Platform>(
     host: &Host<P>,
     sources: &Sources,
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,4 +1,5 @@
-//! The small questions that a host answers itself: which addresses to use, whether it is ready, its metrics.
+//! The HTTP endpoints of a host beside callers' requests: host discovery (which addresses to use),
+//! readiness and metrics.
 
 use crate::entry::host::Host;
 use crate::entry::platform::{DirectoryQuestion, Platform};
@@ -11,24 +12,24 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Most addresses in one answer; callers read no more.
+/// The most addresses in one answer; callers read no more.
 const MAX_ADDRESSES: usize = 64;
-/// How long callers may keep an answer: short, so that a host that stops gets no new connections soon; a
-/// question costs a host little.
+/// How long callers may cache an answer. It is short, so that a stopping host soon gets no new
+/// connections; an answer costs a host little.
 const TTL_MS: Millis = Millis(1_000);
-/// The longest head of a question.
+/// The longest head of a request.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// How long a connection without a question stays open.
+/// How long a connection stays open without a request.
 const IDLE_MS: Millis = Millis(10_000);
 
-/// Which questions a listener answers.
+/// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Questions {
-    /// Which addresses to use.
+    /// Host discovery: the addresses of the hosts that callers may use.
     Directory,
-    /// Whether this host is ready.
+    /// Whether this host is ready for callers.
     Ready,
-    /// The metrics.
+    /// The metrics of this process.
     Metrics,
 }
 
@@ -38,7 +39,7 @@
     body: Vec<u8>,
 }
 
-/// Answers questions until the listener closes.
+/// Answers requests until the process ends.
 pub async fn answer<P: Platform + 'static>(
     host: Rc<Host<P>>,
     executor: Rc<LocalExecutor<'static>>,
@@ -113,8 +114,8 @@
     }
 }
 
-/// Returns the hosts' addresses, those of the caller's data centre first, in random order otherwise so that
-/// callers who take the first ones spread.
+/// Returns the hosts' addresses: those in the caller's data centre first, otherwise in random
+/// order, so that callers who use the first ones spread over the hosts.
 fn addresses<P: Platform>(host: &Host<P>, question: &DirectoryQuestion) -> Vec<SocketAddr> {
     let own = host.settings().caller_listen;
     let members = host.members.borrow();
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -1,6 +1,7 @@
-//! Following the tables that the operator and the upstreams write.
+//! Follows the tables that the operator and the upstreams write in the platform's store.
 //!
-//! The orderer reads often; the other hosts read while they do not hear from it how new the tables are.
+//! The orderer reads them often. The other hosts read only while they do not hear from the orderer
+//! how fresh their copies of the tables are.
 
 use crate::entry::desired_copy::{self, DesiredCopy};
 use crate::entry::followed::Next;
@@ -10,62 +11,73 @@
 use crate::entry::platform::{
     ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
-use crate::entry::sources::{Sources, is_source};
+use crate::entry::sources::{Sources, serves_tables};
 use crate::entry::table_rows::{
-    TableLine, WholeList, put_in_force, take_list, take_row, take_table,
+    TableLine, UpstreamList, activate_desired_state, apply_list, apply_row, apply_table,
 };
 use crate::http1::client::within;
 use crate::prelude::*;
 use smol::Timer;
 use std::rc::Rc;
 
-/// For which part of the contact time a reader of the upstreams rests after a page of changes, so that changes in quick
-/// succession come with one call. Desired states are rare and must be in force soon; they are read at once.
-const REST_PART: f64 = 0.4;
+/// The fraction of the contact time for which a host pauses after a page of changes of the list of
+/// upstreams, so that changes in quick succession come with one call. Desired states are rare and
+/// have to be in force soon; there is no pause after them.
+const PAUSE_FRACTION: f64 = 0.4;
 /// How long the store may take to answer beyond the wait that it was asked for.
-const ANSWER_MS: Millis = Millis(500);
-/// What is left of the contact time after a rest, a wait and an answer.
+const ANSWER_TIMEOUT_MS: Millis = Millis(500);
+/// What remains of the contact time after a pause, a wait and an answer.
 const MARGIN_MS: Millis = Millis(100);
-/// How long a read of the orderer waits: the other hosts rely on its word while it is not much older than that. Two
-/// reads of one host each half second are a small part of what a hundred hosts read by themselves.
+/// How long a read of the orderer waits for a change. The other hosts rely on what it last said
+/// while that is not much older than this. Two reads of one host every half second are a small part
+/// of what a hundred hosts would read themselves.
 const ORDERER_WAIT_MS: Millis = Millis(400);
-/// By how much earlier than other hosts a relay reads a table of which the orderer says nothing: two intervals at which
-/// hosts ask it. When an orderer of 195 hosts is cut off from the store, 18 of them read the tables.
-const RELAY_EARLIER_MS: Millis = Millis(600);
-/// The shortest wait, whatever the platform's bounds.
-const LEAST_WAIT_MS: Millis = Millis(300);
-/// The pauses after failed reads: short first, since a single refusal passes; each refused call is paid too, and an outage
-/// in which a site of 80 hosts asks twice a second each costs more calls than a calm day. The longest lets a table be read
-/// well within the contact time after an outage.
-const RETRY_MS: [Millis; 4] = [Millis(100), Millis(250), Millis(500), Millis(1_000)];
-/// Most pages of one whole read; at 500 rows each, far above any site.
+/// How much earlier than other hosts a relay reads a table on which the orderer is silent: two
+/// intervals at which hosts ask the relay. When the orderer of 195 hosts is cut off from the store,
+/// 18 of them read the tables.
+const RELAY_READS_EARLIER_MS: Millis = Millis(600);
+/// The minimum wait of a read, whatever the platform's bounds.
+const MIN_WAIT_MS: Millis = Millis(300);
+/// The pauses after failed reads in a row. The first are short, since a single refusal passes.
+/// Refused calls are paid too: an outage in which a site of 80 hosts calls twice a second per host
+/// costs more calls than a calm day. The longest pause still lets a table be read well within the
+/// contact time after an outage.
+const RETRY_PAUSES_MS: [Millis; 4] = [Millis(100), Millis(250), Millis(500), Millis(1_000)];
+/// The most pages in one read of a whole table; at 500 rows each, far more than any site has.
 const MAX_PAGES: usize = 1_000;
 
-/// How long a host whose place in the list's history is gone looks for a relay that has a newer list: it goes by its own,
-/// older one meanwhile.
-const LOOK_AGAIN_MS: Millis = Millis(1_000);
+/// How long a host looks for a relay with a newer list when the store has trimmed the history after
+/// the host's copy. Meanwhile the host uses its copy.
+const RELAY_SEARCH_AGAIN_MS: Millis = Millis(1_000);
 
-/// Where in a table the reader is.
+/// The progress of following one table.
 struct Cursor {
     table: Table,
+    /// The offset from which the table is followed; none before the whole table was read, or after
+    /// its history was trimmed.
     next: Option<Offset>,
-    /// From where on the history was gone when it was read last.
-    lost_from: Option<Offset>,
-    written_at: IndexMap<Name, Offset>,
+    /// Where this host's copy ended when the store no longer had the changes after it.
+    trimmed_at: Option<Offset>,
+    /// The offset of the newest applied row of each key.
+    newest_offsets: IndexMap<Name, Offset>,
+    /// Failed reads in a row.
     failures: usize,
+    /// How often in a row the history was trimmed.
     trims: usize,
-    rested_ms: Millis,
-    /// Whether the last news came from the orderer.
-    was_told: bool,
-    /// What was read of the whole table when a page of it failed.
+    /// How long the host paused before the next read.
+    paused_ms: Millis,
+    /// Whether the orderer, and not the store, last confirmed or has_changes this copy.
+    was_told_by_orderer: bool,
+    /// The pages of the whole table that were read before one failed, or before a relay is asked
+    /// for the rest.
     partial: Option<PartialTable>,
-    /// Whether the last page of changes was cut off before the end of the table.
+    /// Whether the last page of changes ended before the end of the table.
     is_cut: bool,
 }
 
 impl Cursor {
     /// Tells whether all pages of the whole table were read.
-    fn has_whole(&self) -> bool {
+    fn has_all_pages(&self) -> bool {
         let partial = self.partial.as_ref();
         partial.is_some_and(|partial| partial.after.is_none())
     }
@@ -74,32 +86,33 @@
 /// The first pages of a whole table.
 struct PartialTable {
     asked_at: Millis,
-    /// The end that the first page named.
+    /// The end of the table as the first page gave it.
     end: Offset,
     rows: Vec<TableRow>,
-    /// The key after which the next page begins; none when all were read.
+    /// The key after which the next page begins; none when all pages were read.
     after: Option<Name>,
 }
 
-/// Follows a table until the process ends. `sources` are the hosts from which it may be taken when this one is behind, the list of
-/// upstreams also at first.
+/// Follows a table until the process ends. `sources` names the relays from which a host that is
+/// behind may fetch the table instead of the store; the list of upstreams may also be fetched from
+/// them at the start.
 pub async fn follow<P: Platform>(host: Rc<Host<P>>, table: Table, sources: Option<Sources>) {
     let mut cursor = Cursor {
         table,
         next: None,
-        lost_from: None,
-        written_at: IndexMap::new(),
+        trimmed_at: None,
+        newest_offsets: IndexMap::new(),
         failures: 0,
         trims: 0,
-        rested_ms: Millis::ZERO,
-        was_told: false,
+        paused_ms: Millis::ZERO,
+        was_told_by_orderer: false,
         partial: None,
         is_cut: false,
     };
     loop {
         let read = match cursor.next {
-            None => begin(&host, &mut cursor, sources.as_ref()).await,
-            Some(from) if cursor.is_cut => go_on(&host, &mut cursor, from, sources.as_ref()).await,
+            None => load_table(&host, &mut cursor, sources.as_ref()).await,
+            Some(at) if cursor.is_cut => read_more(&host, &mut cursor, at, sources.as_ref()).await,
             Some(from) => match wait_until_due(&host, &mut cursor).await {
                 Due::Read => {
                     let size = page_size(&host, table, sources.as_ref());
@@ -110,12 +123,12 @@
             },
         };
         match read {
-            Ok(changed) => {
-                note_answer(&mut cursor);
-                let rests = changed && !cursor.is_cut && !host.is_orderer();
-                if rests && table == Table::Upstreams {
-                    cursor.rested_ms = rest_ms(host.settings().bounds.contact_ms);
-                    Timer::after(cursor.rested_ms.to_duration()).await;
+            Ok(has_changes) => {
+                note_success(&mut cursor);
+                let pauses = has_changes && !cursor.is_cut && !host.is_orderer();
+                if pauses && table == Table::Upstreams {
+                    cursor.paused_ms = pause_after_change_ms(host.settings().bounds.contact_ms);
+                    Timer::after(cursor.paused_ms.to_duration()).await;
                 }
             }
             Err(StoreError::Trimmed) => {
@@ -127,11 +140,11 @@
                     },
                 );
                 cursor.is_cut = false;
-                cursor.lost_from = cursor.next.take();
+                cursor.trimmed_at = cursor.next.take();
                 cursor.trims += 1;
-                // A store that has dropped the history again and again is not asked without pause.
+                // A store that trims the history repeatedly is not asked again without a pause.
                 if cursor.trims > 1 {
-                    Timer::after(RETRY_MS[0].to_duration()).await;
+                    Timer::after(RETRY_PAUSES_MS[0].to_duration()).await;
                 }
             }
             Err(error) => {
@@ -139,53 +152,53 @@
                 if table == Table::Upstreams {
                     host.upstreams.borrow_mut().note_unheard();
                 }
-                let pause_ms = RETRY_MS[cursor.failures.min(RETRY_MS.len()) - 1];
-                Timer::after(spread(pause_ms).to_duration()).await;
+                let pause_ms = RETRY_PAUSES_MS[cursor.failures.min(RETRY_PAUSES_MS.len()) - 1];
+                Timer::after(with_jitter(pause_ms).to_duration()).await;
             }
         }
     }
 }
 
-/// Takes the whole table from the store. When a list of upstreams has more than a page there, or the store refuses it, it is taken
-/// from a relay, where one has it.
-async fn begin<P: Platform>(
+/// Reads the whole table from the store. A list of upstreams that has more than one page there, or
+/// that the store refuses, is fetched from a relay if one has it.
+async fn load_table<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
     sources: Option<&Sources>,
 ) -> Result<bool, StoreError> {
     let first = read_first_page(host, cursor).await;
-    let look_ms = match &first {
-        Ok(()) if cursor.has_whole() => None,
-        Ok(()) if cursor.lost_from.is_some() => Some(LOOK_AGAIN_MS),
-        Ok(()) => Some(list_copy::LOOK_MS),
+    let search_ms = match &first {
+        Ok(()) if cursor.has_all_pages() => None,
+        Ok(()) if cursor.trimmed_at.is_some() => Some(RELAY_SEARCH_AGAIN_MS),
+        Ok(()) => Some(list_copy::RELAY_SEARCH_MS),
         Err(_) => Some(Millis::ZERO),
     };
-    if let (Table::Upstreams, Some(sources), Some(look_ms)) = (cursor.table, sources, look_ms)
-        && let Some(copy) = list_copy::fetch(host, sources, cursor.lost_from, look_ms).await
+    if let (Table::Upstreams, Some(sources), Some(search_ms)) = (cursor.table, sources, search_ms)
+        && let Some(copy) = list_copy::fetch(host, sources, cursor.trimmed_at, search_ms).await
     {
-        take_copy(host, cursor, copy);
+        apply_list_copy(host, cursor, copy);
         return Ok(false);
     }
     first?;
-    read_rest(host, cursor).await
+    read_remaining_pages(host, cursor).await
 }
 
-fn take_copy<P: Platform>(host: &Host<P>, cursor: &mut Cursor, copy: ListCopy) {
+fn apply_list_copy<P: Platform>(host: &Host<P>, cursor: &mut Cursor, copy: ListCopy) {
     cursor.partial = None;
-    cursor.written_at.clear();
+    cursor.newest_offsets.clear();
     cursor.next = Some(copy.end);
     host.followed.note_read(cursor.table, copy.as_of, copy.end);
     host.followed.drop_rows();
-    let list = WholeList {
+    let list = UpstreamList {
         as_of: copy.as_of,
         from: Some(copy.relay),
         entries: copy.entries,
         unreadable: Vec::new(),
     };
-    take_list(host, list);
+    apply_list(host, list);
 }
 
-fn take_desired_copy<P: Platform>(
+fn apply_desired_copy<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
     asked_at: Millis,
@@ -194,11 +207,12 @@
     cursor.next = Some(copy.end);
     host.followed
         .note_read(cursor.table, asked_at - copy.age_ms, copy.end);
-    put_in_force(host, copy.state);
+    activate_desired_state(host, copy.state);
 }
 
-/// Takes what the orderer knows of a table and this host does not: the table as its relay has it, else the changes from the store.
-/// Hundreds of hosts that fell behind together would keep the store at its limit, and fall further behind.
+/// Catches up with a table that has rows which the orderer did not send: fetches the table from a
+/// relay, or else reads the changes from the store. Hundreds of hosts that fell behind together
+/// would otherwise keep the store at its limit, and fall further behind.
 async fn catch_up<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
@@ -206,7 +220,7 @@
     sources: Option<&Sources>,
 ) -> Result<bool, StoreError> {
     if let Some(sources) = sources
-        && take_from_relay(host, cursor, from, sources, Millis::ZERO).await
+        && fetch_from_relay(host, cursor, from, sources, Millis::ZERO).await
     {
         return Ok(false);
     }
@@ -214,76 +228,80 @@
     read_changes(host, cursor, from, size).await
 }
 
-/// Goes on after a page that was cut off: with the table as a relay has it, else with full pages. All reads share the bytes that
-/// the store gives a second; were hundreds of hosts to read a list that is being written, relays and the orderer would
-/// wait behind them.
-async fn go_on<P: Platform>(
+/// Continues after a page that ended before the end of the table: fetches the table from a relay,
+/// or else reads full pages. All reads share the bytes that the store gives per second; if hundreds
+/// of hosts read a list that is being written, relays and the orderer would have to wait behind
+/// them.
+async fn read_more<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
     from: Offset,
     sources: Option<&Sources>,
 ) -> Result<bool, StoreError> {
     if let Some(sources) = sources {
-        let new_for_ms = list_copy::LOOK_MS - host.age_ms(host.now());
-        let look_ms = new_for_ms.max(LOOK_AGAIN_MS);
-        if take_from_relay(host, cursor, from, sources, look_ms).await {
+        let new_for_ms = list_copy::RELAY_SEARCH_MS - host.age_ms(host.now());
+        let search_ms = new_for_ms.max(RELAY_SEARCH_AGAIN_MS);
+        if fetch_from_relay(host, cursor, from, sources, search_ms).await {
             return Ok(false);
         }
     }
     read_changes(host, cursor, from, PageSize::Full).await
 }
 
-/// Returns how much a host reads at once that may take the rest from another one.
+/// Returns the page size for a read of changes: short for a host that may fetch the rest from
+/// another one.
 fn page_size<P: Platform>(host: &Host<P>, table: Table, sources: Option<&Sources>) -> PageSize {
-    let may_ask = sources.is_some() && !is_source(host);
+    let may_ask = sources.is_some() && !serves_tables(host);
     match (table, may_ask) {
         (Table::Upstreams, true) => PageSize::Short,
         (Table::Upstreams, false) | (Table::Desired, _) => PageSize::Full,
     }
 }
 
-/// Returns whether a relay had what is newer than `from`.
-async fn take_from_relay<P: Platform>(
+/// Fetches the table from a relay. Returns false when none has anything newer than `from`.
+async fn fetch_from_relay<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
     from: Offset,
     sources: &Sources,
-    look_ms: Millis,
+    search_ms: Millis,
 ) -> bool {
     let asked_at = host.now();
     match cursor.table {
         Table::Upstreams => {
-            let copy = list_copy::fetch(host, sources, Some(from), look_ms).await;
+            let copy = list_copy::fetch(host, sources, Some(from), search_ms).await;
             let Some(copy) = copy else { return false };
-            take_copy(host, cursor, copy);
+            apply_list_copy(host, cursor, copy);
         }
         Table::Desired => {
             let copy = desired_copy::fetch(host, sources, from).await;
             let Some(copy) = copy else { return false };
-            take_desired_copy(host, cursor, asked_at, copy);
+            apply_desired_copy(host, cursor, asked_at, copy);
         }
     }
     cursor.is_cut = false;
     true
 }
 
-/// What is to be done about a table.
+/// What a host has to do next about a table.
 enum Due {
-    /// Nothing more: rows that the orderer sent were taken.
+    /// Nothing more: rows that the orderer sent were applied.
     Nothing,
-    /// It is to be read by this host itself.
+    /// Read the table from the store.
     Read,
-    /// The orderer knows of rows that it did not send.
+    /// Catch up: the orderer knows of rows that it did not send.
     CatchUp,
 }
 
-/// Waits until something is to be done about the table; takes rows that the orderer sent before that.
+/// Waits until something has to be done about the table. Applies rows that the orderer sent
+/// meanwhile.
 async fn wait_until_due<P: Platform>(host: &Host<P>, cursor: &mut Cursor) -> Due {
     loop {
-        let word = host.followed.next_word();
+        let update = host.followed.next_update();
         let now = host.now();
         let within_ms = longest_wait_ms(host, cursor.table, Millis::ZERO);
-        // A host that reads by itself goes on so until it is told that it need not.
+        // The orderer reads the store; another host reads it until the orderer says how fresh its
+        // copy is.
         let next = match host.is_orderer() {
             true => Next::Read,
             false => host.followed.next(now, cursor.table, within_ms),
@@ -293,72 +311,78 @@
             Next::Behind => return Due::CatchUp,
             Next::Take(rows, end) => {
                 if let Some(from) = cursor.next.filter(|_| host.is_relay()) {
-                    keep_told(host, from, &rows, end);
+                    buffer_for_followers(host, from, &rows, end);
                 }
-                take_rows(host, cursor, cursor.next, rows);
+                apply_rows(host, cursor, cursor.next, rows);
                 cursor.next = Some(end);
-                cursor.was_told = true;
+                cursor.was_told_by_orderer = true;
                 host.followed.note_taken(cursor.table, end);
                 return Due::Nothing;
             }
             Next::WaitUntil(due_at) => {
-                cursor.was_told = true;
-                within(due_at.since(now), word).await;
+                cursor.was_told_by_orderer = true;
+                within(due_at.since(now), update).await;
             }
         }
     }
 }
 
-/// Keeps rows that the orderer sent for the hosts of this relay. They may begin before what this host has.
-fn keep_told<P: Platform>(host: &Host<P>, from: Offset, rows: &[TableRow], end: Offset) {
+/// Buffers rows that the orderer sent, for the hosts behind this relay. The rows may load_table
+/// before the end of this host's copy.
+fn buffer_for_followers<P: Platform>(host: &Host<P>, from: Offset, rows: &[TableRow], end: Offset) {
     let known = rows.partition_point(|row| row.offset < from);
     host.followed
         .keep_rows(from, &rows[known..], end, host.upstreams.borrow().count());
 }
 
-fn longest_wait_ms<P: Platform>(host: &Host<P>, table: Table, rested_ms: Millis) -> Millis {
+fn longest_wait_ms<P: Platform>(host: &Host<P>, table: Table, paused_ms: Millis) -> Millis {
     let bounds = host.settings().bounds;
     let known_within_ms = match table {
         Table::Desired => bounds.apply_ms,
         Table::Upstreams => bounds.drain_ms,
     };
-    let longest_ms = wait_ms(bounds.contact_ms, known_within_ms, rested_ms);
-    // A relay reads before its hosts would, so that they hear of it in time and need not read themselves.
+    let longest_ms = wait_ms(bounds.contact_ms, known_within_ms, paused_ms);
+    // A relay reads before its hosts would, so that they hear the result in time and need not read
+    // themselves.
     match host.is_relay() {
-        true => (longest_ms - RELAY_EARLIER_MS).max(LEAST_WAIT_MS),
+        true => (longest_ms - RELAY_READS_EARLIER_MS).max(MIN_WAIT_MS),
         false => longest_ms,
     }
 }
 
 /// Returns how long the next read waits for a change.
 fn next_wait_ms<P: Platform>(host: &Host<P>, cursor: &mut Cursor) -> Millis {
-    let rested_ms = std::mem::take(&mut cursor.rested_ms);
-    let longest_ms = longest_wait_ms(host, cursor.table, rested_ms);
-    let was_told = std::mem::take(&mut cursor.was_told);
-    match (host.is_orderer(), was_told) {
+    let paused_ms = std::mem::take(&mut cursor.paused_ms);
+    let longest_ms = longest_wait_ms(host, cursor.table, paused_ms);
+    let was_told_by_orderer = std::mem::take(&mut cursor.was_told_by_orderer);
+    match (host.is_orderer(), was_told_by_orderer) {
         (true, _) => longest_ms.min(ORDERER_WAIT_MS),
-        // The time for which a change may stay unknown has passed since the orderer's last word.
+        // The orderer last said something so long ago that a change could stay unknown for too
+        // long.
         (false, true) => Millis::ZERO,
         (false, false) => longest_ms,
     }
 }
 
-fn rest_ms(contact_ms: Millis) -> Millis {
-    Millis((contact_ms.0 as f64 * REST_PART) as u64)
+fn pause_after_change_ms(contact_ms: Millis) -> Millis {
+    Millis((contact_ms.0 as f64 * PAUSE_FRACTION) as u64)
 }
 
-/// Returns how long a read waits for a change. Two things can keep a change from it until its end: a connection that
-/// went silent for good without a reset, so rest, wait and answer together fit into the time after which the
-/// platform counts this host as in contact again; and a read that reaches the store while the change is being
-/// written, which is not woken, so the wait fits into the time in which the change must be known. Shorter waits
-/// cost more calls.
-pub fn wait_ms(contact_ms: Millis, known_within_ms: Millis, rested_ms: Millis) -> Millis {
-    let for_silence = contact_ms - rested_ms - ANSWER_MS - MARGIN_MS;
-    let for_missed_wakeup = known_within_ms - ANSWER_MS;
-    for_silence.min(for_missed_wakeup).max(LEAST_WAIT_MS)
+/// Returns how long a read waits for a change, given the time in which a change must be known and
+/// the pause before the read.
+///
+/// Two faults can hide a change from a read until its wait ends. A connection can go silent for
+/// good without a reset; so pause, wait and answer together fit into the time after which the
+/// platform counts this host as in contact again. And a read that reaches the store while the
+/// change is being written is not woken by it; so the wait fits into the time in which the change
+/// must be known. Shorter waits cost more calls.
+pub fn wait_ms(contact_ms: Millis, known_within_ms: Millis, paused_ms: Millis) -> Millis {
+    let for_silence = contact_ms - paused_ms - ANSWER_TIMEOUT_MS - MARGIN_MS;
+    let for_missed_wakeup = known_within_ms - ANSWER_TIMEOUT_MS;
+    for_silence.min(for_missed_wakeup).max(MIN_WAIT_MS)
 }
 
-fn note_answer(cursor: &mut Cursor) {
+fn note_success(cursor: &mut Cursor) {
     if cursor.failures > 1 {
         let table = cursor.table.name();
         lines::write(LogEvent::LogBack, &TableLine { table, error: "" });
@@ -368,7 +392,7 @@
 
 fn note_failure(cursor: &mut Cursor, error: &StoreError) {
     cursor.failures += 1;
-    // A single failure is a poll whose connection was closed; the second in a row is an outage.
+    // A single failure is a poll whose connection was closed; two in a row are an outage.
     if cursor.failures == 2 {
         let line = TableLine {
             table: cursor.table.name(),
@@ -378,12 +402,13 @@
     }
 }
 
-/// Returns a pause around the given one, so that hosts which were refused together do not come back together.
-fn spread(pause_ms: Millis) -> Millis {
+/// Returns the pause with random jitter, so that hosts which were refused together do not retry
+/// together.
+fn with_jitter(pause_ms: Millis) -> Millis {
     Millis(pause_ms.0 / 2 + fastrand::u64(0..=pause_ms.0))
 }
 
-/// Reads the first page of the newest rows, unless it was read before.
+/// Reads the first page of a table's newest rows, unless it was read before.
 async fn read_first_page<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
@@ -402,10 +427,15 @@
     Ok(())
 }
 
-/// Reads the other pages. They are no snapshot, so reading goes on at the end that the first page named; rows that come
-/// again are older than what is known and passed over. After a page that failed it goes on with that page: hundreds of
-/// hosts that all began anew would keep the store at its limit. Returns whether a rest is due.
-async fn read_rest<P: Platform>(host: &Host<P>, cursor: &mut Cursor) -> Result<bool, StoreError> {
+/// Reads the remaining pages, and applies the whole table. The pages are no snapshot, so the table
+/// is then followed from the end that the first page gave; rows that come again are no newer than
+/// what is known, and are skipped. After a failed page, the next attempt continues with that page:
+/// if hundreds of hosts began anew, they would keep the store at its limit. Returns false, since no
+/// pause is due.
+async fn read_remaining_pages<P: Platform>(
+    host: &Host<P>,
+    cursor: &mut Cursor,
+) -> Result<bool, StoreError> {
     let Some(mut partial) = cursor.partial.take() else {
         return Ok(false);
     };
@@ -428,7 +458,7 @@
         rows,
         ..
     } = partial;
-    cursor.written_at = rows
+    cursor.newest_offsets = rows
         .iter()
         .map(|row| (row.key.clone(), row.offset))
         .collect();
@@ -437,7 +467,7 @@
     if cursor.table == Table::Upstreams {
         host.followed.drop_rows();
     }
-    take_table(host, cursor.table, rows);
+    apply_table(host, cursor.table, rows);
     Ok(false)
 }
 
@@ -460,7 +490,7 @@
     let ask = ChangesAsk {
         from,
         wait_ms: next_wait_ms(host, cursor),
-        answer_ms: ANSWER_MS,
+        answer_ms: ANSWER_TIMEOUT_MS,
         size,
     };
     let read = host.platform.follow_table(cursor.table, ask);
@@ -470,12 +500,12 @@
     cursor.is_cut = page.is_cut;
     cursor.trims = 0;
     match page.is_cut {
-        true => host.followed.note_part_read(cursor.table, end),
+        true => host.followed.note_partial_read(cursor.table, end),
         false => host.followed.note_read(cursor.table, asked_at, end),
     }
     if cursor.table == Table::Upstreams {
         host.upstreams.borrow_mut().note_heard(host.now());
-        match is_source(host) {
+        match serves_tables(host) {
             true => {
                 let listed = host.upstreams.borrow().count();
                 host.followed.keep_rows(from, &rows, end, listed);
@@ -483,13 +513,14 @@
             false => host.followed.drop_rows(),
         }
     }
-    let changed = !rows.is_empty();
-    take_rows(host, cursor, Some(from), rows);
-    Ok(changed)
+    let has_changes = !rows.is_empty();
+    apply_rows(host, cursor, Some(from), rows);
+    Ok(has_changes)
 }
 
-/// Takes rows in order. Those before `from`, and those that a page of the whole table showed already, change nothing.
-fn take_rows<P: Platform>(
+/// Applies rows in order. Skips those before `from`, and those that are no newer than the row
+/// already known under their key.
+fn apply_rows<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
     from: Option<Offset>,
@@ -499,11 +530,11 @@
         .into_iter()
         .filter(|row| from.is_none_or(|from| row.offset >= from));
     for row in new {
-        let known = cursor.written_at.get(&row.key);
+        let known = cursor.newest_offsets.get(&row.key);
         if known.is_some_and(|known| *known >= row.offset) {
             continue;
         }
-        cursor.written_at.insert(row.key.clone(), row.offset);
-        take_row(host, cursor.table, row);
+        cursor.newest_offsets.insert(row.key.clone(), row.offset);
+        apply_row(host, cursor.table, row);
     }
 }
--- a/src/entry/followed.rs
+++ b/src/entry/followed.rs
@@ -1,10 +1,12 @@
-//! How new this host's copies of the platform's tables are: by its own reads, and by the word of the orderer.
+//! How fresh this host's copies of the platform's tables are, by its own reads and by what the
+//! orderer says.
 //!
-//! Answers the pattern of many hosts that follow the same tables. With polls of its own each host costs the store a
-//! call a second and more, and each change ends the polls of all. So the orderer reads the tables often and adds to what
-//! it tells each host anyway where they end, how old that is, and the newest rows of the list of upstreams. A host reads
-//! by itself while this word is missing or old, so a lost orderer costs calls, not time. In a site of 83 hosts the store
-//! gets some 20 calls a second instead of 150.
+//! Many hosts follow the same tables. If each polled the store, every host would cost it a call a
+//! second and more, and each change would end the polls of all. So the orderer reads the tables
+//! often, and adds to the replies that it sends to each host anyway where the tables end, how old
+//! that information is, and the newest rows of the list of upstreams. A host reads by itself while
+//! these updates are missing or old, so the loss of the orderer costs calls, not time. In a site of
+//! 83 hosts the store gets some 20 calls a second instead of 150.
 
 use crate::desired::DesiredState;
 use crate::entry::platform::{RowValue, Table, TableRow};
@@ -14,54 +16,59 @@
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-/// Most rows of one message: some 400 KB. A host that is further behind takes the list itself from its relay.
-const MAX_TOLD: usize = 4_096;
-/// Rows of the list of upstreams that the orderer and relays keep for the others at least; as many as the list has where these
-/// are more. At the start of a large site the list grows by some hundred rows a second, for as long as it takes all upstreams to
-/// write their entries, and the rows in a second grow with the list when upstreams are replaced or come back after an outage.
-const LEAST_KEPT: usize = MAX_TOLD;
+/// The max_rows rows in one update: some 400 KB. A host that is further behind fetches the whole
+/// list from its relay.
+const MAX_UPDATE_ROWS: usize = 4_096;
+/// The least number of rows of the list of upstreams that the orderer and relays buffer for other
+/// hosts; they buffer as many as the list has when that is more. At the start of a large site the
+/// list grows by some hundred rows a second until all upstreams have written their entries. When
+/// upstreams are replaced or come back after an outage, the rows per second grow with the list.
+const MIN_BUFFERED_ROWS: usize = MAX_UPDATE_ROWS;
 
-/// A row of the list of upstreams; without an entry it was removed.
+/// A change of the list of upstreams, as hosts pass it on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamRow {
-    /// The upstream's lifetime.
+    /// The key in the table: the id of the upstream's lifetime.
     pub key: Name,
-    /// The offset of the record.
+    /// The offset of the record that wrote the row.
     pub offset: Offset,
-    /// What it says.
+    /// The upstream's entry; none when it was removed.
     pub entry: Option<UpstreamEntry>,
 }
 
-/// Where a table ended a moment ago.
+/// Where a table ended when it was last read or confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableEnd {
-    /// The offset after its last row.
+    /// The offset after the table's last row.
     pub end: Offset,
-    /// How long ago that was asked.
+    /// How long ago the end was read, counted from when the read was sent.
     pub age_ms: Millis,
 }
 
-/// What the orderer says of the tables.
+/// What the orderer or a relay tells a host about the tables.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TablesWord {
-    /// The end of the desired states.
+    /// The end of the table of desired states; none when the sender has not read it.
     pub desired: Option<TableEnd>,
-    /// The end of the list of upstreams.
+    /// The end of the list of upstreams; none when the sender has not read it.
     pub upstreams: Option<TableEnd>,
-    /// The rows from the offset that was asked for, when the orderer still has all of them.
+    /// The rows of the list from the offset that the host asked for; empty when the sender does not
+    /// have all of them or they are too many.
     pub rows: Vec<UpstreamRow>,
 }
 
-/// One table.
+/// How far and as of when this host has one table.
 #[derive(Debug, Default)]
-struct Copy {
+struct TableCopy {
+    /// The offset after the last row that this host has.
     next: Option<Offset>,
+    /// When this copy was last known to reach the end of the table.
     confirmed_at: Option<Millis>,
-    /// Where the orderer said that it ends, and as of when.
-    told: Option<(Offset, Millis)>,
+    /// The end of the table by the last update, and as of when.
+    announced: Option<(Offset, Millis)>,
 }
 
-impl Copy {
+impl TableCopy {
     fn end(&self, now: Millis) -> Option<TableEnd> {
         Some(TableEnd {
             end: self.next?,
@@ -72,23 +79,25 @@
 
 #[derive(Debug, Default)]
 struct State {
-    word_at: Option<Millis>,
-    desired: Copy,
-    upstreams: Copy,
-    told_rows: Vec<UpstreamRow>,
-    kept: Option<KeptRows>,
-    kept_desired: Option<Arc<DesiredState>>,
+    updated_at: Option<Millis>,
+    desired: TableCopy,
+    upstreams: TableCopy,
+    update_rows: Vec<UpstreamRow>,
+    buffered: Option<BufferedRows>,
+    shared_desired: Option<Arc<DesiredState>>,
 }
 
-/// Rows without a gap that the orderer keeps for the others.
+/// Consecutive rows of the list that this host buffers for other hosts.
 #[derive(Debug)]
-struct KeptRows {
+struct BufferedRows {
+    /// The offset from which no row is missing.
     from: Offset,
     rows: VecDeque<UpstreamRow>,
+    /// The offset after the last row.
     next: Offset,
 }
 
-impl KeptRows {
+impl BufferedRows {
     fn new(from: Offset) -> Self {
         Self {
             from,
@@ -97,9 +106,9 @@
         }
     }
 
-    fn push(&mut self, row: UpstreamRow, most: usize) {
+    fn push(&mut self, row: UpstreamRow, max_rows: usize) {
         self.rows.push_back(row);
-        if self.rows.len() > most
+        if self.rows.len() > max_rows
             && let Some(dropped) = self.rows.pop_front()
         {
             self.from = Offset(dropped.offset.0 + 1);
@@ -108,7 +117,7 @@
 }
 
 impl State {
-    fn copy(&mut self, table: Table) -> &mut Copy {
+    fn copy(&mut self, table: Table) -> &mut TableCopy {
         match table {
             Table::Desired => &mut self.desired,
             Table::Upstreams => &mut self.upstreams,
@@ -119,26 +128,27 @@
 /// What to do next about a table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
-    /// Rows came from the orderer, up to this offset.
+    /// Apply these rows from the orderer; the copy then reaches this offset.
     Take(Vec<TableRow>, Offset),
-    /// The table is to be read: nobody says whether it has more rows.
+    /// Read the table: nobody says whether it has more rows.
     Read,
-    /// It has more rows, which were not told.
+    /// Catch up: the table has more rows, and the update did not bring them.
     Behind,
-    /// The copy is as new as it must be until then.
+    /// Wait until then; the copy is fresh enough so far.
     WaitUntil(Millis),
 }
 
-/// The copies of all tables.
+/// The freshness of this host's copies of all tables, and what it buffers for other hosts.
 #[derive(Debug, Default)]
 pub struct Followed {
     state: RefCell<State>,
-    told: Wakeup,
+    updated: Wakeup,
 }
 
 impl Followed {
-    /// Takes note of a read of this host's own that was asked at `asked_at` and goes on at `next`. What the orderer confirmed
-    /// meanwhile stands: a read that waited for seconds was asked before that.
+    /// Records a read by this host that was sent at `asked_at` and reached the end of the table;
+    /// the table is followed from `next`. A later confirmation by the orderer stands, since a read
+    /// can wait for seconds.
     pub fn note_read(&self, table: Table, asked_at: Millis, next: Offset) {
         let mut state = self.state.borrow_mut();
         let copy = state.copy(table);
@@ -146,62 +156,71 @@
         copy.confirmed_at = copy.confirmed_at.max(Some(asked_at));
     }
 
-    /// Takes note of a read that did not reach the end of the table: it goes on at `next`, and what is known is no newer.
-    pub fn note_part_read(&self, table: Table, next: Offset) {
+    /// Records a read that did not reach the end of the table. It continues at `next`; the copy
+    /// becomes no fresher by it.
+    pub fn note_partial_read(&self, table: Table, next: Offset) {
         self.state.borrow_mut().copy(table).next = Some(next);
     }
 
-    /// Keeps rows of the list of upstreams for the other hosts; `listed` is how many upstreams it has. Rows that do not follow
-    /// those kept before replace them.
+    /// Buffers rows of the list of upstreams, which were read from `from` up to `next`, for other
+    /// hosts. `listed` is the number of upstreams in the list. Rows that do not follow the buffered
+    /// ones replace them.
     pub fn keep_rows(&self, from: Offset, rows: &[TableRow], next: Offset, listed: usize) {
-        let most = listed.max(LEAST_KEPT);
+        let max_rows = listed.max(MIN_BUFFERED_ROWS);
         let mut state = self.state.borrow_mut();
-        let former = state.kept.take().filter(|kept| kept.next == from);
-        let mut kept = former.unwrap_or_else(|| KeptRows::new(from));
+        let former = state
+            .buffered
+            .take()
+            .filter(|buffered| buffered.next == from);
+        let mut buffered = former.unwrap_or_else(|| BufferedRows::new(from));
         for row in rows {
             match upstream_row(row) {
-                Some(row) => kept.push(row, most),
-                // The others read it by themselves, and each notes that it is unreadable.
-                None => kept = KeptRows::new(Offset(row.offset.0 + 1)),
+                Some(row) => buffered.push(row, max_rows),
+                // Other hosts read this row from the store themselves, and each logs that it is
+                // unreadable.
+                None => buffered = BufferedRows::new(Offset(row.offset.0 + 1)),
             }
         }
-        kept.next = next;
-        state.kept = Some(kept);
+        buffered.next = next;
+        state.buffered = Some(buffered);
     }
 
-    /// Drops the rows that are kept for others: this host orders no more, or the table was read anew.
+    /// Drops the rows that are buffered for other hosts, when this host no longer orders or relays
+    /// or has read the whole table anew.
     pub fn drop_rows(&self) {
-        self.state.borrow_mut().kept = None;
+        self.state.borrow_mut().buffered = None;
     }
 
-    /// Keeps the newest desired state for the other hosts, or drops an older one when this host relays for none.
-    pub fn keep_desired(&self, state: Option<Arc<DesiredState>>) {
-        self.state.borrow_mut().kept_desired = state;
+    /// Keeps the newest desired state for other hosts; `None` drops an older one, at a host from
+    /// which no others fetch it.
+    pub fn share_desired(&self, state: Option<Arc<DesiredState>>) {
+        self.state.borrow_mut().shared_desired = state;
     }
 
-    /// Returns the newest desired state, if it was kept for the other hosts.
-    pub fn kept_desired(&self) -> Option<Arc<DesiredState>> {
-        self.state.borrow().kept_desired.clone()
+    /// Returns the newest desired state, if it was kept for other hosts.
+    pub fn shared_desired(&self) -> Option<Arc<DesiredState>> {
+        self.state.borrow().shared_desired.clone()
     }
 
-    /// Returns where this host's copy of a table ends.
+    /// Returns where this host's copy of a table ends, and how old that information is.
     pub fn end(&self, now: Millis, table: Table) -> Option<TableEnd> {
         self.state.borrow_mut().copy(table).end(now)
     }
 
-    /// Returns from where this host wants rows of the list of upstreams.
+    /// Returns the offset from which this host needs rows of the list of upstreams; nothing before
+    /// its first read.
     pub fn wants_from(&self) -> Option<Offset> {
         self.state.borrow().upstreams.next
     }
 
-    /// Returns what an orderer tells a host that wants rows from an offset on.
+    /// Returns the update for a host that needs rows of the list from an offset.
     pub fn word(&self, now: Millis, wants_from: Option<Offset>) -> TablesWord {
         let state = self.state.borrow();
-        let rows = match (wants_from, &state.kept) {
-            (Some(from), Some(kept)) if kept.from <= from => {
-                let first = kept.rows.partition_point(|row| row.offset < from);
-                match kept.rows.len() - first <= MAX_TOLD {
-                    true => kept.rows.range(first..).cloned().collect(),
+        let rows = match (wants_from, &state.buffered) {
+            (Some(from), Some(buffered)) if buffered.from <= from => {
+                let first = buffered.rows.partition_point(|row| row.offset < from);
+                match buffered.rows.len() - first <= MAX_UPDATE_ROWS {
+                    true => buffered.rows.range(first..).cloned().collect(),
                     false => Vec::new(),
                 }
             }
@@ -214,20 +233,21 @@
         }
     }
 
-    /// Takes the orderer's answer to what was asked at `asked_at`. Returns whether the list of upstreams was confirmed.
+    /// Records an update, in reply to a call sent at `asked_at`. Returns whether it confirmed the
+    /// copy of the list of upstreams.
     pub fn take_word(&self, asked_at: Millis, word: TablesWord) -> bool {
         let mut state = self.state.borrow_mut();
         let newest_row = word.rows.last().map(|row| row.offset);
         let end_of_list = word.upstreams.map(|upstreams| upstreams.end);
-        // The rows are used only when they lead from this host's copy to the end that they came with; those of a former
-        // word lead to another end.
+        // The rows are used only when they lead up to the end in the same update; those of an
+        // earlier update lead to another end.
         let leads_to_end =
             newest_row.is_some_and(|offset| Some(Offset(offset.0 + 1)) == end_of_list);
-        state.told_rows = match leads_to_end {
+        state.update_rows = match leads_to_end {
             true => word.rows,
             false => Vec::new(),
         };
-        state.word_at = state.word_at.max(Some(asked_at));
+        state.updated_at = state.updated_at.max(Some(asked_at));
         let mut is_confirmed = false;
         for (table, said) in [
             (Table::Desired, word.desired),
@@ -237,51 +257,53 @@
                 continue;
             };
             let copy = state.copy(table);
-            // The answer was made after the question was asked, so this is no later than the truth.
+            // The update was made after the call was sent, so this is not after the true time.
             let at = asked_at - age_ms;
-            copy.told = Some((end, at));
+            copy.announced = Some((end, at));
             if copy.next == Some(end) {
                 is_confirmed |= table == Table::Upstreams && copy.confirmed_at < Some(at);
                 copy.confirmed_at = copy.confirmed_at.max(Some(at));
             }
         }
         drop(state);
-        self.told.notify(usize::MAX);
+        self.updated.notify(usize::MAX);
         is_confirmed
     }
 
-    /// Returns what wakes when the orderer says something. Listen first, then ask what is next.
-    pub fn next_word(&self) -> EventListener {
-        self.told.listen()
+    /// Returns a listener for the next update. Listen before calling [`Followed::next`], so that no
+    /// update is missed.
+    pub fn next_update(&self) -> EventListener {
+        self.updated.listen()
     }
 
-    /// Returns what to do about a table that is to be confirmed each `within_ms`.
+    /// Returns what to do next about a table that must be confirmed every `within_ms`.
     pub fn next(&self, now: Millis, table: Table, within_ms: Millis) -> Next {
         let mut state = self.state.borrow_mut();
-        let word_at = state.word_at;
-        let Copy {
+        let updated_at = state.updated_at;
+        let TableCopy {
             next,
             confirmed_at,
-            told,
+            announced,
         } = *state.copy(table);
-        let (Some(next), Some(confirmed_at), Some((told_end, _)), Some(word_at)) =
-            (next, confirmed_at, told, word_at)
+        let (Some(next), Some(confirmed_at), Some((announced_end, _)), Some(updated_at)) =
+            (next, confirmed_at, announced, updated_at)
         else {
             return Next::Read;
         };
-        if now >= word_at + within_ms {
+        if now >= updated_at + within_ms {
             return Next::Read;
         }
-        if told_end > next {
+        if announced_end > next {
             let rows = match table {
-                Table::Upstreams => std::mem::take(&mut state.told_rows),
+                Table::Upstreams => std::mem::take(&mut state.update_rows),
                 Table::Desired => Vec::new(),
             };
             let rows: Vec<TableRow> = rows.into_iter().map(table_row).collect();
-            // Offsets have no gaps, so rows that begin at or before this copy's end lead on from it.
-            let leads_on = rows.first().is_some_and(|row| row.offset <= next);
-            return match leads_on {
-                true => Next::Take(rows, told_end),
+            // Offsets have no gaps, so rows that begin at or before the end of this copy continue
+            // it.
+            let continues_copy = rows.first().is_some_and(|row| row.offset <= next);
+            return match continues_copy {
+                true => Next::Take(rows, announced_end),
                 false => Next::Behind,
             };
         }
@@ -292,17 +314,21 @@
         }
     }
 
-    /// Takes note that rows from the orderer were taken up to an offset.
+    /// Records that rows from the orderer were applied up to an offset.
     pub fn note_taken(&self, table: Table, next: Offset) {
         let mut state = self.state.borrow_mut();
         let copy = state.copy(table);
         copy.next = Some(next);
-        let as_of = copy.told.filter(|(end, _)| *end == next).map(|(_, at)| at);
+        let as_of = copy
+            .announced
+            .filter(|(end, _)| *end == next)
+            .map(|(_, at)| at);
         copy.confirmed_at = copy.confirmed_at.max(as_of);
     }
 }
 
-/// Returns a row as other hosts get it; nothing when it is not one of the list of upstreams that can be read.
+/// Returns a row in the form in which it is sent to other hosts; nothing when it is not a readable
+/// row of the list of upstreams.
 fn upstream_row(row: &TableRow) -> Option<UpstreamRow> {
     let entry = match &row.value {
         RowValue::Upstream(entry) => Some(entry.clone()),
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -1,4 +1,5 @@
-//! Holding the lease to order loads: claiming it when it is free, renewing it, giving it up.
+//! The lease to order loads: claiming it when it is free, renewing it while this host holds it, and
+//! releasing it.
 
 use crate::entry::crashes;
 use crate::entry::host::Host;
@@ -14,29 +15,33 @@
 use smol::Timer;
 use std::rc::Rc;
 
-/// How often the holder looks at the state of its lease.
+/// How often the holder checks whether its lease is to be renewed or given up.
 const LEASE_TICK_MS: Millis = Millis(100);
-/// How many times the other hosts look at what they heard of the holder in the time between two reads: hundreds of them
-/// need no better timing than their reads have.
-const LOOKS_A_READ: u64 = 5;
-/// How often a host that hears nothing of an orderer reads the lease: the first candidates soon, relays to find the next
-/// orderer for their hosts, the others only in case that all of these are lost too. When a site of 195 hosts loses its
-/// orderer, the store gets some 25 reads a second; it was some 100 when all hosts looked each two seconds.
-const LEASE_READ_MS: Millis = Millis(500);
+/// How many times in the interval between two reads of the lease a host that does not
+/// renew_or_give_up it checks whether it still hears the holder. Hundreds of such hosts need no
+/// finer timing than that of their reads.
+const CHECKS_PER_READ: u64 = 5;
+/// How often a host that hears of no orderer reads the lease: the first candidates soon, relays to
+/// find the next orderer for their hosts, the others only in case all of these are lost too. When a
+/// site of 195 hosts loses its orderer, the store gets some 25 reads a second, against some 100 if
+/// all hosts read every two seconds.
+const CANDIDATE_LEASE_READ_MS: Millis = Millis(500);
 const RELAY_LEASE_READ_MS: Millis = Millis(1_000);
-const OTHERS_LEASE_READ_MS: Millis = Millis(2_000);
-/// How long the store may take with a renewal before another host is asked to append it: some sixty times its usual time,
-/// and early enough for two such tries within the holder's validity.
-const RENEW_THROUGH_PEER_MS: Millis = Millis(250);
-/// The longest record that is appended for another host: several times what one takes.
+const OTHER_LEASE_READ_MS: Millis = Millis(2_000);
+/// How long the holder waits for the store to answer a renewal before it asks another host to
+/// append it: some sixty times the usual latency, and early enough for two such attempts while the
+/// holder may still order.
+const RENEW_THROUGH_PEER_AFTER_MS: Millis = Millis(250);
+/// The longest record that is appended on behalf of another host: several times the usual length.
 const MAX_RECORD_BYTES: usize = 4 << 10;
-/// Most hosts that are asked to append a renewal.
-const HELPERS: usize = 2;
-/// How long a holder that hears of no other host keeps the lease; then it is cut off from them and another host does
-/// better.
-const ALONE_MS: Millis = Millis(3_000);
-/// How long a host that gave the lease up for that reason does not claim it.
-const YIELD_MS: Millis = Millis(6_000);
+/// The most hosts that are asked to append one renewal.
+const MAX_RENEWAL_PEERS: usize = 2;
+/// How long a holder that hears from no other host keeps the lease. It is then taken to be cut off
+/// from the others, so that one of these is the better orderer.
+const ISOLATED_MS: Millis = Millis(3_000);
+/// How long a host that gave up the lease, since it could not renew it or heard from no other host,
+/// does not claim it.
+const NO_CLAIM_MS: Millis = Millis(6_000);
 
 #[derive(Serialize)]
 struct LeaseLine<'a> {
@@ -50,7 +55,8 @@
     orderer: Option<std::net::SocketAddr>,
 }
 
-/// Holds the lease when it is free, renews it, and gives it up at a planned stop.
+/// Runs the lease task: claims the lease when it is free, renews it, and returns after releasing it
+/// at a planned stop.
 pub async fn keep_lease<P: Platform>(host: Rc<Host<P>>, peers: Rc<Peers>, me: Member) {
     let mut read_at = Millis::ZERO;
     loop {
@@ -61,24 +67,24 @@
         let now = host.now();
         let mut tick_ms = LEASE_TICK_MS;
         if host.is_orderer() {
-            hold(&host, &peers, now).await;
+            renew_or_give_up(&host, &peers, now).await;
         } else {
             let read_ms = lease_read_ms(&host, &me);
-            if now.since(read_at) >= read_ms && must_look(&host, now) {
+            if now.since(read_at) >= read_ms && should_read(&host, now) {
                 read_at = now;
-                if let Err(error) = look_for_lease(&host, &me).await {
-                    note_store_error(&error);
+                if let Err(error) = read_and_claim(&host, &me).await {
+                    log_store_error(&error);
                 }
             }
             if !host.is_orderer() {
-                tick_ms = Millis(read_ms.0 / LOOKS_A_READ);
+                tick_ms = Millis(read_ms.0 / CHECKS_PER_READ);
             }
         }
         within(tick_ms, host.next_stop()).await;
     }
 }
 
-fn note_store_error(error: &StoreError) {
+fn log_store_error(error: &StoreError) {
     let error = &error.to_string();
     lines::write(LogEvent::AppendUnknown, &ErrorLine { error });
 }
@@ -87,36 +93,37 @@
     let members = host.members.borrow();
     let is_candidate = is_candidate(me, members.iter());
     match (is_candidate, host.is_relay()) {
-        (true, _) => LEASE_READ_MS,
+        (true, _) => CANDIDATE_LEASE_READ_MS,
         (false, true) => RELAY_LEASE_READ_MS,
-        (false, false) => OTHERS_LEASE_READ_MS,
+        (false, false) => OTHER_LEASE_READ_MS,
     }
 }
 
-/// Tells whether this host is to look for an orderer: it hears of none, no relay looks in its place, and a read may show
-/// something new.
-fn must_look<P: Platform>(host: &Host<P>, now: Millis) -> bool {
+/// Tells whether this host is to read the lease: it hears of no orderer, no relay looks for one in
+/// its place, and a read may show something new.
+fn should_read<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     !host.hears_orderer(now)
         && !host.parents.borrow().has_answered(now)
         && host.orders.borrow().lease.is_worth_reading(now)
 }
 
-/// Renews the lease when that is due, and gives it up when no other host is heard of.
-async fn hold<P: Platform>(host: &Host<P>, peers: &Peers, now: Millis) {
+/// Renews the lease when that is due. Gives it up when it can no longer be renewed, or when no
+/// other host is heard from.
+async fn renew_or_give_up<P: Platform>(host: &Host<P>, peers: &Peers, now: Millis) {
     if host.orders.borrow().lease.is_failing(now) {
         let mut orders = host.orders.borrow_mut();
-        note_lease(
+        log_lease(
             LogEvent::LeaseEnded,
             &orders.lease,
             "the store does not take renewals",
         );
         orders.lease.resign(now);
         orders.forget_engines();
-        orders.yields_until = now + YIELD_MS;
+        orders.no_claim_until = now + NO_CLAIM_MS;
         return;
     }
-    if is_alone(host, now) {
-        host.orders.borrow_mut().yields_until = now + YIELD_MS;
+    if is_isolated(host, now) {
+        host.orders.borrow_mut().no_claim_until = now + NO_CLAIM_MS;
         release(host, "no other host is heard of").await;
         return;
     }
@@ -129,25 +136,26 @@
     let Some((holding, learned)) = due else {
         return;
     };
-    let record = record_bytes(&holding.record(false, learned));
+    let record = encode_record(&holding.record(false, learned));
     match renew(host, peers, &holding, record).await {
         Ok(AppendOutcome::Appended(offset)) => {
             host.orders.borrow_mut().lease.note_renewed(now, offset);
         }
         Ok(AppendOutcome::EndMoved(_)) => {
-            if let Err(error) = read_moved(host).await {
-                note_store_error(&error);
+            if let Err(error) = read_after_conflict(host).await {
+                log_store_error(&error);
             }
         }
-        Err(error) => note_store_error(&error),
+        Err(error) => log_store_error(&error),
     }
 }
 
-/// Appends a renewal, through another host when the store does not answer here.
+/// Appends a renewal. Another host appends it when the store does not answer this one.
 ///
-/// A holder that is cut off from the store alone would else lose the lease, and nobody orders until the engines' lease
-/// time is over: 5 s in which models and adapters that no engine holds are refused. Both calls have the same
-/// condition, so one of them takes effect at most.
+/// A holder that is the only host cut off from the store would otherwise lose the lease, and nobody
+/// could order until the engines' lease time is over: 5 s in which models and adapters that no
+/// engine holds are refused. Both appends have the same condition, so at most one of them takes
+/// effect.
 async fn renew<P: Platform>(
     host: &Host<P>,
     peers: &Peers,
@@ -164,14 +172,14 @@
             }
         }
     };
-    let late = async {
-        Timer::after(RENEW_THROUGH_PEER_MS.to_duration()).await;
+    let delayed = async {
+        Timer::after(RENEW_THROUGH_PEER_AFTER_MS.to_duration()).await;
         match renew_through_peer(host, peers, holding, &record).await {
             Some(outcome) => Ok(outcome),
             None => std::future::pending().await,
         }
     };
-    futures_lite::future::or(own, late).await
+    futures_lite::future::or(own, delayed).await
 }
 
 async fn renew_through_peer<P: Platform>(
@@ -184,7 +192,7 @@
         end: holding.end,
         record: record.to_vec(),
     };
-    for peer in helpers(host, &holding.me) {
+    for peer in renewal_peers(host, &holding.me) {
         if let Some(PeerReply::AppendedLease(Some(outcome))) =
             peers.call(peer.peer_address, &call).await
         {
@@ -194,41 +202,49 @@
     None
 }
 
-/// Returns the hosts that are asked to append a record: the first of the others, one in another data centre among them.
-fn helpers<P: Platform>(host: &Host<P>, me: &Member) -> Vec<Member> {
+/// Returns the hosts that are asked to append a record: those of other data centres first, then by
+/// rank.
+fn renewal_peers<P: Platform>(host: &Host<P>, me: &Member) -> Vec<Member> {
     let members = host.members.borrow();
     let mut others: Vec<&Member> = members.iter().filter(|other| *other != me).collect();
     others.sort_by_key(|other| (other.data_centre == me.data_centre, other.rank()));
-    others.into_iter().take(HELPERS).cloned().collect()
+    others
+        .into_iter()
+        .take(MAX_RENEWAL_PEERS)
+        .cloned()
+        .collect()
 }
 
-/// Appends a record for a host that does not reach the store; nothing when it is no record of a lease, or the store does
-/// not answer here either.
+/// Appends a record to the stream of leases on behalf of a host that does not reach the store.
+/// Returns nothing when it is no lease record or too long, or when the store does not answer here
+/// either.
 pub async fn append_for_peer<P: Platform>(
     host: &Host<P>,
     end: Offset,
     record: &[u8],
 ) -> Option<AppendOutcome> {
-    read_record(record).filter(|_| record.len() <= MAX_RECORD_BYTES)?;
+    decode_record(record).filter(|_| record.len() <= MAX_RECORD_BYTES)?;
     let append = host.platform.append_lease(end, record);
     let appended = host.count_call(StoreCall::AppendLease, append).await;
-    appended.inspect_err(note_store_error).ok()
+    appended.inspect_err(log_store_error).ok()
 }
 
-fn is_alone<P: Platform>(host: &Host<P>, now: Millis) -> bool {
+/// Tells whether this holder has heard from no other host for [`ISOLATED_MS`].
+fn is_isolated<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     let mut orders = host.orders.borrow_mut();
     let has_others = host.members.borrow().count() > 1;
     let hears_others = orders.book.hosts() > 1;
     if !has_others || hears_others {
-        orders.alone_since = None;
+        orders.isolated_since = None;
         return false;
     }
-    let since = *orders.alone_since.get_or_insert(now);
-    now.since(since) >= ALONE_MS
+    let since = *orders.isolated_since.get_or_insert(now);
+    now.since(since) >= ISOLATED_MS
 }
 
-/// Learns who wrote after this holder's last record.
-async fn read_moved<P: Platform>(host: &Host<P>) -> Result<(), StoreError> {
+/// Reads which host appended after this holder's last record, and drops the lease when it was
+/// another host.
+async fn read_after_conflict<P: Platform>(host: &Host<P>) -> Result<(), StoreError> {
     let asked_at = host.now();
     let from = host.orders.borrow().lease.end().unwrap_or(Offset(0));
     let read = host
@@ -241,7 +257,7 @@
         None => orders.lease.drop_holding(),
     }
     if orders.lease.holding().is_none() {
-        note_lease(
+        log_lease(
             LogEvent::LeaseEnded,
             &orders.lease,
             "another host claimed it",
@@ -255,14 +271,14 @@
         let mut orders = host.orders.borrow_mut();
         let held = orders.lease.holding().cloned();
         if held.is_some() {
-            note_lease(LogEvent::LeaseEnded, &orders.lease, why);
+            log_lease(LogEvent::LeaseEnded, &orders.lease, why);
         }
         orders.lease.drop_holding();
         orders.forget_engines();
         held.map(|held| (held.end, held.record(true, learned(host, &orders))))
     };
     let Some((end, record)) = held else { return };
-    let record = record_bytes(&record);
+    let record = encode_record(&record);
     if let Err(error) = host
         .count_call(
             StoreCall::AppendLease,
@@ -270,12 +286,12 @@
         )
         .await
     {
-        note_store_error(&error);
+        log_store_error(&error);
     }
 }
 
 /// Reads the lease, and claims it when it is free.
-async fn look_for_lease<P: Platform>(host: &Host<P>, me: &Member) -> Result<(), StoreError> {
+async fn read_and_claim<P: Platform>(host: &Host<P>, me: &Member) -> Result<(), StoreError> {
     let asked_at = host.now();
     let from = host.orders.borrow().lease.end().unwrap_or(Offset(0));
     let read = host
@@ -285,11 +301,11 @@
     let claim_end = {
         let mut orders = host.orders.borrow_mut();
         orders.lease.note_read(asked_at, read.end, newest);
-        orders.note_lease_known();
-        note_orderer(host, &mut orders);
-        // The others would refuse a holder that is not listed.
-        let yields = asked_at < orders.yields_until || host.is_unknown_to_others(me);
-        orders.lease.may_claim(asked_at).filter(|_| !yields)
+        orders.note_lease_read();
+        update_orderer(host, &mut orders);
+        // The other hosts refuse connections of a holder that the group does not list.
+        let must_not_claim = asked_at < orders.no_claim_until || host.is_unknown_to_others(me);
+        orders.lease.may_claim(asked_at).filter(|_| !must_not_claim)
     };
     let Some(end) = claim_end else { return Ok(()) };
     let sent_at = host.now();
@@ -299,7 +315,7 @@
         .borrow_mut()
         .lease
         .claim_record(me.clone(), crashes);
-    let bytes = record_bytes(&record);
+    let bytes = encode_record(&record);
     let AppendOutcome::Appended(offset) = host
         .count_call(
             StoreCall::AppendLease,
@@ -314,16 +330,16 @@
     orders
         .lease
         .note_claimed(sent_at, offset, record, engine_lease_ms);
-    orders.note_lease_known();
+    orders.note_lease_read();
     orders.forget_engines();
     orders.ceiling = None;
-    orders.alone_since = None;
-    note_lease(LogEvent::LeaseTaken, &orders.lease, "it was free");
-    note_orderer(host, &mut orders);
+    orders.isolated_since = None;
+    log_lease(LogEvent::LeaseTaken, &orders.lease, "it was free");
+    update_orderer(host, &mut orders);
     Ok(())
 }
 
-fn note_lease(event: LogEvent, lease: &Lease, why: &str) {
+fn log_lease(event: LogEvent, lease: &Lease, why: &str) {
     let holding = lease.holding();
     let line = LeaseLine {
         fence: holding.map(|holding| holding.fence),
@@ -333,20 +349,21 @@
     lines::write(event, &line);
 }
 
-fn note_orderer<P: Platform>(host: &Host<P>, orders: &mut Orders) {
+fn update_orderer<P: Platform>(host: &Host<P>, orders: &mut Orders) {
     let holder = orders.holder().cloned();
     let incarnation = holder.as_ref().map(|holder| holder.incarnation);
-    if orders.noted_holder != incarnation {
+    if orders.logged_orderer != incarnation {
         let orderer = holder.as_ref().map(|holder| holder.caller_address);
         lines::write(LogEvent::OrdererChanged, &OrdererLine { orderer });
-        orders.noted_holder = incarnation;
+        orders.logged_orderer = incarnation;
     }
     host.accept_members(holder.as_ref());
 }
 
-/// Reads the newest record, and takes what its writer left for all hosts.
+/// Decodes the newest record, and takes over the evidence of crashes that its writer left for all
+/// hosts.
 fn take_newest<P: Platform>(host: &Host<P>, bytes: Option<Vec<u8>>) -> Option<LeaseRecord> {
-    let record = read_record(&bytes?)?;
+    let record = decode_record(&bytes?)?;
     crashes::take_lasting(host, &record.learned.crashes);
     Some(record)
 }
@@ -358,11 +375,11 @@
     }
 }
 
-fn record_bytes(record: &LeaseRecord) -> Vec<u8> {
-    // A struct of texts and numbers always serialises.
+fn encode_record(record: &LeaseRecord) -> Vec<u8> {
+    // A struct of strings and numbers always serialises.
     serde_json::to_vec(record).unwrap_or_default()
 }
 
-fn read_record(bytes: &[u8]) -> Option<LeaseRecord> {
+fn decode_record(bytes: &[u8]) -> Option<LeaseRecord> {
     serde_json::from_slice(bytes).ok()
 }
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -1,14 +1,15 @@
-//! The list of upstreams for a host that starts or is behind: from a relay instead of the platform's store.
+//! The list of upstreams, fetched by a host that starts or is behind from a relay instead of the
+//! platform's store.
 //!
-//! Answers the pattern of hundreds of hosts that start at once, or fall behind at once, before thousands of upstreams: were each
-//! to read the list from the store, its bytes would grow with hosts times upstreams. Relays read it, and the hosts behind them
-//! take it from these, inside their data centre, when the store's first page shows that there are more. A host that finds no
-//! relay in time reads the store itself.
+//! Hundreds of hosts can start or fall behind at once before thousands of upstreams. If each read
+//! the list from the store, its bytes would grow with hosts times upstreams. Instead the relays
+//! read it, and the hosts behind them fetch it from a relay in their data centre when the store's
+//! first page shows that there are more. A host that finds no relay in time reads the store itself.
 
 use crate::entry::host::Host;
 use crate::entry::peers::Peers;
 use crate::entry::platform::{Platform, Table};
-use crate::entry::sources::{Sources, is_source};
+use crate::entry::sources::{Sources, serves_tables};
 use crate::group::Member;
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
@@ -17,54 +18,57 @@
 use smol::Timer;
 use std::net::SocketAddr;
 
-/// About how many entries one message has: some 100 KB, which a link of 20 Mbit/s takes in a twentieth of a second.
+/// The approximate number of entries in one message: some 100 KB, which take a link of 20 Mbit/s a
+/// twentieth of a second.
 const PART_ENTRIES: usize = 1_000;
-/// Most parts of a list.
+/// The most parts of a list.
 const MAX_PARTS: u32 = 1_000;
-/// How long a host looks for a relay that has the list. When all hosts restart the group's list has those before them
-/// for about two seconds, and a relay accepts a host once it is listed.
-pub const LOOK_MS: Millis = Millis(5_000);
-/// The pause after all relays were asked in vain.
-const PAUSE_MS: Millis = Millis(250);
+/// How long a host that starts looks for a relay that has the list. When all hosts restart, the
+/// group lists the previous processes for about two seconds more, and a relay accepts a host only
+/// once the group lists it.
+pub const RELAY_SEARCH_MS: Millis = Millis(5_000);
+/// The pause after no relay had the list, before they are asked again.
+const RETRY_PAUSE_MS: Millis = Millis(250);
 
-/// Which part of the list a host asks for.
+/// A request for a part of the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListAsk {
-    /// The number of the part.
+    /// The number of the part, from zero.
     pub part: u32,
-    /// Into how many parts the list is cut; zero when the host that is asked is to say.
+    /// Into how many parts the list is split; zero when the host that is asked decides.
     pub parts: u32,
 }
 
-/// A part of the list: the entries whose names have its digest.
+/// A part of the list: the entries whose ids hash to its number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListPart {
-    /// Into how many parts the list is cut.
+    /// Into how many parts the list is split.
     pub parts: u32,
-    /// The entries.
+    /// The entries of the part.
     pub entries: Vec<UpstreamEntry>,
-    /// The offset after the last record that the entries show.
+    /// The offset after the last record that the entries reflect.
     pub end: Offset,
-    /// How old they are at most.
+    /// How old the entries are at most.
     pub age_ms: Millis,
 }
 
-/// The whole list.
+/// The whole list, as fetched from a relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListCopy {
-    /// Where the relay takes calls.
+    /// The address of the relay for calls between hosts.
     pub relay: SocketAddr,
-    /// The entries. Some may be newer than the end says.
+    /// The entries. Some may be newer than `end`.
     pub entries: Vec<UpstreamEntry>,
-    /// From where the list is to be followed.
+    /// The offset from which the list is to be followed.
     pub end: Offset,
-    /// When the entries were no older than the store's.
+    /// The time as of which the entries are at least as new as the store's, by this host's clock.
     pub as_of: Millis,
 }
 
-/// Answers a host that starts; nothing when this host does not have the list itself, or relays for no others.
+/// Answers a host that starts or is behind. Returns nothing when this host does not have the list
+/// itself, or neither orders nor relays.
 pub fn answer<P: Platform>(host: &Host<P>, ask: ListAsk) -> Option<ListPart> {
-    if !is_source(host) || !host.upstreams_known.get() || ask.parts > MAX_PARTS {
+    if !serves_tables(host) || !host.upstreams_known.get() || ask.parts > MAX_PARTS {
         return None;
     }
     let list = host.followed.end(host.now(), Table::Upstreams)?;
@@ -81,13 +85,13 @@
     })
 }
 
-/// Returns into how many parts a list is cut.
+/// Returns into how many parts a list is split.
 pub fn parts_of(upstreams: &Registry) -> u32 {
     let parts = upstreams.count().div_ceil(PART_ENTRIES).max(1) as u32;
     parts.min(MAX_PARTS)
 }
 
-/// Returns a part of a list.
+/// Returns the listed entries of one of `parts` parts.
 pub fn part(upstreams: &Registry, part: u32, parts: u32) -> Vec<UpstreamEntry> {
     let is_in_part = |id: &str| rapidhash_v3(id.as_bytes()) % u64::from(parts) == u64::from(part);
     let listed = upstreams.iter().filter(|upstream| upstream.is_listed());
@@ -98,15 +102,16 @@
         .collect()
 }
 
-/// Takes the list from a relay, one that ends after `newer_than`. Returns nothing when this host is to read the store: it
-/// relays itself, the site has no relays, or none had the list within `look_ms`; all are asked once at least.
+/// Fetches the list from a relay whose copy ends after `newer_than`. Returns nothing when this host
+/// is to read the store: it relays or orders itself, the site has no relays, or none had the list
+/// within `search_ms`. All relays are asked at least once.
 pub async fn fetch<P: Platform>(
     host: &Host<P>,
     sources: &Sources,
     newer_than: Option<Offset>,
-    look_ms: Millis,
+    search_ms: Millis,
 ) -> Option<ListCopy> {
-    let until = host.now() + look_ms;
+    let until = host.now() + search_ms;
     loop {
         if host.members.borrow().known_at().is_some() {
             for relay in sources.relays(host)? {
@@ -120,7 +125,7 @@
         if host.now() >= until {
             return None;
         }
-        Timer::after(PAUSE_MS.to_duration()).await;
+        Timer::after(RETRY_PAUSE_MS.to_duration()).await;
     }
 }
 
@@ -130,9 +135,9 @@
     relay: &Member,
 ) -> Option<ListCopy> {
     let asked_at = host.now();
-    let first = ask_part(peers, relay, ListAsk::default()).await?;
+    let first = fetch_part(peers, relay, ListAsk::default()).await?;
     let parts = first.parts.min(MAX_PARTS);
-    // The list is followed from the first part's end: what changed since then comes again.
+    // The list is followed from the end that the first part gave, so later changes come again.
     let mut copy = ListCopy {
         relay: relay.peer_address,
         entries: first.entries,
@@ -140,13 +145,13 @@
         as_of: asked_at - first.age_ms,
     };
     for part in 1..parts {
-        let next = ask_part(peers, relay, ListAsk { part, parts }).await?;
+        let next = fetch_part(peers, relay, ListAsk { part, parts }).await?;
         copy.entries.extend(next.entries);
     }
     Some(copy)
 }
 
-async fn ask_part(peers: &Peers, relay: &Member, ask: ListAsk) -> Option<ListPart> {
+async fn fetch_part(peers: &Peers, relay: &Member, ask: ListAsk) -> Option<ListPart> {
     match peers.call(relay.peer_address, &PeerCall::List(ask)).await? {
         PeerReply::List(part) => part,
         PeerReply::Sync(_) | PeerReply::AppendedLease(_) | PeerReply::Desired(_) => None,
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -1,4 +1,5 @@
-//! Staying in the group of hosts and knowing the others: a group on the platform's store.
+//! Keeps this host in the group of hosts, which is kept in the platform's store, and knows the
+//! other hosts in it.
 
 use crate::entry::host::Host;
 use crate::entry::lines;
@@ -12,16 +13,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How often a host renews its membership. A call costs a tenth of others, and a change of the group is
-/// learned with the next one.
+/// How often a host renews its membership. The call costs a tenth of others, and the host learns of
+/// a change of the group with the next one.
 const JOIN_INTERVAL_MS: Millis = Millis(1_000);
-/// How long a silent member stays: one lost renewal is borne. A host that is suspended is named to callers for as long,
-/// and they send to it.
+/// How long a member stays listed without a renewal, so that one may be lost. A suspended host is
+/// named to callers for that long, and they send to it.
 const LAPSE_MS: Millis = Millis(2_200);
-/// For how long a host that starts and hears no orderer reads the group often: the processes before have lapsed by then.
-const NEW_MS: Millis = Millis(5_000);
-/// The pauses after failures in a row, the last one from then on: a refused call is paid too.
-const RETRY_MS: [Millis; 3] = [Millis(500), Millis(500), Millis(1_000)];
+/// For how long after its start a host that hears no orderer reads the group often; the memberships
+/// of the previous processes have lapsed by then.
+const STARTUP_MS: Millis = Millis(5_000);
+/// The pauses after failed renewals in a row; the last one repeats, since refused calls are paid
+/// too.
+const RETRY_PAUSES_MS: [Millis; 3] = [Millis(500), Millis(500), Millis(1_000)];
 
 #[derive(Serialize)]
 struct MembersLine {
@@ -38,15 +41,16 @@
     error: &'a str,
 }
 
-/// What a host knows of the group's changes from its renewals.
+/// What a host knows about changes of the group from its renewals.
 struct Renewal {
-    /// What the last one returned.
+    /// What the last renewal returned.
     joined: Joined,
-    /// Since when the list known here is older than that.
+    /// Since when the list known here is older than the group was at that renewal.
     behind_since: Option<Millis>,
 }
 
-/// Keeps this host in the group and its list of the group new, until a planned stop.
+/// Keeps this host in the group and its list of the group fresh. Leaves the group and returns at a
+/// planned stop.
 pub async fn keep<P: Platform>(host: Rc<Host<P>>, me: Member) {
     let name = me.to_text();
     let mut failures = 0;
@@ -63,24 +67,24 @@
         if host.is_stopping() {
             break;
         }
-        match renew(&host, &name, &mut renewal).await {
+        match renew_membership(&host, &name, &mut renewal).await {
             Ok(()) => {
                 if std::mem::take(&mut failures) > 0 {
-                    note_store(LogEvent::LogBack, "join", "");
+                    log_store_call(LogEvent::LogBack, "join", "");
                 }
-                let rest = async {
+                let pause = async {
                     Timer::after(SOON_READ_MS.to_duration()).await;
-                    if !is_new_and_alone(&host, host.now()) {
+                    if !is_starting_without_orderer(&host, host.now()) {
                         within(JOIN_INTERVAL_MS - SOON_READ_MS, refused).await;
                     }
                 };
-                futures_lite::future::or(rest, stop).await;
+                futures_lite::future::or(pause, stop).await;
             }
             Err(error) => {
                 if failures == 0 {
-                    note_store(LogEvent::LogLost, "join", &error.to_string());
+                    log_store_call(LogEvent::LogLost, "join", &error.to_string());
                 }
-                let pause_ms = RETRY_MS[failures.min(RETRY_MS.len() - 1)];
+                let pause_ms = RETRY_PAUSES_MS[failures.min(RETRY_PAUSES_MS.len() - 1)];
                 failures += 1;
                 within(pause_ms, stop).await;
             }
@@ -88,21 +92,22 @@
     }
     let leave = host.platform.leave(&name);
     if let Err(error) = host.count_call(StoreCall::Leave, leave).await {
-        note_store(LogEvent::LogLost, "leave", &error.to_string());
+        log_store_call(LogEvent::LogLost, "leave", &error.to_string());
     }
 }
 
-fn note_store(event: LogEvent, call: &'static str, error: &str) {
+fn log_store_call(event: LogEvent, call: &'static str, error: &str) {
     lines::write(event, &StoreLine { call, error });
 }
 
-async fn renew<P: Platform>(
+async fn renew_membership<P: Platform>(
     host: &Host<P>,
     name: &str,
     renewal: &mut Renewal,
 ) -> Result<(), StoreError> {
     let lapse_ms = LAPSE_MS.max(host.settings().bounds.member_lapse_ms);
-    // The newest generation seen lets the group give this host's surplus places to hosts that joined since.
+    // The newest generation seen lets the group give this host's surplus places to hosts that
+    // joined since then.
     let join = host
         .platform
         .join(name, renewal.joined.generation, lapse_ms);
@@ -124,7 +129,7 @@
         behind_ms: now.since(behind_since),
         listed: host.members.borrow().count(),
         is_listed,
-        is_new: host.age_ms(now) < NEW_MS,
+        is_new: host.age_ms(now) < STARTUP_MS,
         has_refused,
         role: role(host, now),
     };
@@ -133,7 +138,7 @@
             .count_call(StoreCall::ReadMembers, host.platform.members())
             .await?;
         renewal.behind_since = None;
-        take(host, now, generation, &names);
+        apply_names(host, now, generation, &names);
     }
     Ok(())
 }
@@ -147,33 +152,34 @@
     }
 }
 
-/// Tells whether this host started a moment ago and hears no orderer. When all hosts restart at once the list has the
-/// processes before them for a second or two, and none finds a relay by it.
-fn is_new_and_alone<P: Platform>(host: &Host<P>, now: Millis) -> bool {
-    host.age_ms(now) < NEW_MS && !host.hears_orderer(now)
+/// Tells whether this host started a moment ago and hears no orderer. When all hosts restart at
+/// once, the list shows the previous processes for a second or two, and no host finds a relay by
+/// it.
+fn is_starting_without_orderer<P: Platform>(host: &Host<P>, now: Millis) -> bool {
+    host.age_ms(now) < STARTUP_MS && !host.hears_orderer(now)
 }
 
-fn take<P: Platform>(host: &Host<P>, now: Millis, generation: u64, names: &IndexSet<Name>) {
+fn apply_names<P: Platform>(host: &Host<P>, now: Millis, generation: u64, names: &IndexSet<Name>) {
     let list = names
         .iter()
         .filter_map(|name| Member::from_text(name))
         .collect();
     let change = host.members.borrow_mut().replace(now, generation, list);
-    note_change(host, &change, false);
+    log_change(host, &change, false);
 }
 
 impl<P: Platform> Host<P> {
-    /// Takes how the list of hosts changed, as another host says. News that do not lead to the newest list change nothing:
-    /// the list is read then.
-    pub fn take_members_news(&self, news: MembersNews) {
+    /// Applies changes of the list of hosts that another host sent. Changes that do not lead to the
+    /// newest list are ignored; the list is then read.
+    pub fn apply_members_news(&self, news: MembersNews) {
         let change = self.members.borrow_mut().apply(self.now(), news);
         if let Some(change) = change {
-            note_change(self, &change, true);
+            log_change(self, &change, true);
         }
     }
 }
 
-fn note_change<P: Platform>(host: &Host<P>, change: &MembersChange, told: bool) {
+fn log_change<P: Platform>(host: &Host<P>, change: &MembersChange, told: bool) {
     if change.is_empty() {
         return;
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,8 +1,9 @@
-//! An entry host on a platform that keeps the state: callers' requests, the answer which addresses to use,
-//! readiness, and the tasks that follow the platform.
+//! An entry host on a platform that keeps the state: it serves callers' requests, host discovery,
+//! readiness and metrics, and runs the tasks that follow the platform.
 //!
-//! One thread runs all tasks of a process; shared state is in [`host::Host`], and nothing holds a borrow of it
-//! across a wait. What the platform calls things is behind [`platform::Platform`].
+//! All tasks of a process run on one thread. Their shared state is in [`host::Host`], and nothing
+//! holds a borrow of it across an await. Everything that is specific to the platform is behind
+//! [`platform::Platform`].
 
 pub mod ask;
 pub mod budgeted_log;
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -1,4 +1,5 @@
-//! Ordering loads while this host holds the lease: reading engines, planning, sending orders.
+//! Ordering engines to load and unload models. The host that holds the lease is the orderer: it
+//! reads the engines' reports, plans, and sends the orders.
 
 use crate::desired::{EngineSpec, RouteTable};
 use crate::entry::host::Host;
@@ -21,77 +22,88 @@
 use smol::{LocalExecutor, Timer};
 use std::rc::Rc;
 
-/// How often the plan is made without a new demand.
-const PLAN_MS: Millis = Millis(50);
-/// The least time between two plans where few hosts speak with the orderer; more in proportion to those that do, relays in a
-/// large site. A message of a host whose callers wait asks for a plan; on the smallest hosts, an eighth of a core, plans
-/// at each of hundreds of messages a second left no time to read the tables.
-const LEAST_PLAN_MS: Millis = Millis(10);
-/// Most calls for reports at once, beside those of engines that carry out orders: a new orderer has to read all engines, and
-/// thousands of calls at once would leave it no time for the hosts.
-const MAX_REPORTS: usize = 200;
-/// Most orders planned in one round.
-const MAX_PLANNED: usize = 32;
+/// How long the orderer waits for new demand before it plans anyway.
+const PLAN_INTERVAL_MS: Millis = Millis(50);
+/// The minimum time between two plans while few hosts report to the orderer. It grows in proportion
+/// to their number; in a large site they are the relays. A message from a host with waiting callers
+/// triggers a plan: on the smallest hosts, an eighth of a core, a plan for each of hundreds of
+/// messages a second left no time to read the tables.
+const MIN_PLAN_INTERVAL_MS: Millis = Millis(10);
+/// The most report requests in flight, not counting engines that are carrying out orders. A new
+/// orderer has to read all engines, and thousands of concurrent requests would leave it no time for
+/// the hosts.
+const MAX_REPORTS_IN_FLIGHT: usize = 200;
+/// The most orders planned for one service in one round.
+const MAX_ORDERS_PER_ROUND: usize = 32;
 
-/// The state of ordering at one host.
+/// One host's state of ordering loads. Most of it is used while the host is the orderer; every host
+/// keeps the lease and the name of the orderer.
 #[derive(Default)]
 pub struct Orders {
-    /// The lease as this host knows it.
+    /// The lease to order loads, as this host knows it.
     pub lease: Lease,
-    /// What the engines hold.
+    /// What the engines hold by their reports, and the orders they were sent.
     pub ledger: Ledger,
-    /// What the hosts are told of it.
+    /// What the hosts are told of the engines, versioned so that a host gets changes only.
     pub published: PublishedEngines,
-    /// The versions of the list of upstreams and of the desired state by which the engines were taken.
-    engines_as_of: Option<(u64, u64)>,
-    /// What callers ask for.
+    /// The versions of the list of upstreams and of the desired state at the last update of the
+    /// engines in the ledger.
+    engine_versions: Option<(u64, u64)>,
+    /// The demand and the work that the hosts report.
     pub book: Book,
-    told_holder: Option<Member>,
-    reports_under_way: usize,
-    /// When what callers wait for will be ready, as the last plan had it.
+    /// The orderer that another host named since this one last read or took the lease.
+    named_orderer: Option<Member>,
+    reports_in_flight: usize,
+    /// When each model or adapter that callers wait for is expected to be ready, by the last plan.
     pub ready_at: Vec<(ModelAsk, Millis)>,
-    /// The models whose copies are kept apart for long and for short prompts.
+    /// The models whose copies are divided into some for long and some for short prompts, by the
+    /// last plan.
     pub separate: Vec<Name>,
-    /// The load on the weight store, while this host orders.
+    /// The learned limit of concurrent loads from the weight store; none before the first plan of
+    /// this holding.
     pub ceiling: Option<Ceiling>,
-    /// Since when no other host was heard of.
-    pub alone_since: Option<Millis>,
-    /// Until when this host does not claim the lease.
-    pub yields_until: Millis,
-    /// The orderer that was last written to the log.
-    pub noted_holder: Option<u64>,
+    /// Since when the orderer has heard from no other host; none while it hears from some.
+    pub isolated_since: Option<Millis>,
+    /// Until when this host does not claim the lease, so that another host can.
+    pub no_claim_until: Millis,
+    /// The incarnation of the orderer that was last written to the log.
+    pub logged_orderer: Option<u64>,
 }
 
 impl Orders {
-    /// Returns how many loads the weight store serves at full speed, as far as any holder has learned it.
+    /// Returns how many concurrent loads the weight store serves at full speed, as this orderer or
+    /// else a former one has learned; nothing when none has.
     pub fn store_loads_at_once(&self) -> Option<usize> {
         let own = self.ceiling.as_ref().and_then(Ceiling::learned_at_once);
         own.or(self.lease.store_loads_at_once())
     }
 
-    /// Forgets the engines, because another host may order from now on.
+    /// Drops everything known of the engines, because another host may order from now on.
     pub fn forget_engines(&mut self) {
         self.ledger = Ledger::default();
-        self.engines_as_of = None;
+        self.engine_versions = None;
         self.ready_at = Vec::new();
     }
 
-    /// Returns the host that orders loads, as far as this one was told or has read, whichever came last.
+    /// Returns the orderer as far as this host knows: the one that another host named or the one in
+    /// the lease as read, whichever came last.
     pub fn holder(&self) -> Option<&Member> {
-        self.told_holder.as_ref().or(self.lease.holder())
+        self.named_orderer.as_ref().or(self.lease.holder())
     }
 
-    /// Takes note that a host was named as the orderer.
-    pub fn note_told(&mut self, orderer: Member) {
-        self.told_holder = Some(orderer);
+    /// Records that another host named the orderer.
+    pub fn note_named_orderer(&mut self, orderer: Member) {
+        self.named_orderer = Some(orderer);
     }
 
-    /// Takes note that the lease was read or taken: that is newer than what was told.
-    pub fn note_lease_known(&mut self) {
-        self.told_holder = None;
+    /// Records that the lease was read or taken, which is newer than what other hosts named.
+    pub fn note_lease_read(&mut self) {
+        self.named_orderer = None;
     }
 
-    /// Takes what the engines hold over into what the hosts are told.
+    /// Adds the changes in the ledger to what the hosts are told. Does nothing without the lease.
+    /// An engine whose entry in the list of upstreams says the same is left out, since every host
+    /// has the list.
     pub fn publish(&mut self, now: Millis, upstreams: &Registry) {
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
             return;
@@ -143,19 +155,19 @@
     adapters: usize,
 }
 
-/// The fields of a line about an error.
+/// The fields of a log line that reports an error.
 #[derive(Serialize)]
 pub struct ErrorLine<'a> {
-    /// The error.
+    /// The text of the error.
     pub error: &'a str,
 }
 
-/// Writes that a peer was refused.
-pub fn note_peer_refused(error: &str) {
+/// Writes the log line that a connection of another host was refused.
+pub fn log_peer_refused(error: &str) {
     lines::write(LogEvent::PeerRefused, &ErrorLine { error });
 }
 
-/// Plans and sends orders while this host holds the lease.
+/// Plans and sends orders while this host holds the lease. Runs until the process ends.
 pub async fn plan<P: Platform + 'static>(
     host: Rc<Host<P>>,
     me: Member,
@@ -163,8 +175,8 @@
 ) {
     loop {
         let want = host.next_want();
-        Timer::after(least_plan_ms(&host).to_duration()).await;
-        within(PLAN_MS, want).await;
+        Timer::after(min_plan_interval_ms(&host).to_duration()).await;
+        within(PLAN_INTERVAL_MS, want).await;
         let now = host.now();
         if !host.is_orderer() {
             continue;
@@ -172,26 +184,27 @@
         let Some(table) = host.routes.borrow().clone() else {
             continue;
         };
-        take_engines(&host, &table, now);
-        ask_reports(&host, &executor, now);
+        update_engines(&host, &table, now);
+        request_due_reports(&host, &executor, now);
         let unusable = unusable(&host, now);
         if host.orders.borrow().lease.may_order(now) {
             plan_orders(&host, &table, &unusable, now);
-            send_due(&host, &executor, &me, now);
+            send_due_orders(&host, &executor, &me, now);
         }
-        let ready_at = expect_ready(&host, &table, &unusable, now);
+        let ready_at = expected_ready_at(&host, &table, &unusable, now);
         let mut orders = host.orders.borrow_mut();
         orders.ready_at = ready_at;
         orders.separate = orders.book.separate(now);
     }
 }
 
-fn least_plan_ms<P: Platform>(host: &Host<P>) -> Millis {
-    Millis(LEAST_PLAN_MS.0 * host.tree.borrow().interval_factor(true))
+fn min_plan_interval_ms<P: Platform>(host: &Host<P>) -> Millis {
+    Millis(MIN_PLAN_INTERVAL_MS.0 * host.tree.borrow().interval_factor(true))
 }
 
-/// Returns when what callers wait for will be ready. It is worked out once a plan, not for each message of a host.
-fn expect_ready<P: Platform>(
+/// Returns when each model or adapter that callers wait for is expected to be ready. It is computed
+/// once a plan, since computing it for every message of a host would cost more.
+fn expected_ready_at<P: Platform>(
     host: &Host<P>,
     table: &RouteTable,
     unusable: &IndexSet<Name>,
@@ -218,14 +231,16 @@
     ready.collect()
 }
 
-fn take_engines<P: Platform>(host: &Host<P>, table: &RouteTable, now: Millis) {
+/// Updates the engines in the ledger when the list of upstreams or the desired state has changed,
+/// or the ledger dropped an engine that may still be listed.
+fn update_engines<P: Platform>(host: &Host<P>, table: &RouteTable, now: Millis) {
     let upstreams = host.upstreams.borrow();
     let mut orders = host.orders.borrow_mut();
-    let as_of = Some((upstreams.version(), table.version));
-    if orders.engines_as_of == as_of && !orders.ledger.lacks_engines() {
+    let versions = Some((upstreams.version(), table.version));
+    if orders.engine_versions == versions && !orders.ledger.lacks_engines() {
         return;
     }
-    orders.engines_as_of = as_of;
+    orders.engine_versions = versions;
     let is_engine = |service: &Name| {
         let service = table.services.get(service);
         service.is_some_and(|service| service.engine.is_some())
@@ -237,30 +252,30 @@
     orders.ledger.take_engines(now, engines);
 }
 
-fn ask_reports<P: Platform + 'static>(
+fn request_due_reports<P: Platform + 'static>(
     host: &Rc<Host<P>>,
     executor: &Rc<LocalExecutor<'static>>,
     now: Millis,
 ) {
     let due = {
         let mut orders = host.orders.borrow_mut();
-        let idle_most = MAX_REPORTS.saturating_sub(orders.reports_under_way);
-        let due = orders.ledger.due_reports(now, idle_most);
-        orders.reports_under_way += due.len();
+        let max_idle = MAX_REPORTS_IN_FLIGHT.saturating_sub(orders.reports_in_flight);
+        let due = orders.ledger.due_reports(now, max_idle);
+        orders.reports_in_flight += due.len();
         due
     };
     for id in due {
         let host = host.clone();
         executor
             .spawn(async move {
-                ask_report(&host, &id).await;
-                host.orders.borrow_mut().reports_under_way -= 1;
+                request_report(&host, &id).await;
+                host.orders.borrow_mut().reports_in_flight -= 1;
             })
             .detach();
     }
 }
 
-async fn ask_report<P: Platform>(host: &Host<P>, id: &Name) {
+async fn request_report<P: Platform>(host: &Host<P>, id: &Name) {
     let address = host
         .upstreams
         .borrow()
@@ -268,7 +283,7 @@
         .map(|upstream| upstream.address());
     let report = match address {
         Some(address) => host.platform.report(address, id).await,
-        None => Err("it is listed no longer".to_string()),
+        None => Err("the engine is no longer listed".to_string()),
     };
     if let Err(error) = &report {
         let line = ReportLine {
@@ -279,14 +294,14 @@
     }
     let report = report.ok();
     if let Some(report) = &report {
-        note_start(host, id, report.born_at);
+        note_engine_start(host, id, report.born_at);
     }
     let now = host.now();
     let mut orders = host.orders.borrow_mut();
     let was_known = orders.ledger.get(id).is_some_and(|engine| engine.is_known);
-    let is_answered = report.is_some();
+    let has_report = report.is_some();
     let loaded = orders.ledger.take_report(now, id, report);
-    if is_answered {
+    if has_report {
         learn_from_overdue(host, &mut orders, id, now);
     }
     if !was_known && let Some(engine) = orders.ledger.get(id).filter(|engine| engine.is_known) {
@@ -322,17 +337,19 @@
     }
 }
 
-/// Takes note of the start that an engine's report names: it may tell of a new one before the list does.
-fn note_start<P: Platform>(host: &Host<P>, id: &Name, born_at: Millis) {
+/// Records the start time that an engine's report names, since a report may show a restart before
+/// the list of upstreams does.
+fn note_engine_start<P: Platform>(host: &Host<P>, id: &Name, born_at: Millis) {
     let lifetime = Lifetime {
         id: id.clone(),
         born_at,
     };
     let change = host.upstreams.borrow_mut().note_restarted(&lifetime);
-    table_rows::note_upstream(host, id, &change, None);
+    table_rows::note_upstream_change(host, id, &change, None);
 }
 
-/// Lowers the number of loads at once when an engine says that it still carries out one that is overdue.
+/// Lowers the limit of concurrent loads when an engine reports that an overdue load is still
+/// running.
 fn learn_from_overdue<P: Platform>(host: &Host<P>, orders: &mut Orders, id: &str, now: Millis) {
     let engine = orders.ledger.get(id);
     let under_way: Vec<Loaded> = engine
@@ -382,7 +399,7 @@
     let ceiling = ceiling.get_or_insert_with(|| Ceiling::new(now, lease.store_loads_at_once()));
     let fence = lease.holding().map_or(0, |holding| holding.fence);
     for (service, spec) in engine_specs(table) {
-        for _ in 0..MAX_PLANNED {
+        for _ in 0..MAX_ORDERS_PER_ROUND {
             let planner = Planner {
                 now,
                 service,
@@ -418,7 +435,7 @@
     }
 }
 
-/// Returns the services whose upstreams are engines.
+/// Returns the services whose upstreams are engines, with their engine settings.
 fn engine_specs(table: &RouteTable) -> impl Iterator<Item = (&str, &EngineSpec)> {
     let services = table.services.iter();
     services.filter_map(|(name, service)| Some((&**name, service.engine.as_ref()?)))
@@ -433,7 +450,7 @@
     unusable.map(|upstream| upstream.entry.id.clone()).collect()
 }
 
-fn send_due<P: Platform + 'static>(
+fn send_due_orders<P: Platform + 'static>(
     host: &Rc<Host<P>>,
     executor: &Rc<LocalExecutor<'static>>,
     me: &Member,
@@ -471,7 +488,7 @@
         _ => OrderAnswer::NotSent,
     };
     let now = host.now();
-    let spec_load = {
+    let expected_load = {
         let routes = host.routes.borrow();
         let orders = host.orders.borrow();
         let service = orders.ledger.get(id).map(|engine| engine.service.clone());
@@ -481,7 +498,7 @@
         });
         spec.map(|spec| load_time(spec, &orders.ledger, id, &order.ask))
     };
-    let load = spec_load.unwrap_or_default();
+    let load = expected_load.unwrap_or_default();
     host.orders
         .borrow_mut()
         .ledger
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,7 +1,9 @@
-//! Calls between hosts over QUIC, each known by a certificate of its own that the group of hosts lists.
+//! Calls between hosts over QUIC. Each process has a certificate of its own, whose fingerprint the
+//! group of hosts lists.
 //!
-//! No secret is shared and no authority signs: a process makes its certificate when it starts and publishes its
-//! fingerprint with its membership, and a connection counts only between listed fingerprints.
+//! There is no shared secret and no certificate authority: a process makes its certificate when it
+//! starts and publishes the fingerprint with its membership. Both sides of a connection accept
+//! listed fingerprints only.
 
 use crate::edge::quic;
 use crate::entry::host::Host;
@@ -29,27 +31,28 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The name that every certificate carries; the fingerprint alone tells hosts apart.
+/// The server name in every certificate; only the fingerprint tells hosts apart.
 const SERVER_NAME: &str = "host.mangovale";
-/// The protocol's name and version.
+/// The name and version of the protocol, as negotiated by ALPN in the TLS handshake.
 const ALPN: &[u8] = b"mangovale-order/3";
-/// How long a call may take: round trips are a few milliseconds.
+/// The time-out of a call; a round trip takes a few milliseconds.
 pub const CALL_MS: Millis = Millis(700);
-/// How long a connection lives without traffic; a silent one is found by its first call.
-const IDLE: Duration = Duration::from_secs(5);
-/// The longest message: the changes of a large list of upstreams, or a whole group of hosts.
+/// How long a connection stays open without traffic. A dead one is detected by the first call that
+/// times out on it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The longest message: the changes of a large list of upstreams, or the whole list of hosts.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// Most calls of one peer at once.
+/// The most concurrent calls from one peer; each call is a stream.
 const MAX_STREAMS: u32 = 16;
-/// Bytes of one stream and of one connection that may be under way.
+/// The flow-control window of one stream and of one connection.
 const STREAM_WINDOW_BYTES: u32 = 256 << 10;
 
-/// The certificates that are accepted.
+/// The fingerprints of the certificates that are accepted from other hosts.
 #[derive(Debug, Default)]
 pub struct Known(Mutex<IndexSet<Name>>);
 
 impl Known {
-    /// Accepts these fingerprints from now on, and no others.
+    /// Accepts these fingerprints from now on, and no others. Open connections stay.
     pub fn replace(&self, fingerprints: IndexSet<Name>) {
         *self.lock() = fingerprints;
     }
@@ -58,7 +61,7 @@
         match self.lock().contains(&*fingerprint(certificate)) {
             true => Ok(()),
             false => Err(rustls::Error::General(
-                "the certificate is no member's".to_string(),
+                "the certificate is not of a listed host".to_string(),
             )),
         }
     }
@@ -70,29 +73,26 @@
     }
 }
 
-/// The calling and the answering side.
+/// The QUIC endpoint of this process, which makes and answers calls, and its open connections.
 pub struct Peers {
     endpoint: Endpoint,
-    /// The fingerprint of this process's certificate.
+    /// The SHA-256 fingerprint of this process's certificate, as hex digits.
     pub fingerprint: Name,
-    /// The certificates that are accepted.
+    /// The fingerprints that both sides of its connections accept; replaced when the list of hosts
+    /// changes.
     pub known: Arc<Known>,
     connections: RefCell<IndexMap<SocketAddr, Connection>>,
 }
 
 impl Peers {
-    /// Makes a certificate and binds the address. Tasks of QUIC run on `executor`.
-    ///
-    /// # Errors
-    ///
-    /// Returns why the address or the certificate cannot be used.
+    /// Makes a certificate and binds the UDP address. Tasks of QUIC run on `executor`.
     pub fn bind(
         address: SocketAddr,
         executor: Arc<Executor<'static>>,
     ) -> Result<Rc<Self>, EntryError> {
         let known = Arc::new(Known::default());
         let identity = Identity::make()?;
-        let verifier = Arc::new(Pinned::new(known.clone()));
+        let verifier = Arc::new(FingerprintVerifier::new(known.clone()));
         let socket = UdpSocket::bind(address).map_err(|source| EntryError::Listen {
             key: "peer_listen",
             address,
@@ -102,7 +102,7 @@
             EndpointConfig::default(),
             Some(identity.server_config(verifier.clone())?),
             socket,
-            Arc::new(OneThread { executor }),
+            Arc::new(SingleThreadRuntime { executor }),
         );
         let mut endpoint = endpoint.map_err(|source| EntryError::Listen {
             key: "peer_listen",
@@ -118,22 +118,18 @@
         }))
     }
 
-    /// Returns the address that other hosts connect to.
-    ///
-    /// # Errors
-    ///
-    /// Returns why the socket has none.
+    /// Returns the bound address, to which other hosts connect.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.endpoint.local_addr()
     }
 
-    /// Calls a peer. Returns nothing when no answer came in time.
+    /// Calls a peer. Returns nothing when there is no answer within [`CALL_MS`].
     pub async fn call(&self, address: SocketAddr, call: &PeerCall) -> Option<PeerReply> {
         let reply = within(CALL_MS, self.try_call(address, call))
             .await
             .flatten();
         if reply.is_none() {
-            // A connection that went silent is not used again.
+            // The connection may be dead, so the next call opens a new one.
             self.connections.borrow_mut().shift_remove(&address);
         }
         reply
@@ -150,9 +146,9 @@
     }
 
     async fn connection(&self, address: SocketAddr) -> Option<Connection> {
-        let kept = self.connections.borrow().get(&address).cloned();
-        if let Some(kept) = kept.filter(|kept| kept.close_reason().is_none()) {
-            return Some(kept);
+        let open = self.connections.borrow().get(&address).cloned();
+        if let Some(open) = open.filter(|open| open.close_reason().is_none()) {
+            return Some(open);
         }
         let connecting = self.endpoint.connect(address, SERVER_NAME).ok()?;
         let connection = connecting.await.ok()?;
@@ -163,7 +159,7 @@
     }
 }
 
-/// Answers peers until the endpoint closes.
+/// Answers calls of other hosts until the endpoint closes.
 pub async fn serve<P: Platform + 'static>(
     host: Rc<Host<P>>,
     peers: Rc<Peers>,
@@ -176,7 +172,7 @@
             match incoming.await {
                 Ok(connection) => serve_connection(host, connection, tasks).await,
                 Err(error) => {
-                    orderer::note_peer_refused(&error.to_string());
+                    orderer::log_peer_refused(&error.to_string());
                     host.note_unknown_peer();
                 }
             }
@@ -214,7 +210,7 @@
     }
 }
 
-/// Returns a certificate's fingerprint as hex digits.
+/// Returns the SHA-256 fingerprint of a certificate as hex digits.
 fn fingerprint(certificate: &CertificateDer<'_>) -> Name {
     let digest = ring::digest::digest(&ring::digest::SHA256, certificate);
     let digits = digest.as_ref().iter().map(|byte| format!("{byte:02x}"));
@@ -241,12 +237,18 @@
         (vec![self.certificate.clone()], key)
     }
 
-    fn server_config(&self, verifier: Arc<Pinned>) -> Result<ServerConfig, EntryError> {
+    fn server_config(
+        &self,
+        verifier: Arc<FingerprintVerifier>,
+    ) -> Result<ServerConfig, EntryError> {
         let provider = verifier.provider.clone();
         quic::server(provider, verifier, self.pair(), ALPN, transport()).map_err(setup_error)
     }
 
-    fn client_config(&self, verifier: Arc<Pinned>) -> Result<ClientConfig, EntryError> {
+    fn client_config(
+        &self,
+        verifier: Arc<FingerprintVerifier>,
+    ) -> Result<ClientConfig, EntryError> {
         let provider = verifier.provider.clone();
         quic::client(provider, verifier, self.pair(), ALPN, transport()).map_err(setup_error)
     }
@@ -259,7 +261,7 @@
     transport.stream_receive_window(STREAM_WINDOW_BYTES.into());
     transport.receive_window(STREAM_WINDOW_BYTES.into());
     transport.mtu_discovery_config(None);
-    if let Ok(idle) = IDLE.try_into() {
+    if let Ok(idle) = IDLE_TIMEOUT.try_into() {
         transport.max_idle_timeout(Some(idle));
     }
     transport
@@ -272,15 +274,15 @@
     }
 }
 
-/// Accepts the certificates that the group lists, on both sides. The handshake proves that the other side has
-/// the certificate's key.
+/// Verifies certificates on both sides of a connection: their fingerprints must be listed. The
+/// handshake proves that the other side has the certificate's key.
 #[derive(Debug)]
-struct Pinned {
+struct FingerprintVerifier {
     known: Arc<Known>,
     provider: Arc<CryptoProvider>,
 }
 
-impl Pinned {
+impl FingerprintVerifier {
     fn new(known: Arc<Known>) -> Self {
         Self {
             known,
@@ -303,12 +305,12 @@
         algorithms.supported_schemes()
     }
 
-    fn no_tls12() -> rustls::Error {
-        rustls::Error::General("only TLS 1.3 is spoken".to_string())
+    fn tls12_error() -> rustls::Error {
+        rustls::Error::General("only TLS 1.3 is supported".to_string())
     }
 }
 
-impl ServerCertVerifier for Pinned {
+impl ServerCertVerifier for FingerprintVerifier {
     fn verify_server_cert(
         &self,
         certificate: &CertificateDer<'_>,
@@ -327,7 +329,7 @@
         _certificate: &CertificateDer<'_>,
         _signed: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        Err(Self::no_tls12())
+        Err(Self::tls12_error())
     }
 
     fn verify_tls13_signature(
@@ -344,7 +346,7 @@
     }
 }
 
-impl ClientCertVerifier for Pinned {
+impl ClientCertVerifier for FingerprintVerifier {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -365,7 +367,7 @@
         _certificate: &CertificateDer<'_>,
         _signed: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        Err(Self::no_tls12())
+        Err(Self::tls12_error())
     }
 
     fn verify_tls13_signature(
@@ -382,13 +384,14 @@
     }
 }
 
-/// Runs QUIC's tasks on the process's one thread; a thread of their own would cost memory and switches.
+/// Runs the tasks of QUIC on the process's only thread; a thread of their own would cost memory and
+/// context switches.
 #[derive(Debug)]
-struct OneThread {
+struct SingleThreadRuntime {
     executor: Arc<Executor<'static>>,
 }
 
-impl Runtime for OneThread {
+impl Runtime for SingleThreadRuntime {
     fn new_timer(&self, at: Instant) -> Pin<Box<dyn AsyncTimer>> {
         SmolRuntime.new_timer(at)
     }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,4 +1,5 @@
-//! Passing an answer on to its caller, piece by piece, so that one that ends early never looks complete.
+//! Relays an upstream's answer to the caller piece by piece, in such a way that an answer which is
+//! cut short never looks complete.
 
 use crate::desired::Repeat;
 use crate::entry::ask::Ask;
@@ -18,24 +19,26 @@
 use crate::http1::{Framing, ReadError};
 use crate::prelude::*;
 
-/// How long after its time an answer is still passed on: the last piece may be on its way.
-const OVERTIME_MS: Millis = Millis(100);
-/// Most bytes of an event that is not whole yet.
+/// How long after the request's deadline an answer is still relayed, since its last piece may be on
+/// its way.
+const GRACE_MS: Millis = Millis(100);
+/// The most bytes that are buffered of an event which is not complete yet.
 const MAX_EVENT_BYTES: usize = 1 << 20;
-/// Most upstreams asked to go on with one broken stream.
-const MAX_RESUME_TRIES: usize = 3;
+/// The most upstreams that are tried to resume one interrupted stream.
+const MAX_RESUME_ATTEMPTS: usize = 3;
 
-/// How passing an answer on ended.
+/// How relaying an answer ended.
 pub enum Relayed {
-    /// The caller has all of it.
+    /// The caller has the complete answer.
     Whole,
-    /// The caller has a part; its connection must end.
+    /// The caller has a part of the answer, for this reason; its connection must be closed.
     Broken(&'static str),
-    /// The caller has nothing yet.
+    /// The caller has received nothing, for this reason; another answer can be sent.
     NotBegun(&'static str),
 }
 
-/// Passes an answer on.
+/// Relays an answer to the caller: at once when the host has all of it, event by event when it is
+/// an event stream, piece by piece otherwise.
 pub async fn relay<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -45,7 +48,7 @@
     answer: Box<StartedAnswer>,
 ) -> Relayed {
     if answer.reader.is_done() {
-        return relay_whole(host, ask, out, log, answer).await;
+        return relay_complete(host, ask, out, log, answer).await;
     }
     match ask.route.streams && answer.head.status == 200 {
         true => {
@@ -55,9 +58,9 @@
                 tries,
                 buffer: Vec::new(),
                 last_event_id: None,
-                begun: false,
-                began_at: host.now(),
-                last_piece_at: host.now(),
+                has_begun: false,
+                started_at: host.now(),
+                last_write_at: host.now(),
             };
             stream.run(out, log, answer).await
         }
@@ -65,7 +68,7 @@
     }
 }
 
-async fn relay_whole<P: Platform>(
+async fn relay_complete<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
     out: &mut CallerSide,
@@ -94,7 +97,7 @@
     }
 }
 
-/// Passes a long answer that is no stream of events on as it comes.
+/// Relays a long answer that is no event stream as it arrives.
 async fn relay_pieces<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
@@ -112,7 +115,7 @@
         return Relayed::Broken("the caller's connection broke");
     }
     loop {
-        let left_ms = (ask.ends_at + OVERTIME_MS).since(host.now());
+        let left_ms = (ask.ends_at + GRACE_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
             None => return Relayed::Broken("the time limit was reached"),
@@ -150,24 +153,24 @@
     log.course.first_byte_ms.get_or_insert(took_ms);
 }
 
-/// Passes a stream of events on. Only whole events are written, so that a resumed stream can go on after
-/// the last one.
+/// Relays an event stream. Only complete events are written, so that a resumed stream can continue
+/// after the last one.
 struct EventRelay<'a, P: Platform> {
     host: &'a Host<P>,
     ask: &'a Ask,
     tries: &'a mut Tries,
     buffer: Vec<u8>,
     last_event_id: Option<String>,
-    begun: bool,
-    began_at: Millis,
-    last_piece_at: Millis,
+    has_begun: bool,
+    started_at: Millis,
+    last_write_at: Millis,
 }
 
 enum Piece {
     Bytes(Vec<u8>),
     End,
-    Fault(&'static str),
-    OutOfTime,
+    Failed(&'static str),
+    DeadlineReached,
 }
 
 #[derive(Serialize)]
@@ -194,11 +197,11 @@
             match self.next_piece(&mut answer).await {
                 Piece::Bytes(bytes) => self.buffer.extend_from_slice(&bytes),
                 Piece::End => return self.finish(out, log, answer).await,
-                Piece::OutOfTime => return self.broken("the time limit was reached"),
-                Piece::Fault(why) => {
+                Piece::DeadlineReached => return self.broken("the time limit was reached"),
+                Piece::Failed(why) => {
                     crashes::note_broken_run(self.host, self.ask, &answer.upstream).await;
                     note_failure(self.host, &answer.upstream, self.host.now(), false);
-                    if !self.begun {
+                    if !self.has_begun {
                         return Relayed::NotBegun(why);
                     }
                     match self.resume(&answer.upstream.id, why, log).await {
@@ -213,25 +216,26 @@
         }
     }
 
-    /// Waits for more of the stream. Silence alone ends nothing: an engine that is out of memory puts a stream back and goes
-    /// on with it seconds later. An upstream that is gone resets the connection or leaves its probes unanswered.
+    /// Waits for more of the stream. Silence alone does not end it: an engine that runs out of
+    /// memory preempts a stream and continues it seconds later. An upstream that is gone resets the
+    /// connection or leaves its keep-alive probes unanswered.
     async fn next_piece(&self, answer: &mut StartedAnswer) -> Piece {
-        let ends_at = self.ask.ends_at + OVERTIME_MS;
+        let ends_at = self.ask.ends_at + GRACE_MS;
         let left_ms = ends_at.since(self.host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
-            None => Piece::OutOfTime,
+            None => Piece::DeadlineReached,
             Some(Ok(Some(_))) if self.buffer.len() > MAX_EVENT_BYTES => {
-                Piece::Fault("an event is too long")
+                Piece::Failed("an event is too long")
             }
             Some(Ok(Some(bytes))) => Piece::Bytes(bytes),
             Some(Ok(None)) => Piece::End,
-            Some(Err(ReadError::Ended)) => Piece::Fault("the upstream closed before the end"),
-            Some(Err(_)) => Piece::Fault("the upstream broke off"),
+            Some(Err(ReadError::Ended)) => Piece::Failed("the upstream closed before the end"),
+            Some(Err(_)) => Piece::Failed("the upstream broke off"),
         }
     }
 
-    /// Writes the whole events of the buffer.
+    /// Writes the complete events in the buffer to the caller.
     async fn write_events(
         &mut self,
         out: &mut CallerSide,
@@ -249,9 +253,9 @@
         self.begin(out, log, answer).await?;
         log.course.events += count_events(&events);
         let now = self.host.now();
-        let gap_ms = now.since(self.last_piece_at);
+        let gap_ms = now.since(self.last_write_at);
         log.course.longest_gap_ms = log.course.longest_gap_ms.max(gap_ms);
-        self.last_piece_at = now;
+        self.last_write_at = now;
         out.piece(&events).await
     }
 
@@ -261,11 +265,11 @@
         log: &mut CourseLog<'_, P>,
         answer: &StartedAnswer,
     ) -> std::io::Result<()> {
-        if std::mem::replace(&mut self.begun, true) {
+        if std::mem::replace(&mut self.has_begun, true) {
             return Ok(());
         }
-        self.began_at = self.host.now();
-        self.last_piece_at = self.began_at;
+        self.started_at = self.host.now();
+        self.last_write_at = self.started_at;
         note_first_byte(self.host, self.ask, log);
         let form = match answer.head.framing {
             Framing::Length(length) => BodyForm::Length(length),
@@ -283,7 +287,7 @@
         let rest = std::mem::take(&mut self.buffer);
         let begun = self.begin(out, log, &answer).await;
         if self.ask.at_engine {
-            let took_ms = self.host.now().since(self.began_at);
+            let took_ms = self.host.now().since(self.started_at);
             self.host.note_occupied(&self.ask.service, took_ms);
         }
         let written = match begun {
@@ -309,7 +313,7 @@
     }
 
     fn broken(&self, why: &'static str) -> Relayed {
-        match self.begun {
+        match self.has_begun {
             true => Relayed::Broken(why),
             false => Relayed::NotBegun(why),
         }
@@ -320,7 +324,7 @@
         route.repeat == Repeat::Resumable && self.tries.runs + 1 < route.attempts
     }
 
-    /// Goes on with a broken stream at another upstream, after the last event that the caller has.
+    /// Resumes an interrupted stream at another upstream, after the last event that the caller has.
     async fn resume(
         &mut self,
         from: &Name,
@@ -336,7 +340,7 @@
         let after = self.last_event_id.clone()?;
         self.tries.note_perhaps_run(from.clone());
         let mut resumed = None;
-        for _ in 0..MAX_RESUME_TRIES {
+        for _ in 0..MAX_RESUME_ATTEMPTS {
             let Some(upstream) = choose(self.host, self.ask, self.tries) else {
                 break;
             };
@@ -373,28 +377,29 @@
     }
 }
 
-/// Returns where the last whole event ends.
+/// Returns the length of the complete events at the beginning of `bytes`; nothing when no event is
+/// complete.
 pub fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let end = |mark: &[u8]| {
+    let end = |separator: &[u8]| {
         bytes
-            .windows(mark.len())
-            .rposition(|window| window == mark)
-            .map(|at| at + mark.len())
+            .windows(separator.len())
+            .rposition(|window| window == separator)
+            .map(|at| at + separator.len())
     };
     end(b"\n\n").max(end(b"\r\n\r\n"))
 }
 
 fn count_events(events: &[u8]) -> u32 {
-    let ends = |mark: &[u8]| {
+    let ends = |separator: &[u8]| {
         events
-            .windows(mark.len())
-            .filter(|window| *window == mark)
+            .windows(separator.len())
+            .filter(|window| *window == separator)
             .count()
     };
     ends(b"\n\n").max(ends(b"\r\n\r\n")) as u32
 }
 
-/// Returns the id of the last event that has one.
+/// Returns the id of the last event in `events` that has one.
 pub fn last_event_id(events: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(events).ok()?;
     text.lines()
--- a/src/entry/sources.rs
+++ b/src/entry/sources.rs
@@ -1,4 +1,4 @@
-//! The hosts from which this one may take what the platform's tables say, in place of the store.
+//! The hosts from which this one may fetch the platform's tables instead of reading the store.
 
 use crate::entry::host::Host;
 use crate::entry::peers::Peers;
@@ -7,23 +7,24 @@
 use crate::group::parents::MAX_RELAYS;
 use std::rc::Rc;
 
-/// The hosts that this one may ask.
+/// What a host needs to fetch tables from its relays.
 #[derive(Clone)]
 pub struct Sources {
-    /// Calls of other hosts.
+    /// The endpoint for calls to other hosts.
     pub peers: Rc<Peers>,
-    /// This host.
+    /// This host, as the group lists it.
     pub me: Member,
 }
 
 impl Sources {
-    /// Returns the relays that may have what this host lacks, none while they would refuse it; nothing when it reads the
-    /// store itself, since it orders or relays, or the site has no relays.
+    /// Returns the relays to ask, in order; an empty list while they would refuse this host.
+    /// Returns nothing when this host is to read the store itself, since it orders or relays, or
+    /// the site has no relays.
     pub fn relays<P: Platform>(&self, host: &Host<P>) -> Option<Vec<Member>> {
         if host.is_orderer() || host.is_relay() {
             return None;
         }
-        // It may be listed in a moment, in a site that has relays then.
+        // The group may list this host in a moment, and the site may have relays then.
         if host.is_unknown_to_others(&self.me) {
             return Some(Vec::new());
         }
@@ -34,7 +35,7 @@
     }
 }
 
-/// Tells whether a host gives others what it read of the store's tables.
-pub fn is_source<P: Platform>(host: &Host<P>) -> bool {
+/// Tells whether other hosts may fetch from this one what it read of the store's tables.
+pub fn serves_tables<P: Platform>(host: &Host<P>) -> bool {
     host.is_relay() || host.is_orderer()
 }
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -1,5 +1,5 @@
-//! What hosts and the orderer tell each other, in large sites through relays: demand and work one way, what engines
-//! hold the other way.
+//! The exchange of state between hosts and the orderer, in large sites through relays. Hosts report
+//! demand and work; the orderer tells them what the engines hold.
 
 use crate::entry::crashes;
 use crate::entry::host::Host;
@@ -16,13 +16,16 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How often a host speaks with the orderer or its relay, and how often while a request waits for a model, where few hosts
-/// speak with the same one; see [`Tree::interval_factor`](crate::group::Tree::interval_factor).
+/// How often a host exchanges state with the orderer or its relay when nothing is urgent. This and
+/// the intervals below hold while few hosts share the same peer, and grow with their number; see
+/// [`Tree::interval_factor`](crate::group::Tree::interval_factor).
 pub const SYNC_MS: Millis = Millis(250);
-const WAITING_SYNC_MS: Millis = Millis(30);
-const LEAST_SYNC_MS: Millis = Millis(4);
+/// The interval while a request waits for a model.
+const WAITING_SYNC_INTERVAL_MS: Millis = Millis(30);
+/// The minimum pause between two exchanges.
+const MIN_SYNC_INTERVAL_MS: Millis = Millis(4);
 
-/// Answers a host that tells its demand: as the orderer, or as a relay by what the orderer said last.
+/// Answers another host's report: as the orderer, or as a relay with what the orderer last said.
 pub fn answer<P: Platform>(host: &Host<P>, ask: SyncAsk) -> SyncReply {
     match (host.is_orderer(), host.is_relay() && !ask.is_for_orderer) {
         (true, _) => answer_as_orderer(host, ask),
@@ -42,16 +45,16 @@
 fn answer_as_orderer<P: Platform>(host: &Host<P>, mut ask: SyncAsk) -> SyncReply {
     let now = host.now();
     if ask.incarnation != host.incarnation {
-        take_counts(host, &ask);
+        add_counts(host, &ask);
     }
     let totals = totals(host, &ask);
     let mut orders = host.orders.borrow_mut();
     let Some(holding) = orders.lease.holding().cloned() else {
         return SyncReply::NoNews { totals };
     };
-    let wants = ask.demand.iter().any(|(_, count)| count.waiting > 0);
+    let has_waiting = ask.demand.iter().any(|(_, count)| count.waiting > 0);
     orders.book.take(now, ask.incarnation, ask.take_report());
-    if wants {
+    if has_waiting {
         host.note_want();
     }
     orders.publish(now, &host.upstreams.borrow());
@@ -74,7 +77,7 @@
 
 fn answer_as_relay<P: Platform>(host: &Host<P>, mut ask: SyncAsk) -> SyncReply {
     let now = host.now();
-    take_counts(host, &ask);
+    add_counts(host, &ask);
     let totals = totals(host, &ask);
     let mut gather = host.gather.borrow_mut();
     gather.take(now, ask.incarnation, ask.take_report());
@@ -103,14 +106,14 @@
     }))
 }
 
-/// Takes what a host reports to be added up.
-fn take_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
+/// Adds the counts that a host reports to this host's totals.
+fn add_counts<P: Platform>(host: &Host<P>, ask: &SyncAsk) {
     limits::take_usage(host, &ask.usage);
     upstream_limits::take_report(host, &ask.upstream_limits);
     crashes::take_report(host, &ask.crashes);
 }
 
-/// Returns what is added up, for a host that reported to it.
+/// Returns the totals for a host that reported its counts to this one.
 fn totals<P: Platform>(host: &Host<P>, ask: &SyncAsk) -> Totals {
     Totals {
         limits: limits::news(host),
@@ -119,25 +122,27 @@
     }
 }
 
-/// Tells the orderer this host's demand, itself or through a relay, and takes what it says, again and again: at once
-/// when a request waits for a model or a long prompt begins or ends, else now and then.
+/// Exchanges state with the orderer, directly or through a relay, until the process ends: at once
+/// when a request begins to wait for a model or a long prompt begins or ends, otherwise at
+/// intervals.
 pub async fn sync<P: Platform>(host: Rc<Host<P>>, peers: Rc<Peers>, me: Member) {
-    let mut waited_for = false;
+    let mut has_waiting = false;
     let mut is_answered = true;
     loop {
-        Timer::after(stretched(&host, LEAST_SYNC_MS).to_duration()).await;
+        Timer::after(scaled_ms(&host, MIN_SYNC_INTERVAL_MS).to_duration()).await;
         let is_urgent = match is_answered {
-            true => host.wait_for_news(interval_ms(&host, waited_for)).await,
+            true => host.wait_for_news(interval_ms(&host, has_waiting)).await,
             false => true,
         };
         let asked_at = host.now();
-        let ask = sync_ask(&host, &me, is_urgent);
-        waited_for = ask.demand.iter().any(|(_, count)| count.waiting > 0);
+        let ask = build_ask(&host, &me, is_urgent);
+        has_waiting = ask.demand.iter().any(|(_, count)| count.waiting > 0);
         is_answered = exchange(&host, &peers, &me, asked_at, ask).await;
     }
 }
 
-/// Asks the parent. Returns false when another one is to be asked at once.
+/// Sends a report to the orderer or a relay, and applies the reply. Returns false when another
+/// relay is to be asked at once.
 async fn exchange<P: Platform>(
     host: &Host<P>,
     peers: &Peers,
@@ -146,7 +151,7 @@
     ask: SyncAsk,
 ) -> bool {
     if host.is_orderer() {
-        take_reply(host, asked_at, answer(host, ask));
+        apply_reply(host, asked_at, answer(host, ask));
         return true;
     }
     if host.is_unknown_to_others(me) {
@@ -166,22 +171,23 @@
         }
         let orderer = host.orders.borrow().holder().cloned();
         if let Some(orderer) = orderer
-            && let Some(reply) = ask_peer(peers, orderer.peer_address, ask).await
+            && let Some(reply) = call_peer(peers, orderer.peer_address, ask).await
         {
-            take_reply(host, asked_at, reply);
+            apply_reply(host, asked_at, reply);
         }
         return true;
     };
-    let reply = ask_peer(peers, relay.peer_address, ask).await;
-    note_relay(host, &relay, reply.as_ref())
+    let reply = call_peer(peers, relay.peer_address, ask).await;
+    note_relay_answer(host, &relay, reply.as_ref())
         && reply.is_some_and(|reply| {
-            take_reply(host, asked_at, reply);
+            apply_reply(host, asked_at, reply);
             true
         })
 }
 
-/// Reports what this host counts to the first collector while nobody orders, so that it is known for the whole site: the
-/// share that one relay's hosts have of a limit seldom holds a whole request, and each of them sees few crashes.
+/// Reports this host's counts to the collector collector while there is no orderer, so that they
+/// are added up for the whole site. One relay's hosts alone have a share of a limit that seldom
+/// covers a whole request, and see few crashes.
 async fn report_to_collector<P: Platform>(
     host: &Host<P>,
     peers: &Peers,
@@ -189,34 +195,36 @@
     asked_at: Millis,
     ask: &mut SyncAsk,
 ) {
-    let first = {
+    let collector = {
         let tree = host.tree.borrow();
         let parents = host.parents.borrow();
         let mut collectors = tree.collectors().iter();
         collectors
-            .find(|first| !parents.has_failed(asked_at, first))
+            .find(|collector| !parents.has_failed(asked_at, collector))
             .cloned()
     };
-    let Some(first) = first.filter(|first| first.incarnation != me.incarnation) else {
+    let Some(collector) = collector.filter(|collector| collector.incarnation != me.incarnation)
+    else {
         return;
     };
-    let use_alone = SyncAsk {
+    let counts_only = SyncAsk {
         is_for_orderer: false,
         demand: Vec::new(),
         work: Vec::new(),
         ..ask.clone()
     };
-    match ask_peer(peers, first.peer_address, use_alone).await {
-        Some(SyncReply::NoNews { totals }) => take_totals(host, asked_at, totals),
-        Some(SyncReply::News(news)) => take_totals(host, asked_at, news.totals),
-        // In a small site no host relays.
+    match call_peer(peers, collector.peer_address, counts_only).await {
+        Some(SyncReply::NoNews { totals }) => apply_totals(host, asked_at, totals),
+        Some(SyncReply::News(news)) => apply_totals(host, asked_at, news.totals),
+        // In a small site the collector is no relay, and returns only the requests that crash
+        // upstreams.
         Some(SyncReply::NotOrderer { crashes, .. }) => {
             crashes::take_news(host, &crashes);
             ask.crashes.evidence.clear();
             return;
         }
         None => {
-            host.parents.borrow_mut().note_failed(asked_at, &first);
+            host.parents.borrow_mut().note_failed(asked_at, &collector);
             return;
         }
     }
@@ -225,15 +233,19 @@
     ask.crashes.evidence.clear();
 }
 
-async fn ask_peer(peers: &Peers, address: SocketAddr, ask: SyncAsk) -> Option<SyncReply> {
+async fn call_peer(peers: &Peers, address: SocketAddr, ask: SyncAsk) -> Option<SyncReply> {
     match peers.call(address, &PeerCall::Sync(ask)).await? {
         PeerReply::Sync(reply) => Some(reply),
         PeerReply::AppendedLease(_) | PeerReply::List(_) | PeerReply::Desired(_) => None,
     }
 }
 
-/// Takes note of a relay's answer. Returns whether it relays.
-fn note_relay<P: Platform>(host: &Host<P>, relay: &Member, reply: Option<&SyncReply>) -> bool {
+/// Records whether a relay answered. Returns false when it did not, or is not a relay.
+fn note_relay_answer<P: Platform>(
+    host: &Host<P>,
+    relay: &Member,
+    reply: Option<&SyncReply>,
+) -> bool {
     let now = host.now();
     let mut parents = host.parents.borrow_mut();
     match reply {
@@ -247,22 +259,23 @@
     true
 }
 
-/// Returns how often this host speaks with the orderer or its relay when nothing cannot wait.
-pub fn interval_ms<P: Platform>(host: &Host<P>, waited_for: bool) -> Millis {
-    match waited_for {
-        true => stretched(host, WAITING_SYNC_MS),
-        false => stretched(host, SYNC_MS),
+/// Returns how often this host exchanges state when nothing is urgent; `has_waiting` is whether a
+/// request waits for a model.
+pub fn interval_ms<P: Platform>(host: &Host<P>, has_waiting: bool) -> Millis {
+    match has_waiting {
+        true => scaled_ms(host, WAITING_SYNC_INTERVAL_MS),
+        false => scaled_ms(host, SYNC_MS),
     }
 }
 
-/// Returns an interval of a small site as long as it must be with the hosts that speak with the same one.
-fn stretched<P: Platform>(host: &Host<P>, interval_ms: Millis) -> Millis {
+/// Returns the interval, lengthened by the number of hosts that share the same peer.
+fn scaled_ms<P: Platform>(host: &Host<P>, interval_ms: Millis) -> Millis {
     let tree = host.tree.borrow();
     let is_direct = host.is_orderer() || tree.is_relay(host.incarnation);
     Millis(interval_ms.0 * tree.interval_factor(is_direct))
 }
 
-/// Returns this host's own work at each upstream.
+/// Returns the work that this host itself has in flight at each upstream.
 fn own_work<P: Platform>(host: &Host<P>) -> IndexMap<Name, Work> {
     let upstreams = host.upstreams.borrow();
     let work = upstreams.busy().map(|upstream| {
@@ -276,7 +289,7 @@
     work.collect()
 }
 
-fn sync_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
+fn build_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
     let mut work = own_work(host);
     let mut gather = host.gather.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
@@ -299,9 +312,9 @@
     }
 }
 
-fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, reply: SyncReply) {
+fn apply_reply<P: Platform>(host: &Host<P>, asked_at: Millis, reply: SyncReply) {
     match reply {
-        SyncReply::NoNews { totals } => take_totals(host, asked_at, totals),
+        SyncReply::NoNews { totals } => apply_totals(host, asked_at, totals),
         SyncReply::NotOrderer {
             resignation,
             crashes,
@@ -315,17 +328,17 @@
             }
             host.view.borrow_mut().answered_at = None;
         }
-        SyncReply::News(news) => take_news(host, asked_at, *news),
+        SyncReply::News(news) => apply_news(host, asked_at, *news),
     }
 }
 
-fn take_totals<P: Platform>(host: &Host<P>, asked_at: Millis, totals: Totals) {
+fn apply_totals<P: Platform>(host: &Host<P>, asked_at: Millis, totals: Totals) {
     limits::take_reply(host, asked_at, totals.limits);
     crashes::take_news(host, &totals.crashes);
     upstream_limits::take_news(host, asked_at, totals.upstream_limits);
 }
 
-fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererNews) {
+fn apply_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererNews) {
     let now = host.now();
     let OrdererNews {
         age_ms,
@@ -339,10 +352,10 @@
         members,
         totals,
     } = news;
-    take_totals(host, asked_at, totals);
+    apply_totals(host, asked_at, totals);
     if !host.is_orderer() {
         let mut orders = host.orders.borrow_mut();
-        orders.note_told(orderer);
+        orders.note_named_orderer(orderer);
         if let Some(end) = lease_end {
             orders.lease.note_told_end(now, end);
         }
@@ -354,7 +367,7 @@
             host.upstreams.borrow_mut().note_heard(now);
         }
         if let Some(members) = members {
-            host.take_members_news(members);
+            host.apply_members_news(members);
         }
     }
     let mut view = host.view.borrow_mut();
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -1,22 +1,22 @@
-//! What rows of the platform's tables change at this host, and the log lines about it.
+//! Applies rows of the platform's tables to this host's state, and writes the log lines about them.
 
 use crate::desired::{DesiredState, RouteTable};
 use crate::entry::host::Host;
 use crate::entry::lines;
 use crate::entry::platform::{Platform, RowValue, Table, TableRow};
-use crate::entry::sources::is_source;
+use crate::entry::sources::serves_tables;
 use crate::prelude::*;
 use crate::upstreams::UpstreamEntry;
 use crate::upstreams::registry::Change;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A line about a table of the platform.
+/// The fields of a log line about a table of the platform.
 #[derive(Serialize)]
 pub struct TableLine<'a> {
-    /// The table's name.
+    /// The name of the table.
     pub table: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with it; empty when the event says it.
     pub error: &'a str,
 }
 
@@ -43,43 +43,45 @@
     models: Vec<&'a str>,
 }
 
-/// A whole list of upstreams.
-pub struct WholeList {
-    /// When it was no older than the store's.
+/// The whole list of upstreams, read or fetched at once.
+pub struct UpstreamList {
+    /// The time as of which the list is at least as new as the store's, by this host's clock.
     pub as_of: Millis,
-    /// The relay that gave it; nothing when it was read from the store.
+    /// The relay that sent the list; none when it was read from the store.
     pub from: Option<SocketAddr>,
-    /// The entries.
+    /// The entries of the upstreams.
     pub entries: Vec<UpstreamEntry>,
-    /// The names under which stands what names no upstream.
+    /// The keys under which the newest record is unreadable.
     pub unreadable: Vec<Name>,
 }
 
-/// Takes a row of a table.
-pub fn take_row<P: Platform>(host: &Host<P>, table: Table, row: TableRow) {
+/// Applies a changed row of a table.
+pub fn apply_row<P: Platform>(host: &Host<P>, table: Table, row: TableRow) {
     match table {
-        Table::Desired => take_desired(host, row),
-        Table::Upstreams => take_upstream(host, row),
+        Table::Desired => apply_desired_row(host, row),
+        Table::Upstreams => apply_upstream_row(host, row),
     }
 }
 
-/// Takes the newest rows of all keys of a table.
-pub fn take_table<P: Platform>(host: &Host<P>, table: Table, rows: Vec<TableRow>) {
+/// Applies the newest rows of all keys of a table.
+pub fn apply_table<P: Platform>(host: &Host<P>, table: Table, rows: Vec<TableRow>) {
     match table {
-        Table::Desired => rows.into_iter().for_each(|row| take_desired(host, row)),
-        Table::Upstreams => take_list(host, list_of(host.now(), rows)),
+        Table::Desired => rows
+            .into_iter()
+            .for_each(|row| apply_desired_row(host, row)),
+        Table::Upstreams => apply_list(host, list_from_rows(host.now(), rows)),
     }
 }
 
-fn take_desired<P: Platform>(host: &Host<P>, row: TableRow) {
+fn apply_desired_row<P: Platform>(host: &Host<P>, row: TableRow) {
     match row.value {
-        RowValue::Desired(state) => put_in_force(host, Arc::new(state)),
-        RowValue::Unreadable(why) => note_unreadable(Table::Desired, &why),
+        RowValue::Desired(state) => activate_desired_state(host, Arc::new(state)),
+        RowValue::Unreadable(why) => log_unreadable(Table::Desired, &why),
         RowValue::Upstream(_) | RowValue::Removed => {}
     }
 }
 
-fn note_unreadable(table: Table, why: &str) {
+fn log_unreadable(table: Table, why: &str) {
     let line = TableLine {
         table: table.name(),
         error: why,
@@ -87,14 +89,15 @@
     lines::write(LogEvent::RecordUndecodable, &line);
 }
 
-/// Takes a desired state with a higher version; within one life of a process no version is replaced by a lower.
-pub fn put_in_force<P: Platform>(host: &Host<P>, state: Arc<DesiredState>) {
+/// Puts a desired state in force if its version is higher than the present one. Within the life of
+/// a process no version is replaced by a lower one.
+pub fn activate_desired_state<P: Platform>(host: &Host<P>, state: Arc<DesiredState>) {
     let former = host.routes.borrow().as_ref().map(|table| table.version);
     if former.is_some_and(|former| former >= state.version) {
         return;
     }
     host.followed
-        .keep_desired(is_source(host).then(|| state.clone()));
+        .share_desired(serves_tables(host).then(|| state.clone()));
     let table = RouteTable::new(Arc::unwrap_or_clone(state));
     let line = DesiredLine {
         version: table.version,
@@ -111,8 +114,8 @@
     host.note_change();
 }
 
-fn list_of(as_of: Millis, rows: Vec<TableRow>) -> WholeList {
-    let mut list = WholeList {
+fn list_from_rows(as_of: Millis, rows: Vec<TableRow>) -> UpstreamList {
+    let mut list = UpstreamList {
         as_of,
         from: None,
         entries: Vec::new(),
@@ -122,7 +125,7 @@
         match row.value {
             RowValue::Upstream(entry) => list.entries.push(entry),
             RowValue::Unreadable(why) => {
-                note_unreadable(Table::Upstreams, &why);
+                log_unreadable(Table::Upstreams, &why);
                 list.unreadable.push(row.key);
             }
             RowValue::Desired(_) | RowValue::Removed => {}
@@ -131,8 +134,9 @@
     list
 }
 
-/// Takes a whole list. This host's first one is one line of the log, later ones are a line for each change.
-pub fn take_list<P: Platform>(host: &Host<P>, list: WholeList) {
+/// Replaces the list of upstreams. The first list of this process is one line of the log, later
+/// lists are one line for each change.
+pub fn apply_list<P: Platform>(host: &Host<P>, list: UpstreamList) {
     let line = ListLine {
         upstreams: list.entries.len(),
         from: list.from,
@@ -140,7 +144,7 @@
     let changes = replace_upstreams(host, list);
     if host.upstreams_known.replace(true) {
         for (id, change) in changes {
-            note_upstream(host, &id, &change, None);
+            note_upstream_change(host, &id, &change, None);
         }
     } else {
         lines::write(LogEvent::ListTaken, &line);
@@ -148,7 +152,7 @@
     host.note_change();
 }
 
-fn replace_upstreams<P: Platform>(host: &Host<P>, list: WholeList) -> Vec<(Name, Change)> {
+fn replace_upstreams<P: Platform>(host: &Host<P>, list: UpstreamList) -> Vec<(Name, Change)> {
     let mut registry = host.upstreams.borrow_mut();
     registry.note_heard(list.as_of);
     let dropped = list.unreadable.into_iter().map(|id| {
@@ -160,23 +164,25 @@
     changes
 }
 
-fn take_upstream<P: Platform>(host: &Host<P>, row: TableRow) {
+fn apply_upstream_row<P: Platform>(host: &Host<P>, row: TableRow) {
     let change = match row.value {
         RowValue::Upstream(entry) => host.upstreams.borrow_mut().put(entry),
         RowValue::Removed => host.upstreams.borrow_mut().remove(host.now(), &row.key),
         RowValue::Unreadable(why) => {
-            note_unreadable(Table::Upstreams, &why);
-            // The newest entry under the name is no upstream's, so the name stands for none until one writes again.
+            log_unreadable(Table::Upstreams, &why);
+            // The newest record under this key is no upstream's, so the key stands for none until
+            // an upstream writes again.
             host.upstreams.borrow_mut().drop_unreadable(&row.key)
         }
         RowValue::Desired(_) => return,
     };
-    note_upstream(host, &row.key, &change, Some(row.offset));
+    note_upstream_change(host, &row.key, &change, Some(row.offset));
     host.note_change();
 }
 
-/// Writes the line about a change of an upstream, and forgets what was known of a start that is over.
-pub fn note_upstream<P: Platform>(
+/// Writes the log line about a change of an upstream. When its process has ended, drops the
+/// connections to it and what is known of models that it lacks.
+pub fn note_upstream_change<P: Platform>(
     host: &Host<P>,
     id: &str,
     change: &Change,
@@ -208,7 +214,7 @@
     lines::write(event, &line);
 }
 
-/// Writes the line about an upstream that is used no longer.
+/// Writes the log line about an upstream that is no longer used.
 pub fn note_gone(id: &str, change: &'static str) {
     let line = UpstreamLine {
         upstream: id,
--- a/src/entry/tests/followed.rs
+++ b/src/entry/tests/followed.rs
@@ -67,8 +67,8 @@
     assert_eq!(next, Next::Read);
 }
 
-/// A table that grows, an orderer that reads it with delay, and a host that gets the orderer's words late, lost or out
-/// of order.
+/// A table that grows, an orderer that reads it with delay, and a host that gets the orderer's
+/// words late, lost or out of order.
 struct Site {
     now: Millis,
     written: Vec<Millis>,
@@ -191,8 +191,8 @@
     assert_eq!(offered.len(), 2);
 }
 
-/// A poll of seconds that ends without rows was asked before the orderer's last words; a host that went by its own asking
-/// alone would poll again at once, for ever.
+/// A poll of seconds that ends without rows was asked before the orderer's last words; a host that
+/// went by its own asking alone would poll again at once, for ever.
 #[test]
 fn a_poll_that_ends_does_not_undo_what_the_orderer_confirmed_meanwhile() {
     let host = Followed::default();
@@ -208,7 +208,7 @@
 #[test]
 fn a_page_that_was_cut_off_says_nothing_of_how_new_the_list_is() {
     let orderer = orderer(Millis(1_000), 0, 5);
-    orderer.note_part_read(Table::Upstreams, Offset(3_000));
+    orderer.note_partial_read(Table::Upstreams, Offset(3_000));
     let end = orderer.end(Millis(4_000), Table::Upstreams);
     let expected = TableEnd {
         end: Offset(3_000),
@@ -217,7 +217,8 @@
     assert_eq!(end, Some(expected));
 }
 
-/// Guards against relays that keep fewer rows than come between two messages while upstreams write their first entries.
+/// Guards against relays that keep fewer rows than come between two messages while upstreams write
+/// their first entries.
 #[test]
 fn the_rows_of_a_list_that_is_being_written_are_passed_on() {
     let relay = Followed::default();
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -68,7 +68,7 @@
         gone: Vec::new(),
     });
     view.take_work(work(10));
-    host.orders.borrow_mut().note_told(member(1, "there", 500));
+    host.orders.borrow_mut().note_named_orderer(member(1, "there", 500));
 }
 
 fn news(reply: SyncReply) -> OrdererNews {
