--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -16,8 +16,8 @@
 /// How often a host renews its membership. The call costs a tenth of others, and the host learns of
 /// a change of the group with the next one.
 const JOIN_INTERVAL_MS: Millis = Millis(1_000);
-/// How long a member stays listed without a renewal, so that one may be lost. A suspended host is
-/// named to callers for that long, and they send to it.
+/// How long a member stays listed without a renewal, so that one may be lost. A host whose process
+/// is suspended is named to callers for that long, and they send to it.
 const LAPSE_MS: Millis = Millis(2_200);
 /// For how long after its start a host that hears no orderer reads the group often; the memberships
 /// of the previous processes have lapsed by then.
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -135,7 +135,7 @@
             false => true,
         };
         let asked_at = host.now();
-        let ask = build_ask(&host, &me, is_urgent);
+        let ask = build_request(&host, &me, is_urgent);
         has_waiting = ask.demand.iter().any(|(_, count)| count.waiting > 0);
         is_answered = exchange(&host, &peers, &me, asked_at, ask).await;
     }
@@ -185,9 +185,9 @@
         })
 }
 
-/// Reports this host's counts to the collector collector while there is no orderer, so that they
-/// are added up for the whole site. One relay's hosts alone have a share of a limit that seldom
-/// covers a whole request, and see few crashes.
+/// Reports this host's counts to the first reachable collector while there is no orderer, so that
+/// they are added up for the whole site. One relay's hosts alone have a share of a limit that
+/// seldom covers a whole request, and see few crashes.
 async fn report_to_collector<P: Platform>(
     host: &Host<P>,
     peers: &Peers,
@@ -289,7 +289,7 @@
     work.collect()
 }
 
-fn build_ask<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
+fn build_request<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
     let mut work = own_work(host);
     let mut gather = host.gather.borrow_mut();
     let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -1,4 +1,4 @@
-//! An entry host over loopback sockets, with a platform that lives in memory and upstreams that follow a script.
+//! Tests of an entry host over loopback sockets, with a platform in memory and scripted upstreams.
 
 mod answers;
 mod callers;
--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -1,4 +1,5 @@
-//! Desired states in quick succession reach a host from its relay, whatever the store answers it.
+//! Desired states in quick succession reach a host through its relay, whatever the store answers
+//! it.
 
 use super::fake_platform::FakePlatform;
 use super::relay_pair::{Pair, until};
@@ -16,16 +17,16 @@
     routes.as_ref().map(|routes| routes.version)
 }
 
-/// Returns what the relay of a site says of its desired states.
-fn told(site: &Site) -> TablesWord {
+/// Returns what the relay would tell hosts about its table of desired states.
+fn relay_update(site: &Site) -> TablesWord {
     TablesWord {
         desired: site.host.followed.end(site.host.now(), Table::Desired),
         ..TablesWord::default()
     }
 }
 
-/// Starts to follow desired states at the host behind the relay, and waits until it has read the first from the store and goes
-/// by what it is told.
+/// Starts to follow desired states at the host behind the relay. Waits until it has read the first
+/// one from the store and relies on updates from then on.
 async fn read_first(site: &Site, pair: &Pair) {
     let first = TablesWord {
         desired: Some(TableEnd {
@@ -43,9 +44,10 @@
     until(|| version(&pair.asking) == Some(0)).await;
 }
 
-/// Guards against a read of each version by every host, and an old version in force where the store turns a host away.
+/// Guards against every host reading every version from the store, and against an old version
+/// staying in force at a host that the store refuses.
 #[test]
-fn a_host_that_the_store_turns_away_takes_the_desired_state_from_its_relay() {
+fn host_refused_by_the_store_fetches_the_desired_state_from_its_relay() {
     on_site(|site| async move {
         site.order(1, Vec::new());
         site.until_version(1).await;
@@ -58,7 +60,7 @@
                 site.until_version(newest).await;
                 pair.asking
                     .followed
-                    .take_word(pair.asking.now(), told(&site));
+                    .take_word(pair.asking.now(), relay_update(&site));
                 until(|| version(&pair.asking) == Some(newest)).await;
             }
         };
@@ -66,9 +68,9 @@
     });
 }
 
-/// Guards against a host that waits for a relay which cannot give the state.
+/// Guards against a host that waits for a relay which cannot serve the desired state.
 #[test]
-fn a_host_whose_relay_has_read_no_state_since_it_relays_reads_the_store() {
+fn host_reads_the_store_when_its_relay_has_no_desired_state() {
     on_site(|site| async move {
         for version in [4, 5] {
             site.order(version, Vec::new());
@@ -85,7 +87,7 @@
             });
             pair.asking
                 .followed
-                .take_word(pair.asking.now(), told(&site));
+                .take_word(pair.asking.now(), relay_update(&site));
             until(|| version(&pair.asking) == Some(5)).await;
         };
         pair.shared.run(test).await;
@@ -93,13 +95,13 @@
 }
 
 #[test]
-fn a_state_that_is_no_newer_is_not_taken_and_a_host_that_relays_for_no_others_gives_none() {
+fn desired_state_is_fetched_only_if_newer_and_served_only_by_relays() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let test = async {
             site.order(7, Vec::new());
             site.until_version(7).await;
-            let end = told(&site).desired.expect("it was read").end;
+            let end = relay_update(&site).desired.expect("it was read").end;
             let sources = pair.sources();
             assert!(fetch(&pair.asking, &sources, end).await.is_none());
             let older = Offset(end.0 - 1);
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory: tables, a group and a stream of leases that several hosts share.
+//! A platform in memory: tables, a group, and a stream of leases that several hosts can share.
 
 use crate::desired::DesiredState;
 use crate::entry::platform::*;
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Changes in a short page.
+/// The max_rows changes in a short page.
 const SHORT_PAGE_ROWS: usize = 50;
 
-/// What the hosts of a test share.
+/// The platform's store, which the hosts of a test share.
 #[derive(Default)]
 pub struct FakeStore {
     desired: RefCell<Vec<DesiredState>>,
@@ -24,21 +24,22 @@
     leases: Rc<RefCell<Vec<Vec<u8>>>>,
     /// Whether every call is refused.
     pub is_down: Cell<bool>,
-    /// The first upstream record that is still kept.
+    /// The offset of the oldest upstream record that is not trimmed.
     pub kept_from: Cell<u64>,
-    /// Most rows of a page of a whole table; zero for all.
+    /// The max_rows rows in a page of a whole table; zero for no limit.
     pub page_rows: Cell<usize>,
-    /// Pages of the list of upstreams that were read.
+    /// How many pages of the list of upstreams were read.
     pub list_pages: Cell<usize>,
-    /// How many pages of the list are answered until one is refused.
+    /// How many more pages of the list are answered before one is refused.
     pub pages_until_refusal: Cell<Option<usize>>,
-    /// Changes of tables that were read.
+    /// How many changes of tables were read.
     pub changes_read: Cell<usize>,
     changed: Wakeup,
 }
 
 impl FakeStore {
-    /// Makes the store as another host reaches it: the stream of leases is the same, an outage is its own.
+    /// Returns the store as another host reaches it: they share the stream of leases, and an outage
+    /// of one is not an outage of the other.
     pub fn as_reached_by_another_host(&self) -> Self {
         Self {
             leases: self.leases.clone(),
@@ -188,12 +189,12 @@
         let newest: IndexMap<Name, TableRow> =
             rows.into_iter().map(|row| (row.key.clone(), row)).collect();
         let first = after.map_or(0, |key| newest.get_index_of(key).map_or(0, |at| at + 1));
-        let most = match self.0.page_rows.get() {
+        let max_rows = match self.0.page_rows.get() {
             0 => usize::MAX,
-            most => most,
+            max_rows => max_rows,
         };
-        let has_more = newest.len() - first > most;
-        let page = newest.into_values().skip(first).take(most);
+        let has_more = newest.len() - first > max_rows;
+        let page = newest.into_values().skip(first).take(max_rows);
         let page: Vec<TableRow> = page.collect();
         Ok(TablePage {
             more_after: page.last().filter(|_| has_more).map(|row| row.key.clone()),
@@ -208,7 +209,7 @@
 
     async fn follow_table(&self, table: Table, ask: ChangesAsk) -> Result<TablePage, StoreError> {
         let from = ask.from;
-        let most = match ask.size {
+        let max_rows = match ask.size {
             PageSize::Full => usize::MAX,
             PageSize::Short => SHORT_PAGE_ROWS,
         };
@@ -221,7 +222,7 @@
             let rows = self.0.rows(table);
             let end = Offset(rows.len() as u64);
             if end > from {
-                let rows = rows.into_iter().skip(from.0 as usize).take(most);
+                let rows = rows.into_iter().skip(from.0 as usize).take(max_rows);
                 let rows: Vec<TableRow> = rows.collect();
                 let next = Offset(from.0 + rows.len() as u64);
                 let read = self.0.changes_read.get() + rows.len();
--- a/src/entry/tests/follow.rs
+++ b/src/entry/tests/follow.rs
@@ -1,4 +1,5 @@
-//! Desired states and upstreams as the host follows them, through trims and outages of the store.
+//! How a host follows desired states and upstreams when the store trims its history or is out of
+//! reach.
 
 use super::site::{entry, on_site, route};
 use crate::desired::{Repeat, Route};
@@ -6,24 +7,24 @@
 use crate::prelude::*;
 use std::net::SocketAddr;
 
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
 #[test]
-fn an_older_version_never_replaces_a_newer_one() {
+fn older_desired_state_never_replaces_a_newer_one() {
     on_site(|site| async move {
-        let renamed = Route {
+        let newer = Route {
             name: "newer".into(),
             ..route(Repeat::Once)
         };
-        site.order(7, vec![renamed]);
+        site.order(7, vec![newer]);
         site.until_version(7).await;
         site.order(3, vec![route(Repeat::Once)]);
         site.order(8, vec![route(Repeat::Once)]);
         site.until_version(8).await;
         site.order(5, Vec::new());
-        site.store.list("u1", Some(entry("u1", nowhere())));
+        site.store.list("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.upstreams.borrow().get("u1").is_some())
             .await;
         site.until_version(8).await;
@@ -31,14 +32,14 @@
 }
 
 #[test]
-fn a_list_whose_history_is_gone_is_read_anew() {
+fn list_is_read_in_full_after_its_history_was_trimmed() {
     on_site(|site| async move {
-        site.store.list("u1", Some(entry("u1", nowhere())));
+        site.store.list("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.upstreams.borrow().get("u1").is_some())
             .await;
         site.store.kept_from.set(100);
         site.store.list("u1", None);
-        site.store.list("u2", Some(entry("u2", nowhere())));
+        site.store.list("u2", Some(entry("u2", unused_address())));
         site.until(|host| {
             let upstreams = host.upstreams.borrow();
             upstreams.get("u1").is_none() && upstreams.get("u2").is_some()
@@ -47,15 +48,16 @@
     });
 }
 
-/// Guards against hosts that begin with the first page again after a refusal, which keeps the store at its limit.
+/// Guards against hosts that begin with the first page again after a refusal, which keeps the store
+/// at its limit.
 #[test]
-fn a_list_of_which_a_page_was_refused_is_read_on_from_there() {
+fn read_of_a_list_resumes_at_the_page_that_was_refused() {
     on_site(|site| async move {
         site.store.page_rows.set(10);
         site.store.pages_until_refusal.set(Some(3));
         for n in 0..50 {
             let id = format!("u{n}");
-            site.store.list(&id, Some(entry(&id, nowhere())));
+            site.store.list(&id, Some(entry(&id, unused_address())));
         }
         site.until(|host| host.upstreams.borrow().count() == 50)
             .await;
@@ -64,13 +66,13 @@
 }
 
 #[test]
-fn a_store_that_is_away_changes_nothing() {
+fn host_stays_ready_during_a_store_outage_and_catches_up_after_it() {
     on_site(|site| async move {
         site.order(1, vec![route(Repeat::Once)]);
-        site.store.list("u1", Some(entry("u1", nowhere())));
+        site.store.list("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.is_ready()).await;
         site.store.is_down.set(true);
-        site.store.list("u2", Some(entry("u2", nowhere())));
+        site.store.list("u2", Some(entry("u2", unused_address())));
         assert!(site.host.is_ready());
         site.store.is_down.set(false);
         site.until(|host| host.upstreams.borrow().get("u2").is_some())
@@ -78,23 +80,24 @@
     });
 }
 
-/// A read that reaches the store while a record is being written is not woken by it and returns at the end of its
-/// wait; a read over a connection that went silent returns nothing at all.
+/// Guards against reads that wait too long: one that reaches the store while a record is being
+/// written is not woken by it and returns at the end of its wait; one over a connection that went
+/// silent returns nothing at all.
 #[test]
-fn a_change_that_a_read_is_not_woken_for_is_known_in_time() {
+fn read_wait_fits_into_the_bounds_for_missed_wakeups_and_silent_connections() {
     for (contact_ms, bound_ms) in [
         (3_000, 2_000),
         (4_000, 3_000),
         (3_000, 5_000),
         (2_000, 1_000),
     ] {
-        for rested_ms in [0, contact_ms * 2 / 5] {
-            let wait = wait_ms(Millis(contact_ms), Millis(bound_ms), Millis(rested_ms));
+        for paused_ms in [0, contact_ms * 2 / 5] {
+            let wait = wait_ms(Millis(contact_ms), Millis(bound_ms), Millis(paused_ms));
             assert!(
                 wait + Millis(300) <= Millis(bound_ms),
                 "{wait} of {bound_ms}"
             );
-            assert!(wait + Millis(rested_ms + 500) < Millis(contact_ms));
+            assert!(wait + Millis(paused_ms + 500) < Millis(contact_ms));
         }
     }
 }
--- a/src/entry/tests/followed.rs
+++ b/src/entry/tests/followed.rs
@@ -1,4 +1,5 @@
-//! What a host may believe of its copies of the tables, whatever is lost, late or out of order.
+//! How fresh a host may take its copies of the tables to be when updates are lost, late or out of
+//! order.
 
 use crate::entry::followed::{Followed, Next, TableEnd, TablesWord};
 use crate::entry::platform::{RowValue, Table, TableRow};
@@ -16,13 +17,13 @@
     offsets.map(row).collect()
 }
 
-/// An orderer that has read up to an offset, and kept the rows from another one on.
-fn orderer(asked_at: Millis, kept_from: u64, end: u64) -> Followed {
+/// Returns an orderer that has read up to `end`, and has buffered the rows from `buffered_from` on.
+fn orderer(asked_at: Millis, buffered_from: u64, end: u64) -> Followed {
     let orderer = Followed::default();
     orderer.note_read(Table::Upstreams, asked_at, Offset(end));
     orderer.keep_rows(
-        Offset(kept_from),
-        &rows(kept_from..end),
+        Offset(buffered_from),
+        &rows(buffered_from..end),
         Offset(end),
         LISTED,
     );
@@ -30,11 +31,11 @@
 }
 
 #[test]
-fn a_host_that_hears_that_nothing_is_new_waits() {
+fn host_waits_while_the_orderer_confirms_its_copy() {
     let host = Followed::default();
     host.note_read(Table::Upstreams, Millis(1_000), Offset(5));
-    let word = orderer(Millis(9_800), 0, 5).word(Millis(10_000), host.wants_from());
-    assert!(host.take_word(Millis(9_990), word));
+    let update = orderer(Millis(9_800), 0, 5).word(Millis(10_000), host.wants_from());
+    assert!(host.take_word(Millis(9_990), update));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_790) + WITHIN_MS));
     let next = host.next(Millis(11_300), Table::Upstreams, WITHIN_MS);
@@ -42,33 +43,33 @@
 }
 
 #[test]
-fn rows_that_lead_on_from_the_copy_are_taken_and_others_are_read() {
+fn rows_that_continue_the_copy_are_applied_and_a_gap_needs_a_catch_up() {
     let host = Followed::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
-    let word = orderer(Millis(9_900), 3, 8).word(Millis(10_000), host.wants_from());
-    host.take_word(Millis(9_990), word);
+    let update = orderer(Millis(9_900), 3, 8).word(Millis(10_000), host.wants_from());
+    host.take_word(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Take(rows(5..8), Offset(8)));
     host.note_taken(Table::Upstreams, Offset(8));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
 
-    let word = orderer(Millis(10_100), 10, 12).word(Millis(10_200), host.wants_from());
-    host.take_word(Millis(10_190), word);
+    let update = orderer(Millis(10_100), 10, 12).word(Millis(10_200), host.wants_from());
+    host.take_word(Millis(10_190), update);
     let next = host.next(Millis(10_210), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Behind);
 }
 
 #[test]
-fn a_host_without_a_word_reads_by_itself() {
+fn host_without_an_update_reads_the_store() {
     let host = Followed::default();
     host.note_read(Table::Desired, Millis(10_000), Offset(5));
     let next = host.next(Millis(10_001), Table::Desired, WITHIN_MS);
     assert_eq!(next, Next::Read);
 }
 
-/// A table that grows, an orderer that reads it with delay, and a host that gets the orderer's
-/// words late, lost or out of order.
+/// A table that grows, an orderer that reads it with a delay, and a host that receives the
+/// orderer's updates late, not at all or out of order.
 struct Site {
     now: Millis,
     written: Vec<Millis>,
@@ -76,14 +77,14 @@
     orderer_next: u64,
     host: Followed,
     host_next: u64,
-    under_way: Vec<(Millis, TablesWord)>,
+    in_flight: Vec<(Millis, TablesWord)>,
 }
 
 impl Site {
     fn orderer_reads(&mut self, takes_ms: u64) {
         let asked_at = self.now;
         let end = self.written.len() as u64;
-        // Rows that are written while the answer is on its way are not in it.
+        // Rows that are written while the answer is in flight are not in it.
         self.now += Millis(takes_ms);
         let from = Offset(self.orderer_next);
         let read = rows(self.orderer_next..end);
@@ -97,11 +98,11 @@
         let asked_at = self.now;
         let wants_from = self.host.wants_from();
         self.now += Millis(takes_ms);
-        let word = self.orderer.word(self.now, wants_from);
-        self.under_way.push((asked_at, word));
+        let update = self.orderer.word(self.now, wants_from);
+        self.in_flight.push((asked_at, update));
     }
 
-    fn host_steps(&mut self) {
+    fn host_acts(&mut self) {
         match self.host.next(self.now, Table::Upstreams, WITHIN_MS) {
             Next::Take(rows, end) => {
                 let offsets: Vec<u64> = rows.iter().map(|row| row.offset.0).collect();
@@ -123,7 +124,7 @@
                     let known_by = *written_at + WITHIN_MS;
                     assert!(
                         known_by >= due_at,
-                        "a row of {written_at:?} is waited with until {due_at:?}"
+                        "a row written at {written_at:?} would stay unread until {due_at:?}"
                     );
                 }
             }
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn no_row_stays_unknown_for_longer_than_the_bound_while_a_host_waits() {
+fn no_row_stays_unread_beyond_the_bound_while_a_host_waits() {
     arbtest::arbtest(|u| {
         let mut site = Site {
             now: Millis(1_000_000),
@@ -141,7 +142,7 @@
             orderer_next: 0,
             host: Followed::default(),
             host_next: 0,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
         };
         for _ in 0..u.int_in_range(0..=200u16)? {
             site.now += Millis(u.int_in_range(0..=300u64)?);
@@ -149,21 +150,21 @@
                 0 | 1 => site.written.push(site.now),
                 2 | 3 => site.orderer_reads(u.int_in_range(0..=600u64)?),
                 4 | 5 => site.host_asks(u.int_in_range(0..=900u64)?),
-                6 | 7 if !site.under_way.is_empty() => {
-                    let nth = u.choose_index(site.under_way.len())?;
-                    let (asked_at, word) = site.under_way.swap_remove(nth);
-                    site.host.take_word(asked_at, word);
+                6 | 7 if !site.in_flight.is_empty() => {
+                    let nth = u.choose_index(site.in_flight.len())?;
+                    let (asked_at, update) = site.in_flight.swap_remove(nth);
+                    site.host.take_word(asked_at, update);
                 }
-                // The orderer is replaced; the next one has kept no rows.
+                // The orderer is replaced; the next one has buffered no rows.
                 8 if u.int_in_range(0..=5u8)? == 0 => site.orderer.drop_rows(),
-                // It reads rows that it does not keep, as it does while another host orders.
+                // It reads rows without buffering them, as it does while another host orders.
                 8 if u.int_in_range(0..=5u8)? == 0 => {
                     let end = site.written.len() as u64;
                     site.orderer
                         .note_read(Table::Upstreams, site.now, Offset(end));
                     site.orderer_next = end;
                 }
-                _ => site.host_steps(),
+                _ => site.host_acts(),
             }
         }
         Ok(())
@@ -171,42 +172,44 @@
 }
 
 #[test]
-fn rows_with_a_gap_are_not_passed_on() {
+fn rows_with_a_gap_are_not_sent() {
     let orderer = orderer(Millis(9_900), 0, 3);
-    // It read rows 3 and 4 while another host ordered, and kept none.
+    // It read rows 3 and 4 while another host ordered, and buffered neither.
     orderer.note_read(Table::Upstreams, Millis(9_950), Offset(5));
     orderer.keep_rows(Offset(5), &rows(5..7), Offset(7), LISTED);
     assert_eq!(orderer.word(Millis(10_000), Some(Offset(1))).rows, []);
-    let offered = orderer.word(Millis(10_000), Some(Offset(5))).rows;
-    assert_eq!(offered.len(), 2);
+    let sent = orderer.word(Millis(10_000), Some(Offset(5))).rows;
+    assert_eq!(sent.len(), 2);
 }
 
-/// A host may lose the lease and have it again without a new row in between.
+/// Guards against lost rows when a host loses the lease and regains it without a new row in
+/// between.
 #[test]
-fn rows_that_follow_where_others_were_dropped_are_passed_on() {
+fn rows_buffered_after_others_were_dropped_are_sent() {
     let orderer = orderer(Millis(9_900), 0, 3);
     orderer.drop_rows();
     orderer.keep_rows(Offset(3), &rows(3..5), Offset(5), LISTED);
-    let offered = orderer.word(Millis(10_000), Some(Offset(3))).rows;
-    assert_eq!(offered.len(), 2);
+    let sent = orderer.word(Millis(10_000), Some(Offset(3))).rows;
+    assert_eq!(sent.len(), 2);
 }
 
-/// A poll of seconds that ends without rows was asked before the orderer's last words; a host that
-/// went by its own asking alone would poll again at once, for ever.
+/// Guards against a host that polls again at once, for ever: a poll which waited for seconds and
+/// ends without rows was sent before the orderer's latest updates, so its own time alone must not
+/// decide.
 #[test]
-fn a_poll_that_ends_does_not_undo_what_the_orderer_confirmed_meanwhile() {
+fn end_of_a_poll_does_not_undo_a_later_confirmation() {
     let host = Followed::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
-    let word = orderer(Millis(9_900), 0, 5).word(Millis(10_000), host.wants_from());
-    host.take_word(Millis(9_990), word);
+    let update = orderer(Millis(9_900), 0, 5).word(Millis(10_000), host.wants_from());
+    host.take_word(Millis(9_990), update);
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let next = host.next(Millis(10_600), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
 }
 
-/// Guards against an orderer that says of the middle of a long list that it is the end.
+/// Guards against an orderer that reports the middle of a long list as its end.
 #[test]
-fn a_page_that_was_cut_off_says_nothing_of_how_new_the_list_is() {
+fn truncated_page_does_not_make_the_list_fresher() {
     let orderer = orderer(Millis(1_000), 0, 5);
     orderer.note_partial_read(Table::Upstreams, Offset(3_000));
     let end = orderer.end(Millis(4_000), Table::Upstreams);
@@ -217,10 +220,10 @@
     assert_eq!(end, Some(expected));
 }
 
-/// Guards against relays that keep fewer rows than come between two messages while upstreams write
-/// their first entries.
+/// Guards against relays that buffer fewer rows than arrive between two messages while upstreams
+/// write their first entries.
 #[test]
-fn the_rows_of_a_list_that_is_being_written_are_passed_on() {
+fn relay_sends_all_rows_while_the_list_is_being_written() {
     let relay = Followed::default();
     let host = Followed::default();
     let (mut from, mut taken) = (0, 0);
@@ -231,12 +234,12 @@
         relay.note_read(Table::Upstreams, now, Offset(end));
         relay.keep_rows(Offset(from), &rows(from..end), Offset(end), from as usize);
         from = end;
-        // The host speaks with its relay each two seconds only.
+        // The host calls its relay every two seconds only.
         if second % 2 == 0 {
             host.take_word(now, relay.word(now, host.wants_from()));
             let next = host.next(now, Table::Upstreams, WITHIN_MS);
             let Next::Take(rows, end) = next else {
-                panic!("not told: {next:?}");
+                panic!("rows expected: {next:?}");
             };
             taken += rows.len();
             host.note_taken(Table::Upstreams, end);
@@ -245,9 +248,9 @@
     assert_eq!(taken, 7_000);
 }
 
-/// Guards against relays that keep fewer rows than come between two messages in a release.
+/// Guards against relays that buffer fewer rows than arrive between two messages during a release.
 #[test]
-fn the_rows_of_a_release_of_a_large_site_are_passed_on() {
+fn relay_sends_all_rows_of_a_release_in_a_large_site() {
     let listed = 10_000;
     let relay = Followed::default();
     relay.note_read(Table::Upstreams, Millis(1_000), Offset(3_000));
--- a/src/entry/tests/lease_keeper.rs
+++ b/src/entry/tests/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! Holding the lease while the store does not answer the holder.
+//! The lease while the store does not answer its holder, and what it passes on to later holders.
 
 use super::fake_platform::FakePlatform;
 use super::site::{another_host, as_member, bind_peers, on_site};
@@ -11,10 +11,10 @@
 use crate::upstreams::Lifetime;
 use std::rc::Rc;
 
-/// Answers the pattern of an orderer that is cut off from the store alone: without another host's help it lost the lease,
-/// and nobody ordered loads for the engines' lease time.
+/// Guards against an orderer that loses the lease because it alone is cut off from the store:
+/// without another host's help nobody could order loads for the engines' lease time.
 #[test]
-fn a_holder_that_the_store_refuses_renews_through_another_host() {
+fn holder_refused_by_the_store_renews_through_another_host() {
     on_site(|site| async move {
         let shared = Arc::new(smol::Executor::new());
         let (own, other) = (bind_peers(&shared), bind_peers(&shared));
@@ -49,18 +49,18 @@
 }
 
 #[test]
-fn what_is_no_record_of_a_lease_is_not_appended_for_another_host() {
+fn only_lease_records_are_appended_for_another_host() {
     on_site(|site| async move {
-        for foreign in [&b"{}"[..], b"", &[0; 8_192]] {
-            let appended = append_for_peer(&site.host, Offset(0), foreign).await;
+        for invalid in [&b"{}"[..], b"", &[0; 8_192]] {
+            let appended = append_for_peer(&site.host, Offset(0), invalid).await;
             assert_eq!(appended, None);
         }
         assert_eq!(site.store.lease_records(), 0);
     });
 }
 
-/// Lets a host see a request alone at three crashes.
-fn see_crashes(host: &Host<FakePlatform>, digest: RequestDigest) {
+/// Records a request at a host as the only one in flight at three crashes.
+fn record_crashes(host: &Host<FakePlatform>, digest: RequestDigest) {
     let now = host.now();
     let quarantine = &mut host.retries.borrow_mut().quarantine;
     for n in 0..3 {
@@ -73,14 +73,14 @@
     }
 }
 
-fn holds_back(host: &Host<FakePlatform>, digest: &RequestDigest) -> bool {
+fn is_quarantined(host: &Host<FakePlatform>, digest: &RequestDigest) -> bool {
     let quarantine = &host.retries.borrow().quarantine;
     quarantine.quarantined_ms(host.now(), digest).is_some()
 }
 
-/// After a restart of all hosts a request that crashes upstreams would begin anew.
+/// Guards against a request that crashes upstreams being sent again after all hosts restart.
 #[test]
-fn a_host_that_starts_reads_from_the_lease_which_requests_are_held_back() {
+fn starting_host_restores_quarantined_requests_from_the_lease() {
     on_site(|site| async move {
         let shared = Arc::new(smol::Executor::new());
         let (own, other) = (bind_peers(&shared), bind_peers(&shared));
@@ -95,12 +95,12 @@
         site.executor.spawn(keep).detach();
         let test = async {
             site.until(|host| host.is_orderer()).await;
-            see_crashes(&site.host, digest);
+            record_crashes(&site.host, digest);
             let before = store.lease_records();
             site.until(|_| store.lease_records() > before).await;
             let keep = keep_lease(other_host.clone(), other, next);
             site.executor.spawn(keep).detach();
-            site.until(|_| holds_back(&other_host, &digest)).await;
+            site.until(|_| is_quarantined(&other_host, &digest)).await;
         };
         shared.run(test).await;
     });
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -1,7 +1,8 @@
-//! A host that starts takes the list of upstreams from its relay, and misses nothing of it.
+//! A host that starts or is behind fetches the list of upstreams from its relay, and misses no
+//! change of it.
 
 use super::fake_platform::FakePlatform;
-use super::relay_pair::{Pair, UPSTREAMS, nowhere, until};
+use super::relay_pair::{Pair, UPSTREAMS, until, unused_address};
 use super::site::{Site, as_member, entry, on_site};
 use crate::entry::follow::follow;
 use crate::entry::followed::{TableEnd, TablesWord, UpstreamRow};
@@ -13,9 +14,9 @@
 use crate::prelude::*;
 use crate::test_support::member;
 
-/// Follows a list that is written after the host took it as empty, until the host has it whole. Returns how many changes
-/// were read from the store.
-async fn follow_a_list_that_is_written(site: &Site, pair: &Pair) -> usize {
+/// Lets the host behind the relay take the list as empty, then writes the list to its store, and
+/// waits until the host has all of it. Returns how many changes the host read from the store.
+async fn follow_list_while_it_is_written(site: &Site, pair: &Pair) -> usize {
     let store = pair.asking.platform.0.clone();
     store.is_down.set(false);
     let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
@@ -24,7 +25,7 @@
         until(|| pair.asking.upstreams_known.get()).await;
         for n in 0..UPSTREAMS {
             let id = format!("u{n}");
-            store.list(&id, Some(entry(&id, nowhere())));
+            store.list(&id, Some(entry(&id, unused_address())));
         }
         until(|| pair.asking.upstreams.borrow().count() == UPSTREAMS).await;
     };
@@ -32,9 +33,9 @@
     store.changes_read.get()
 }
 
-/// Guards against a read of the whole list from the store by every host that starts.
+/// Guards against every host that starts reading the whole list from the store.
 #[test]
-fn a_host_that_starts_takes_the_list_from_its_relay_and_not_from_the_store() {
+fn starting_host_fetches_the_list_from_its_relay_without_the_store() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_list_of_several_pages_is_taken_from_the_relay_after_the_first() {
+fn list_of_several_pages_is_fetched_from_the_relay_after_the_first_page() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let store = &pair.asking.platform.0;
@@ -54,7 +55,7 @@
         store.page_rows.set(500);
         for n in 0..UPSTREAMS {
             let id = format!("u{n}");
-            store.list(&id, Some(entry(&id, nowhere())));
+            store.list(&id, Some(entry(&id, unused_address())));
         }
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
         site.executor.spawn(follow).detach();
@@ -65,14 +66,14 @@
     });
 }
 
-/// Guards against a wait for relays where the store gives the list with one call.
+/// Guards against waiting for relays when the store returns the list with one call.
 #[test]
-fn a_list_of_one_page_is_not_asked_of_a_relay() {
+fn list_of_one_page_is_read_from_the_store() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let store = &pair.asking.platform.0;
         store.is_down.set(false);
-        store.list("own", Some(entry("own", nowhere())));
+        store.list("own", Some(entry("own", unused_address())));
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
         site.executor.spawn(follow).detach();
         let test = until(|| pair.asking.upstreams_known.get());
@@ -81,13 +82,14 @@
     });
 }
 
-/// Guards against a host without a list because its relay is lost and still in the list of hosts.
+/// Guards against a host that gets no list because its relay is lost but still in the list of
+/// hosts.
 #[test]
-fn a_host_whose_first_relay_is_lost_takes_the_list_from_the_next() {
+fn list_is_fetched_from_the_second_relay_when_the_first_is_lost() {
     on_site(|site| async move {
         let lost = member(1, "here", 500);
         let small = (10..20).map(|n| member(n, "here", 120));
-        let pair = Pair::beside(&site, small.chain([lost.clone()]).collect()).await;
+        let pair = Pair::with_nearby_hosts(&site, small.chain([lost.clone()]).collect()).await;
         let relays = |host: &Host<FakePlatform>| {
             let tree = host.tree.borrow();
             let relays = tree.relays_of(&pair.me);
@@ -103,9 +105,10 @@
     });
 }
 
-/// Guards against an old removal, passed on with newer rows, that takes out an upstream which is listed again.
+/// Guards against an old removal, sent along with newer rows, that takes out an upstream which is
+/// listed again.
 #[test]
-fn a_row_from_before_the_list_changes_nothing() {
+fn row_older_than_the_fetched_list_changes_nothing() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
@@ -114,21 +117,21 @@
         let row = |key: &str, offset: u64, is_listed: bool| UpstreamRow {
             key: key.into(),
             offset: Offset(offset),
-            entry: is_listed.then(|| entry(key, nowhere())),
+            entry: is_listed.then(|| entry(key, unused_address())),
         };
         let test = async {
             until(|| pair.asking.upstreams_known.get()).await;
             let now = pair.asking.now();
-            let told = |end: Offset| {
+            let table_end = |end: Offset| {
                 let age_ms = Millis::ZERO;
                 Some(TableEnd { end, age_ms })
             };
-            let word = TablesWord {
+            let update = TablesWord {
                 desired: None,
-                upstreams: told(Offset(end.0 + 1)),
+                upstreams: table_end(Offset(end.0 + 1)),
                 rows: vec![row("u1", end.0 - 1, false), row("new", end.0, true)],
             };
-            pair.asking.followed.take_word(now, word);
+            pair.asking.followed.take_word(now, update);
             until(|| pair.asking.upstreams.borrow().get("new").is_some()).await;
         };
         pair.shared.run(test).await;
@@ -136,23 +139,23 @@
     });
 }
 
-/// Guards against hosts that can catch up with their relay only at the store.
+/// Guards against hosts that can catch up with their relay only by reading the store.
 #[test]
-fn a_host_that_is_behind_its_relay_takes_the_list_from_it() {
+fn host_behind_its_relay_fetches_the_list_from_it() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let store = pair.asking.platform.0.clone();
         store.is_down.set(false);
-        store.list("u0", Some(entry("u0", nowhere())));
+        store.list("u0", Some(entry("u0", unused_address())));
         let end = TableEnd {
             end: Offset(UPSTREAMS as u64),
             age_ms: Millis::ZERO,
         };
-        let word = TablesWord {
+        let update = TablesWord {
             upstreams: Some(end),
             ..TablesWord::default()
         };
-        pair.asking.followed.take_word(pair.asking.now(), word);
+        pair.asking.followed.take_word(pair.asking.now(), update);
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
         site.executor.spawn(follow).detach();
         let test = until(|| pair.asking.upstreams.borrow().count() == UPSTREAMS);
@@ -160,30 +163,31 @@
     });
 }
 
-/// Guards against hundreds of hosts that each read from the store a list which is being written, before they hear of relays.
+/// Guards against hundreds of hosts that each read from the store a list which is being written,
+/// before they receive updates from relays.
 #[test]
-fn a_host_that_nobody_tells_of_a_long_list_reads_a_short_page_and_takes_the_rest_from_its_relay() {
+fn host_without_updates_reads_a_short_page_and_fetches_the_rest_from_its_relay() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
-        let changes_read = follow_a_list_that_is_written(&site, &pair).await;
+        let changes_read = follow_list_while_it_is_written(&site, &pair).await;
         assert!(changes_read < UPSTREAMS / 10);
     });
 }
 
 /// Guards against a host that waits for relays which do not have the list.
 #[test]
-fn a_host_whose_relays_have_no_list_reads_on_in_the_store_after_a_short_page() {
+fn host_continues_in_the_store_after_a_short_page_when_relays_have_no_list() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         site.host.upstreams_known.set(false);
-        let changes_read = follow_a_list_that_is_written(&site, &pair).await;
+        let changes_read = follow_list_while_it_is_written(&site, &pair).await;
         assert_eq!(changes_read, UPSTREAMS);
     });
 }
 
-/// Guards against handshakes of hundreds of hosts that start with relays which refuse them.
+/// Guards against hundreds of starting hosts that open connections to relays which refuse them.
 #[test]
-fn a_host_waits_for_relays_until_the_group_lists_it() {
+fn unlisted_host_asks_no_relay_of_a_new_or_large_group() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let host = &pair.asking;
@@ -193,21 +197,21 @@
             host.members.borrow_mut().replace(host.now(), 2, listed);
             host.accept_listed();
         };
-        assert_eq!(relays(), Some(1), "it is listed");
+        assert_eq!(relays(), Some(1), "the group lists it");
         list(1_000..1_300);
-        assert_eq!(relays(), Some(0), "the group is large");
+        assert_eq!(relays(), Some(0), "the group is large and does not list it");
         list(1_000..1_001);
-        assert_eq!(relays(), Some(0), "the group has begun");
+        assert_eq!(relays(), Some(0), "the group has just its first host");
         list(1_000..1_100);
-        assert_eq!(relays(), Some(2), "the group is small");
+        assert_eq!(relays(), Some(2), "the group is small and does not list it");
         list(1_000..1_300);
         host.view.borrow_mut().answered_at = Some(host.now());
-        assert_eq!(relays(), Some(2), "it was heard once");
+        assert_eq!(relays(), Some(2), "it has had an answer since it started");
     });
 }
 
 #[test]
-fn a_list_that_ends_before_what_is_known_is_not_taken() {
+fn list_is_fetched_only_if_newer() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let sources = pair.sources();
@@ -229,7 +233,7 @@
 }
 
 #[test]
-fn a_relay_reads_the_store_and_a_host_that_is_none_gives_no_list() {
+fn relay_reads_the_store_and_only_relays_serve_the_list() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let sources = Sources {
@@ -248,9 +252,10 @@
     });
 }
 
-/// Guards against an upstream that a relay keeps for a while, and the host that gets it with the list for good.
+/// Guards against an upstream that a relay keeps only for a while after an outage, and another host
+/// then gets with the list for good.
 #[test]
-fn an_upstream_that_is_kept_after_an_outage_is_not_passed_on() {
+fn upstream_kept_after_an_outage_is_not_sent_to_other_hosts() {
     on_site(|site| async move {
         let _pair = Pair::new(&site).await;
         let now = site.host.now();
@@ -262,7 +267,7 @@
         upstreams.remove(outage_ends_at, "u1");
         assert!(upstreams.get("u1").is_some());
         drop(upstreams);
-        let part = answer(&site.host, ListAsk { part: 0, parts: 1 }).expect("it relays");
+        let part = answer(&site.host, ListAsk { part: 0, parts: 1 }).expect("the host is a relay");
         assert_eq!(part.entries.len(), UPSTREAMS - 1);
     });
 }
--- a/src/entry/tests/peers.rs
+++ b/src/entry/tests/peers.rs
@@ -1,11 +1,11 @@
-//! Only hosts that the group lists are answered.
+//! Calls between hosts need a listed certificate on both sides.
 
 use super::site::{bind_peers, on_site, sync_ask};
 use crate::entry::peers;
 use crate::ordering::message::{PeerCall, PeerReply, SyncAsk, SyncReply};
 use crate::prelude::*;
 
-fn ask() -> PeerCall {
+fn sync_call() -> PeerCall {
     PeerCall::Sync(SyncAsk {
         is_for_orderer: true,
         ..sync_ask(1)
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_host_that_the_group_does_not_list_gets_no_answer() {
+fn calls_succeed_only_if_both_hosts_accept_each_other() {
     on_site(|site| async move {
         let shared = Arc::new(smol::Executor::new());
         let (answering, asking) = (bind_peers(&shared), bind_peers(&shared));
@@ -23,22 +23,22 @@
         let test = async {
             let only = |fingerprint: &Name| [fingerprint.clone()].into_iter().collect();
             assert!(
-                asking.call(address, &ask()).await.is_none(),
-                "neither knows the other"
+                asking.call(address, &sync_call()).await.is_none(),
+                "neither host accepts the other"
             );
             asking.known.replace(only(&answering.fingerprint));
             assert!(
-                asking.call(address, &ask()).await.is_none(),
-                "the answering one does not know the asking one"
+                asking.call(address, &sync_call()).await.is_none(),
+                "the answering host does not accept the asking one"
             );
             answering.known.replace(only(&asking.fingerprint));
             asking.known.replace(IndexSet::new());
             assert!(
-                asking.call(address, &ask()).await.is_none(),
-                "the asking one does not know the answering one"
+                asking.call(address, &sync_call()).await.is_none(),
+                "the asking host does not accept the answering one"
             );
             asking.known.replace(only(&answering.fingerprint));
-            let reply = asking.call(address, &ask()).await;
+            let reply = asking.call(address, &sync_call()).await;
             assert!(matches!(
                 reply,
                 Some(PeerReply::Sync(SyncReply::NotOrderer { .. }))
--- a/src/entry/tests/relay_pair.rs
+++ b/src/entry/tests/relay_pair.rs
@@ -1,4 +1,4 @@
-//! A relay, and a host that may take from it what the store's tables say.
+//! A relay, and a host that may fetch the store's tables from it.
 
 use super::fake_platform::{FakePlatform, FakeStore};
 use super::site::{Site, another_host, as_member, bind_peers, entry};
@@ -12,36 +12,37 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The upstreams that the relay lists.
+/// How many upstreams the relay's list has.
 pub const UPSTREAMS: usize = 2_500;
 
-/// An address at which nobody answers.
-pub fn nowhere() -> SocketAddr {
+/// An address at which nothing listens.
+pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-/// A relay with the list, and a host behind it whose store answers nothing.
+/// A relay that has the list of upstreams (the host of a [`Site`]), and a host behind it whose
+/// store refuses every call.
 pub struct Pair {
-    /// Runs what QUIC spawns.
+    /// Runs the tasks that QUIC spawns.
     pub shared: Arc<smol::Executor<'static>>,
     /// The host behind the relay.
     pub asking: Rc<Host<FakePlatform>>,
-    /// Its calls.
+    /// The endpoint of that host for calls to other hosts.
     pub peers: Rc<Peers>,
-    /// How others see it.
+    /// That host as the group lists it.
     pub me: Member,
 }
 
 impl Pair {
     pub async fn new(site: &Site) -> Self {
-        Self::beside(site, Vec::new()).await
+        Self::with_nearby_hosts(site, Vec::new()).await
     }
 
-    /// Makes the pair in a data centre of more hosts.
-    pub async fn beside(site: &Site, near: Vec<Member>) -> Self {
+    /// Makes the pair in a data centre that also has the hosts `near`.
+    pub async fn with_nearby_hosts(site: &Site, near: Vec<Member>) -> Self {
         for n in 0..UPSTREAMS {
             let id = format!("u{n}");
-            site.store.list(&id, Some(entry(&id, nowhere())));
+            site.store.list(&id, Some(entry(&id, unused_address())));
         }
         site.until(|host| host.upstreams.borrow().iter().count() == UPSTREAMS)
             .await;
@@ -80,7 +81,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub async fn until(holds: impl Fn() -> bool) {
     while !holds() {
         Timer::after(Millis(5).to_duration()).await;
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -26,7 +26,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 
-/// Longer than any step of a test takes; a test that waits so long has failed.
+/// The time limit of a test, longer than any test needs.
 const TEST_MS: Millis = Millis(20_000);
 
 /// A host, its platform and its upstreams.
@@ -41,14 +41,14 @@
     pub address: SocketAddr,
 }
 
-/// Runs a test on a site whose host follows its tables and takes callers.
+/// Runs a test on a site whose host follows the tables and accepts callers.
 pub fn on_site<F: Future<Output = ()>>(test: impl FnOnce(Site) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     let tasks = executor.clone();
     let run = executor.run(async move {
         let site = Site::start(tasks).await;
         let done = crate::http1::client::within(TEST_MS, test(site)).await;
-        assert!(done.is_some(), "the test did not end");
+        assert!(done.is_some(), "the test did not end within its time limit");
     });
     smol::block_on(run);
 }
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Orders a desired state of one service on these routes.
+    /// Publishes a desired state with one service and these routes.
     pub fn order(&self, version: u64, routes: Vec<Route>) {
         self.order_for(version, routes, None);
     }
 
-    /// Orders a desired state of one service on these routes for organisations.
+    /// Publishes a desired state with one service, these routes and these organisations.
     pub fn order_for(
         &self,
         version: u64,
@@ -120,14 +120,14 @@
         upstream
     }
 
-    /// Waits until the host is in a state.
+    /// Waits until a condition holds for the host.
     pub async fn until(&self, holds: impl Fn(&Host<FakePlatform>) -> bool) {
         while !holds(&self.host) {
             Timer::after(Millis(1).to_duration()).await;
         }
     }
 
-    /// Waits until the host serves by this version.
+    /// Waits until this version of the desired state is in force at the host.
     pub async fn until_version(&self, version: u64) {
         self.until(|host| {
             host.routes
@@ -159,7 +159,7 @@
         Caller(Connection::new(stream.into()))
     }
 
-    /// Sends one request on a connection of its own and returns the answer.
+    /// Sends one request on a new connection and returns the answer.
     pub async fn call(&self, request: &str) -> Answer {
         let mut caller = self.connect().await;
         caller.send(request).await;
@@ -170,14 +170,14 @@
 /// A caller's connection.
 pub struct Caller(pub Connection<TcpStream>);
 
-/// An answer, with the body as far as it came.
+/// An answer, with as much of its body as came.
 #[derive(Debug)]
 pub struct Answer {
     /// Its head.
     pub head: ResponseHead,
     /// Its body.
     pub body: String,
-    /// Whether the body came whole.
+    /// Whether the complete body came.
     pub is_whole: bool,
 }
 
@@ -196,7 +196,7 @@
         self.try_answer().await.expect("an answer")
     }
 
-    /// Reads an answer, or why there is none.
+    /// Reads an answer, or returns why there is none.
     pub async fn try_answer(&mut self) -> Result<Answer, ReadError> {
         let head = self.0.read_response_head(64 << 10, false).await?;
         let mut reader = BodyReader::new(head.framing);
@@ -216,7 +216,7 @@
     }
 }
 
-/// A route `/a/` of the host `x`, which a test changes as it needs.
+/// Returns a route `/a/` of the host `x`; a test changes what it needs.
 pub fn route(repeat: Repeat) -> Route {
     Route {
         host: "x".into(),
@@ -228,7 +228,7 @@
     }
 }
 
-/// A ready upstream of the service.
+/// Returns the entry of a ready upstream of the service.
 pub fn entry(id: &str, address: SocketAddr) -> UpstreamEntry {
     UpstreamEntry {
         id: id.into(),
@@ -243,7 +243,7 @@
     }
 }
 
-/// The settings of a host whose every address is this one.
+/// Returns the settings of a host that uses this one address for everything.
 pub fn settings(address: SocketAddr) -> EntrySettings {
     EntrySettings {
         name: "entry-1".into(),
@@ -273,7 +273,7 @@
     }
 }
 
-/// A message of a host that has nothing to tell and knows nothing.
+/// Returns the message of a host that has nothing to report and knows nothing.
 pub fn sync_ask(incarnation: u64) -> SyncAsk {
     SyncAsk {
         incarnation,
@@ -291,7 +291,7 @@
     }
 }
 
-/// Binds the calls between hosts to a free port.
+/// Binds an endpoint for calls between hosts to a free port.
 pub fn bind_peers(executor: &Arc<smol::Executor<'static>>) -> Rc<Peers> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     Peers::bind(any, executor.clone()).expect("a free port")
@@ -310,7 +310,7 @@
     }
 }
 
-/// Makes another host, which reaches a store of its own.
+/// Makes another host, with a store of its own.
 pub fn another_host(
     address: SocketAddr,
     store: Rc<FakeStore>,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -1,4 +1,4 @@
-//! What a host answers others that ask it as a relay or as the orderer.
+//! What a host replies to other hosts that ask it as a relay or as the orderer.
 
 use super::fake_platform::FakePlatform;
 use super::site::{Site, on_site, sync_ask};
@@ -46,8 +46,8 @@
     assert!(host.is_relay());
 }
 
-/// Lets a relay know what the orderer said a while ago.
-fn tell(host: &Host<FakePlatform>, age_ms: Millis) {
+/// Gives a relay what it would have heard from the orderer `age_ms` ago.
+fn set_orderer_state(host: &Host<FakePlatform>, age_ms: Millis) {
     let held = ModelAsk {
         model: "m".into(),
         adapter: None,
@@ -68,30 +68,33 @@
         gone: Vec::new(),
     });
     view.take_work(work(10));
-    host.orders.borrow_mut().note_named_orderer(member(1, "there", 500));
+    host.orders
+        .borrow_mut()
+        .note_named_orderer(member(1, "there", 500));
 }
 
-fn news(reply: SyncReply) -> OrdererNews {
+fn expect_news(reply: SyncReply) -> OrdererNews {
     match reply {
         SyncReply::News(news) => *news,
-        other => panic!("no news: {other:?}"),
+        other => panic!("expected news of the orderer: {other:?}"),
     }
 }
 
 #[test]
-fn a_host_that_neither_orders_nor_relays_says_so() {
+fn host_that_is_neither_orderer_nor_relay_replies_not_orderer() {
     on_site(|site| async move {
         let reply = answer(&site.host, ask());
         assert!(matches!(reply, SyncReply::NotOrderer { .. }));
     });
 }
 
-/// A host that lost the lease and relays must not be taken for the orderer by what it heard before.
+/// Guards against a host that lost the lease and is a relay being taken for the orderer because it
+/// replies with what it heard before.
 #[test]
-fn a_relay_that_is_taken_for_the_orderer_says_that_it_is_none() {
+fn relay_asked_as_orderer_replies_not_orderer() {
     on_site(|site| async move {
         make_relay(&site.host);
-        tell(&site.host, Millis(100));
+        set_orderer_state(&site.host, Millis(100));
         let reply = answer(
             &site.host,
             SyncAsk {
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn a_relay_that_has_heard_of_no_orderer_says_so() {
+fn relay_without_orderer_replies_no_news() {
     on_site(|site| async move {
         make_relay(&site.host);
         assert!(matches!(
@@ -115,10 +118,10 @@
 }
 
 #[test]
-fn a_relay_passes_on_what_the_orderer_said_with_its_age_and_the_work_of_the_others() {
+fn relay_forwards_orderer_state_with_its_age_and_the_work_of_other_hosts() {
     on_site(|site| async move {
         make_relay(&site.host);
-        tell(&site.host, Millis(400));
+        set_orderer_state(&site.host, Millis(400));
         let other = SyncAsk {
             incarnation: 8,
             work: work(2),
@@ -129,23 +132,31 @@
             work: work(5),
             ..ask()
         };
-        let first = news(answer(&site.host, own));
+        let first = expect_news(answer(&site.host, own));
         assert!(first.age_ms >= Millis(400));
         assert_eq!(first.orderer.incarnation, 1);
-        assert_eq!(first.work, work(12), "the asker's own work is not among it");
+        assert_eq!(
+            first.work,
+            work(12),
+            "the asking host's own work must be left out"
+        );
         assert!(first.engines.is_whole);
         assert_eq!(first.members.map(|members| members.generation), Some(1));
         let again = SyncAsk {
             view_version: first.engines.version,
             ..ask()
         };
-        let second = news(answer(&site.host, again));
-        assert_eq!(second.engines.engines, [], "nothing has changed since");
+        let second = expect_news(answer(&site.host, again));
+        assert_eq!(
+            second.engines.engines,
+            [],
+            "nothing has changed since the first reply"
+        );
     });
 }
 
 #[test]
-fn what_a_relays_hosts_ask_for_goes_up_at_once_when_it_is_urgent() {
+fn relay_forwards_urgent_demand_at_once() {
     on_site(|site| async move {
         make_relay(&site.host);
         let waiting = AskCount {
@@ -165,13 +176,19 @@
         answer(&site.host, urgent);
         assert!(site.host.wait_for_news(Millis(10_000)).await);
         let mut gather = site.host.gather.borrow_mut();
-        let told = gather.take_demand(site.host.now(), Vec::new());
-        assert_eq!(told.iter().map(|(_, count)| count.waiting).sum::<u32>(), 1);
+        let forwarded = gather.take_demand(site.host.now(), Vec::new());
+        assert_eq!(
+            forwarded
+                .iter()
+                .map(|(_, count)| count.waiting)
+                .sum::<u32>(),
+            1
+        );
     });
 }
 
-/// Lets an organisation with a limit be known at a host.
-fn order_limit(site: &Site) {
+/// Publishes a desired state with an organisation that has a limit.
+fn publish_limit(site: &Site) {
     let organisation = Organisation {
         name: "o".into(),
         rate_limit: Some(RateLimit {
@@ -192,12 +209,12 @@
 }
 
 #[test]
-fn a_relay_without_an_orderer_tells_what_is_left_at_the_hosts_that_it_hears() {
+fn relay_without_orderer_returns_limits_by_its_own_hosts_usage() {
     on_site(|site| async move {
-        order_limit(&site);
+        publish_limit(&site);
         site.until_version(1).await;
         make_relay(&site.host);
-        let tell = |host, through, requests| {
+        let report = |host, through, requests| {
             let ask = SyncAsk {
                 incarnation: host,
                 through,
@@ -205,13 +222,13 @@
                 ..ask()
             };
             match answer(&site.host, ask) {
-                SyncReply::NoNews { totals } => totals.limits.expect("there is a desired state"),
+                SyncReply::NoNews { totals } => totals.limits.expect("a desired state is in force"),
                 other => panic!("{other:?}"),
             }
         };
-        tell(100, 0, 0);
-        let few = tell(101, 7, 0);
-        let many = tell(102, 39, 1_000);
+        report(100, 0, 0);
+        let few = report(101, 7, 0);
+        let many = report(102, 39, 1_000);
         assert!(
             few.share < many.share && many.share <= 1.0,
             "{few:?} {many:?}"
@@ -223,36 +240,36 @@
 }
 
 #[test]
-fn a_relay_passes_the_orderers_word_of_limits_on_less_what_it_was_not_told() {
+fn relay_subtracts_usage_that_the_orderer_has_not_counted_from_its_limits() {
     on_site(|site| async move {
-        order_limit(&site);
+        publish_limit(&site);
         site.until_version(1).await;
         make_relay(&site.host);
         let level = Level {
             left: 300.0,
             used_per_s: 0.0,
         };
-        let word = LimitsNews {
+        let orderer_limits = LimitsNews {
             age_ms: Millis::ZERO,
             scope: Scope::Site,
             share: 1.0,
             levels: vec![("o".into(), level)],
         };
-        limits::take_reply(&site.host, site.host.now(), Some(word));
+        limits::take_reply(&site.host, site.host.now(), Some(orderer_limits));
         let ask = SyncAsk {
             usage: used(100),
             ..ask()
         };
         let SyncReply::NoNews { totals } = answer(&site.host, ask) else {
-            panic!("no orderer is known");
+            panic!("the relay must know of no orderer");
         };
-        let limits = totals.limits.expect("there is a desired state");
+        let limits = totals.limits.expect("a desired state is in force");
         assert_eq!(limits.scope, Scope::Site);
         assert_eq!(limits.levels[0].1.left, 200.0);
     });
 }
 
-/// Returns a report of requests that were alone at three crashes.
+/// Returns a report of a request that was the only one in flight at three crashes.
 fn crash_report() -> (RequestDigest, CrashReport) {
     let digest = RequestDigest::of(None, "POST", "x", "/a/1", b"crash");
     let crash = |n: u64| Crash {
@@ -275,22 +292,23 @@
     (digest, report)
 }
 
-/// While nobody orders in a small site each host would know only the crashes that it saw.
+/// Guards against hosts of a small site that, without an orderer, know only the crashes which they
+/// saw themselves.
 #[test]
-fn a_host_that_neither_orders_nor_relays_tells_others_which_requests_crash_upstreams() {
+fn host_that_is_neither_orderer_nor_relay_shares_crash_evidence() {
     on_site(|site| async move {
         let (digest, crashes) = crash_report();
         answer(&site.host, SyncAsk { crashes, ..ask() });
         let SyncReply::NotOrderer { crashes, .. } = answer(&site.host, sync_ask(8)) else {
-            panic!("the host orders nothing");
+            panic!("the host must not be the orderer");
         };
-        let told = crashes.evidence.iter().map(|evidence| evidence.digest);
-        assert_eq!(told.collect::<Vec<_>>(), [digest]);
+        let forwarded = crashes.evidence.iter().map(|evidence| evidence.digest);
+        assert_eq!(forwarded.collect::<Vec<_>>(), [digest]);
     });
 }
 
 #[test]
-fn a_relay_tells_its_hosts_which_requests_crash_upstreams_and_which_limits_upstreams_name() {
+fn relay_shares_crash_evidence_and_upstream_limits_with_its_hosts() {
     on_site(|site| async move {
         make_relay(&site.host);
         let (digest, crashes) = crash_report();
@@ -310,7 +328,7 @@
         };
         answer(&site.host, report);
         let SyncReply::NoNews { totals } = answer(&site.host, sync_ask(8)) else {
-            panic!("no orderer is known");
+            panic!("the relay must know of no orderer");
         };
         assert_eq!(totals.crashes.evidence[0].digest, digest);
         assert_eq!(totals.upstream_limits.stated[0].per_s, Some(2.0));
@@ -320,6 +338,10 @@
             .borrow_mut()
             .quarantine
             .report(site.host.now());
-        assert_eq!(own.evidence.len(), 1, "the orderer is to hear it");
+        assert_eq!(
+            own.evidence.len(),
+            1,
+            "the evidence must also go to the orderer"
+        );
     });
 }
