--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -66,7 +66,7 @@
     trims: usize,
     /// How long the host paused before the next read.
     paused_ms: Millis,
-    /// Whether the orderer, and not the store, last confirmed or has_changes this copy.
+    /// Whether the orderer, and not the store, last confirmed or changed this copy.
     was_told_by_orderer: bool,
     /// The pages of the whole table that were read before one failed, or before a relay is asked
     /// for the rest.
@@ -327,7 +327,7 @@
     }
 }
 
-/// Buffers rows that the orderer sent, for the hosts behind this relay. The rows may load_table
+/// Buffers rows that the orderer sent, for the hosts behind this relay. The rows may begin
 /// before the end of this host's copy.
 fn buffer_for_followers<P: Platform>(host: &Host<P>, from: Offset, rows: &[TableRow], end: Offset) {
     let known = rows.partition_point(|row| row.offset < from);
--- a/src/entry/followed.rs
+++ b/src/entry/followed.rs
@@ -16,7 +16,7 @@
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-/// The max_rows rows in one update: some 400 KB. A host that is further behind fetches the whole
+/// The most rows in one update: some 400 KB. A host that is further behind fetches the whole
 /// list from its relay.
 const MAX_UPDATE_ROWS: usize = 4_096;
 /// The least number of rows of the list of upstreams that the orderer and relays buffer for other
@@ -57,7 +57,7 @@
     pub rows: Vec<UpstreamRow>,
 }
 
-/// How far and as of when this host has one table.
+/// This host's copy of one table: where it ends, and how fresh it is.
 #[derive(Debug, Default)]
 struct TableCopy {
     /// The offset after the last row that this host has.
@@ -79,11 +79,15 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// When the call was sent whose reply brought the newest update.
     updated_at: Option<Millis>,
     desired: TableCopy,
     upstreams: TableCopy,
+    /// The rows of the newest update, until they are applied.
     update_rows: Vec<UpstreamRow>,
+    /// The rows for other hosts, at the orderer and at relays.
     buffered: Option<BufferedRows>,
+    /// The newest desired state for other hosts, at the orderer and at relays.
     shared_desired: Option<Arc<DesiredState>>,
 }
 
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -17,9 +17,9 @@
 
 /// How often the holder checks whether its lease is to be renewed or given up.
 const LEASE_TICK_MS: Millis = Millis(100);
-/// How many times in the interval between two reads of the lease a host that does not
-/// renew_or_give_up it checks whether it still hears the holder. Hundreds of such hosts need no
-/// finer timing than that of their reads.
+/// How many times a host that does not hold the lease checks, in the interval between two reads of
+/// it, whether it still hears the holder. Hundreds of such hosts need no finer timing than that of
+/// their reads.
 const CHECKS_PER_READ: u64 = 5;
 /// How often a host that hears of no orderer reads the lease: the first candidates soon, relays to
 /// find the next orderer for their hosts, the others only in case all of these are lost too. When a
@@ -89,6 +89,7 @@
     lines::write(LogEvent::AppendUnknown, &ErrorLine { error });
 }
 
+/// Returns how often this host reads the lease while it hears of no orderer.
 fn lease_read_ms<P: Platform>(host: &Host<P>, me: &Member) -> Millis {
     let members = host.members.borrow();
     let is_candidate = is_candidate(me, members.iter());
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -441,7 +441,8 @@
     services.filter_map(|(name, service)| Some((&**name, service.engine.as_ref()?)))
 }
 
-/// Returns the engines that are leaving or cannot be reached.
+/// Returns the engines that get no orders: those that are leaving, and those that are not called
+/// for a while after failures.
 fn unusable<P: Platform>(host: &Host<P>, now: Millis) -> IndexSet<Name> {
     let upstreams = host.upstreams.borrow();
     let unusable = upstreams
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -159,13 +159,17 @@
     host: &'a Host<P>,
     ask: &'a Ask,
     tries: &'a mut Tries,
+    /// Bytes that were read and not yet written: an incomplete event after each write.
     buffer: Vec<u8>,
     last_event_id: Option<String>,
+    /// Whether the caller was sent the head of the answer.
     has_begun: bool,
+    /// When the head was sent.
     started_at: Millis,
     last_write_at: Millis,
 }
 
+/// What came next of a stream.
 enum Piece {
     Bytes(Vec<u8>),
     End,
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -268,7 +268,8 @@
     }
 }
 
-/// Returns the interval, lengthened by the number of hosts that share the same peer.
+/// Returns the interval multiplied by a factor that grows with the number of hosts which share the
+/// same peer.
 fn scaled_ms<P: Platform>(host: &Host<P>, interval_ms: Millis) -> Millis {
     let tree = host.tree.borrow();
     let is_direct = host.is_orderer() || tree.is_relay(host.incarnation);
@@ -289,6 +290,8 @@
     work.collect()
 }
 
+/// Returns the report of this host, at a relay also for the hosts behind it. Demand is reported
+/// once.
 fn build_request<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncAsk {
     let mut work = own_work(host);
     let mut gather = host.gather.borrow_mut();
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The max_rows changes in a short page.
+/// The most changes in a short page.
 const SHORT_PAGE_ROWS: usize = 50;
 
 /// The platform's store, which the hosts of a test share.
@@ -26,7 +26,7 @@
     pub is_down: Cell<bool>,
     /// The offset of the oldest upstream record that is not trimmed.
     pub kept_from: Cell<u64>,
-    /// The max_rows rows in a page of a whole table; zero for no limit.
+    /// The most rows in a page of a whole table; zero for no limit.
     pub page_rows: Cell<usize>,
     /// How many pages of the list of upstreams were read.
     pub list_pages: Cell<usize>,
