--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::exchange::{bytes, interval_ms};
 use crate::fleet::world::World;
-use mangovale::entry::followed::{Followed, Next, TablesWord};
+use mangovale::entry::followed::{Next, ReplicationState, TablesWord};
 use mangovale::entry::peers::CALL_MS;
 use mangovale::entry::platform::{RowValue, Table, TableRow};
 use mangovale::group::Member;
@@ -66,7 +66,7 @@
 
 /// A host other than the orderer.
 struct Asking {
-    followed: Followed,
+    followed: ReplicationState,
     /// The relays that it asks in turn; none when it asks the orderer.
     relays: Vec<usize>,
     asks_at: Millis,
@@ -138,7 +138,7 @@
 /// The hosts, and the list as it will be.
 struct Site {
     rows: Vec<TableRow>,
-    orderer: Followed,
+    orderer: ReplicationState,
     read_rows: usize,
     relays: Vec<Asking>,
     others: Vec<Asking>,
@@ -266,8 +266,8 @@
     }
 }
 
-fn empty_list() -> Followed {
-    let followed = Followed::default();
+fn empty_list() -> ReplicationState {
+    let followed = ReplicationState::default();
     followed.note_read(Table::Upstreams, Millis::ZERO, Offset(0));
     followed
 }
--- a/src/entry/followed.rs
+++ b/src/entry/followed.rs
@@ -144,12 +144,12 @@
 
 /// The freshness of this host's copies of all tables, and what it buffers for other hosts.
 #[derive(Debug, Default)]
-pub struct Followed {
+pub struct ReplicationState {
     state: RefCell<State>,
     updated: Wakeup,
 }
 
-impl Followed {
+impl ReplicationState {
     /// Records a read by this host that was sent at `asked_at` and reached the end of the table;
     /// the table is followed from `next`. A later confirmation by the orderer stands, since a read
     /// can wait for seconds.
@@ -274,7 +274,7 @@
         is_confirmed
     }
 
-    /// Returns a listener for the next update. Listen before calling [`Followed::next`], so that no
+    /// Returns a listener for the next update. Listen before calling [`ReplicationState::next`], so that no
     /// update is missed.
     pub fn next_update(&self) -> EventListener {
         self.updated.listen()
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::desired::RouteTable;
-use crate::entry::followed::Followed;
+use crate::entry::followed::ReplicationState;
 use crate::entry::metrics::EntryMetrics;
 use crate::entry::orderer::Orders;
 use crate::entry::peers::Known;
@@ -45,7 +45,7 @@
     /// The upstreams.
     pub upstreams: Rc<RefCell<Registry>>,
     /// How new the platform's tables are here.
-    pub followed: Followed,
+    pub followed: ReplicationState,
     /// Whether the list of upstreams was read.
     pub upstreams_known: Cell<bool>,
     /// The other hosts and this one, as the group has them.
@@ -111,7 +111,7 @@
             pool: Pool::default(),
             routes: RefCell::default(),
             upstreams: Rc::default(),
-            followed: Followed::default(),
+            followed: ReplicationState::default(),
             upstreams_known: Cell::new(false),
             members: RefCell::default(),
             tree: RefCell::default(),
--- a/src/entry/tests/followed.rs
+++ b/src/entry/tests/followed.rs
@@ -1,7 +1,7 @@
 //! How fresh a host may take its copies of the tables to be when updates are lost, late or out of
 //! order.
 
-use crate::entry::followed::{Followed, Next, TableEnd, TablesWord};
+use crate::entry::followed::{Next, ReplicationState, TableEnd, TablesWord};
 use crate::entry::platform::{RowValue, Table, TableRow};
 use crate::prelude::*;
 
@@ -18,8 +18,8 @@
 }
 
 /// Returns an orderer that has read up to `end`, and has buffered the rows from `buffered_from` on.
-fn orderer(asked_at: Millis, buffered_from: u64, end: u64) -> Followed {
-    let orderer = Followed::default();
+fn orderer(asked_at: Millis, buffered_from: u64, end: u64) -> ReplicationState {
+    let orderer = ReplicationState::default();
     orderer.note_read(Table::Upstreams, asked_at, Offset(end));
     orderer.keep_rows(
         Offset(buffered_from),
@@ -32,7 +32,7 @@
 
 #[test]
 fn host_waits_while_the_orderer_confirms_its_copy() {
-    let host = Followed::default();
+    let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(1_000), Offset(5));
     let update = orderer(Millis(9_800), 0, 5).word(Millis(10_000), host.wants_from());
     assert!(host.take_word(Millis(9_990), update));
@@ -44,7 +44,7 @@
 
 #[test]
 fn rows_that_continue_the_copy_are_applied_and_a_gap_needs_a_catch_up() {
-    let host = Followed::default();
+    let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let update = orderer(Millis(9_900), 3, 8).word(Millis(10_000), host.wants_from());
     host.take_word(Millis(9_990), update);
@@ -62,7 +62,7 @@
 
 #[test]
 fn host_without_an_update_reads_the_store() {
-    let host = Followed::default();
+    let host = ReplicationState::default();
     host.note_read(Table::Desired, Millis(10_000), Offset(5));
     let next = host.next(Millis(10_001), Table::Desired, WITHIN_MS);
     assert_eq!(next, Next::Read);
@@ -73,9 +73,9 @@
 struct Site {
     now: Millis,
     written: Vec<Millis>,
-    orderer: Followed,
+    orderer: ReplicationState,
     orderer_next: u64,
-    host: Followed,
+    host: ReplicationState,
     host_next: u64,
     in_flight: Vec<(Millis, TablesWord)>,
 }
@@ -138,9 +138,9 @@
         let mut site = Site {
             now: Millis(1_000_000),
             written: Vec::new(),
-            orderer: Followed::default(),
+            orderer: ReplicationState::default(),
             orderer_next: 0,
-            host: Followed::default(),
+            host: ReplicationState::default(),
             host_next: 0,
             in_flight: Vec::new(),
         };
@@ -198,7 +198,7 @@
 /// decide.
 #[test]
 fn end_of_a_poll_does_not_undo_a_later_confirmation() {
-    let host = Followed::default();
+    let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let update = orderer(Millis(9_900), 0, 5).word(Millis(10_000), host.wants_from());
     host.take_word(Millis(9_990), update);
@@ -224,8 +224,8 @@
 /// write their first entries.
 #[test]
 fn relay_sends_all_rows_while_the_list_is_being_written() {
-    let relay = Followed::default();
-    let host = Followed::default();
+    let relay = ReplicationState::default();
+    let host = ReplicationState::default();
     let (mut from, mut taken) = (0, 0);
     host.note_read(Table::Upstreams, Millis(0), Offset(0));
     for second in 1..=10 {
@@ -252,10 +252,10 @@
 #[test]
 fn relay_sends_all_rows_of_a_release_in_a_large_site() {
     let listed = 10_000;
-    let relay = Followed::default();
+    let relay = ReplicationState::default();
     relay.note_read(Table::Upstreams, Millis(1_000), Offset(3_000));
     relay.keep_rows(Offset(0), &rows(0..3_000), Offset(3_000), listed);
-    let host = Followed::default();
+    let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(500), Offset(0));
     host.take_word(Millis(1_010), relay.word(Millis(1_020), host.wants_from()));
     let next = host.next(Millis(1_030), Table::Upstreams, WITHIN_MS);
