--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::start::Start;
 use crate::fleet::world::{World, model};
-use mangovale::entry::followed::{TableEnd, TablesWord};
 use mangovale::entry::peers;
 use mangovale::entry::platform::ModelAsk;
+use mangovale::entry::replication::{TableEnd, TablesWord};
 use mangovale::entry::sync::SYNC_MS;
 use mangovale::group::{Member, Members};
 use mangovale::ordering::ledger::EngineChanges;
--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -6,9 +6,9 @@
 
 use crate::fleet::exchange::{bytes, interval_ms};
 use crate::fleet::world::World;
-use mangovale::entry::followed::{Next, ReplicationState, TablesWord};
 use mangovale::entry::peers::CALL_MS;
 use mangovale::entry::platform::{RowValue, Table, TableRow};
+use mangovale::entry::replication::{Next, ReplicationState, TablesWord};
 use mangovale::group::Member;
 use mangovale::prelude::*;
 use mangovale::upstreams::Upstream;
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -4,13 +4,13 @@
 //! how fresh their copies of the tables are.
 
 use crate::entry::desired_copy::{self, DesiredCopy};
-use crate::entry::followed::Next;
 use crate::entry::host::Host;
 use crate::entry::lines;
 use crate::entry::list_copy::{self, ListCopy};
 use crate::entry::platform::{
     ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
+use crate::entry::replication::Next;
 use crate::entry::sources::{Sources, serves_tables};
 use crate::entry::table_rows::{
     TableLine, UpstreamList, activate_desired_state, apply_list, apply_row, apply_table,
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -2,12 +2,12 @@
 
 use crate::clock::Clock;
 use crate::desired::RouteTable;
-use crate::entry::followed::ReplicationState;
 use crate::entry::metrics::EntryMetrics;
 use crate::entry::orderer::Orders;
 use crate::entry::peers::Known;
 use crate::entry::platform::{Platform, StoreCall, StoreError};
 use crate::entry::pool::Pool;
+use crate::entry::replication::ReplicationState;
 use crate::entry::settings::EntrySettings;
 use crate::entry::stop::ACCEPT_ON_MS;
 use crate::group::parents::{Parents, STALE_MS};
--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -7,9 +7,9 @@
 use crate::desired::DesiredState;
 use crate::entry::desired_copy::{answer, fetch};
 use crate::entry::follow::follow;
-use crate::entry::followed::{TableEnd, TablesWord};
 use crate::entry::host::Host;
 use crate::entry::platform::Table;
+use crate::entry::replication::{TableEnd, TablesWord};
 use crate::prelude::*;
 
 fn version(host: &Host<FakePlatform>) -> Option<u64> {
--- a/src/entry/tests/followed.rs
+++ b/src/entry/tests/replication.rs
@@ -1,8 +1,8 @@
 //! How fresh a host may take its copies of the tables to be when updates are lost, late or out of
 //! order.
 
-use crate::entry::followed::{Next, ReplicationState, TableEnd, TablesWord};
 use crate::entry::platform::{RowValue, Table, TableRow};
+use crate::entry::replication::{Next, ReplicationState, TableEnd, TablesWord};
 use crate::prelude::*;
 
 const WITHIN_MS: Millis = Millis(1_500);
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -1,9 +1,9 @@
 //! Orders to engines, their answers and reports, and the messages between a host and the orderer.
 
 use crate::entry::desired_copy::DesiredCopy;
-use crate::entry::followed::TablesWord;
 use crate::entry::list_copy::{ListAsk, ListPart};
 use crate::entry::platform::{AppendOutcome, ModelAsk};
+use crate::entry::replication::TablesWord;
 use crate::group::Member;
 use crate::group::members::MembersNews;
 use crate::ordering::demand::AskCount;
