--- a/src/entry/desired_copy.rs
+++ b/src/entry/desired_copy.rs
@@ -29,8 +29,8 @@
     if !serves_tables(host) {
         return None;
     }
-    let state = host.followed.shared_desired()?;
-    let table = host.followed.end(host.now(), Table::Desired)?;
+    let state = host.replication.shared_desired()?;
+    let table = host.replication.end(host.now(), Table::Desired)?;
     Some(DesiredCopy {
         state,
         end: table.end,
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -187,8 +187,9 @@
     cursor.partial = None;
     cursor.newest_offsets.clear();
     cursor.next = Some(copy.end);
-    host.followed.note_read(cursor.table, copy.as_of, copy.end);
-    host.followed.drop_rows();
+    host.replication
+        .note_read(cursor.table, copy.as_of, copy.end);
+    host.replication.drop_rows();
     let list = UpstreamList {
         as_of: copy.as_of,
         from: Some(copy.relay),
@@ -205,7 +206,7 @@
     copy: DesiredCopy,
 ) {
     cursor.next = Some(copy.end);
-    host.followed
+    host.replication
         .note_read(cursor.table, asked_at - copy.age_ms, copy.end);
     activate_desired_state(host, copy.state);
 }
@@ -297,14 +298,14 @@
 /// meanwhile.
 async fn wait_until_due<P: Platform>(host: &Host<P>, cursor: &mut Cursor) -> Due {
     loop {
-        let update = host.followed.next_update();
+        let update = host.replication.next_update();
         let now = host.now();
         let within_ms = longest_wait_ms(host, cursor.table, Millis::ZERO);
         // The orderer reads the store; another host reads it until the orderer says how fresh its
         // copy is.
         let next = match host.is_orderer() {
             true => Next::Read,
-            false => host.followed.next(now, cursor.table, within_ms),
+            false => host.replication.next(now, cursor.table, within_ms),
         };
         match next {
             Next::Read => return Due::Read,
@@ -316,7 +317,7 @@
                 apply_rows(host, cursor, cursor.next, rows);
                 cursor.next = Some(end);
                 cursor.was_told_by_orderer = true;
-                host.followed.note_taken(cursor.table, end);
+                host.replication.note_taken(cursor.table, end);
                 return Due::Nothing;
             }
             Next::WaitUntil(due_at) => {
@@ -331,7 +332,7 @@
 /// before the end of this host's copy.
 fn buffer_for_followers<P: Platform>(host: &Host<P>, from: Offset, rows: &[TableRow], end: Offset) {
     let known = rows.partition_point(|row| row.offset < from);
-    host.followed
+    host.replication
         .keep_rows(from, &rows[known..], end, host.upstreams.borrow().count());
 }
 
@@ -463,9 +464,9 @@
         .map(|row| (row.key.clone(), row.offset))
         .collect();
     cursor.next = Some(next);
-    host.followed.note_read(cursor.table, asked_at, next);
+    host.replication.note_read(cursor.table, asked_at, next);
     if cursor.table == Table::Upstreams {
-        host.followed.drop_rows();
+        host.replication.drop_rows();
     }
     apply_table(host, cursor.table, rows);
     Ok(false)
@@ -500,17 +501,17 @@
     cursor.is_cut = page.is_cut;
     cursor.trims = 0;
     match page.is_cut {
-        true => host.followed.note_partial_read(cursor.table, end),
-        false => host.followed.note_read(cursor.table, asked_at, end),
+        true => host.replication.note_partial_read(cursor.table, end),
+        false => host.replication.note_read(cursor.table, asked_at, end),
     }
     if cursor.table == Table::Upstreams {
         host.upstreams.borrow_mut().note_heard(host.now());
         match serves_tables(host) {
             true => {
                 let listed = host.upstreams.borrow().count();
-                host.followed.keep_rows(from, &rows, end, listed);
+                host.replication.keep_rows(from, &rows, end, listed);
             }
-            false => host.followed.drop_rows(),
+            false => host.replication.drop_rows(),
         }
     }
     let has_changes = !rows.is_empty();
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -45,7 +45,7 @@
     /// The upstreams.
     pub upstreams: Rc<RefCell<Registry>>,
     /// How new the platform's tables are here.
-    pub followed: ReplicationState,
+    pub replication: ReplicationState,
     /// Whether the list of upstreams was read.
     pub upstreams_known: Cell<bool>,
     /// The other hosts and this one, as the group has them.
@@ -111,7 +111,7 @@
             pool: Pool::default(),
             routes: RefCell::default(),
             upstreams: Rc::default(),
-            followed: ReplicationState::default(),
+            replication: ReplicationState::default(),
             upstreams_known: Cell::new(false),
             members: RefCell::default(),
             tree: RefCell::default(),
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -71,7 +71,7 @@
     if !serves_tables(host) || !host.upstreams_known.get() || ask.parts > MAX_PARTS {
         return None;
     }
-    let list = host.followed.end(host.now(), Table::Upstreams)?;
+    let list = host.replication.end(host.now(), Table::Upstreams)?;
     let upstreams = host.upstreams.borrow();
     let parts = match ask.parts {
         0 => parts_of(&upstreams),
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -69,7 +69,7 @@
             .map(|(ask, at)| (ask.clone(), at.since(now)))
             .collect(),
         separate: orders.separate.clone(),
-        tables: host.followed.word(now, ask.upstreams_from),
+        tables: host.replication.word(now, ask.upstreams_from),
         members: host.members.borrow().news_since(ask.members_generation),
         totals,
     }))
@@ -100,7 +100,7 @@
         work: work.into_iter().collect(),
         ready_in_ms: view.ready_in_ms(now),
         separate: view.separate(),
-        tables: host.followed.word(now, ask.upstreams_from),
+        tables: host.replication.word(now, ask.upstreams_from),
         members: host.members.borrow().news_since(ask.members_generation),
         totals,
     }))
@@ -307,7 +307,7 @@
         members_generation: host.members.borrow().wants_from(),
         work: work.into_iter().collect(),
         demand,
-        upstreams_from: host.followed.wants_from(),
+        upstreams_from: host.replication.wants_from(),
         through,
         usage: limits::report(host),
         crashes: crashes::report(host),
@@ -366,7 +366,7 @@
         if age_ms < STALE_MS {
             host.members.borrow_mut().note_heard(now);
         }
-        if host.followed.take_word(asked_at, tables) {
+        if host.replication.take_word(asked_at, tables) {
             host.upstreams.borrow_mut().note_heard(now);
         }
         if let Some(members) = members {
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -96,7 +96,7 @@
     if former.is_some_and(|former| former >= state.version) {
         return;
     }
-    host.followed
+    host.replication
         .share_desired(serves_tables(host).then(|| state.clone()));
     let table = RouteTable::new(Arc::unwrap_or_clone(state));
     let line = DesiredLine {
--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -20,7 +20,7 @@
 /// Returns what the relay would tell hosts about its table of desired states.
 fn relay_update(site: &Site) -> TablesWord {
     TablesWord {
-        desired: site.host.followed.end(site.host.now(), Table::Desired),
+        desired: site.host.replication.end(site.host.now(), Table::Desired),
         ..TablesWord::default()
     }
 }
@@ -35,7 +35,7 @@
         }),
         ..TablesWord::default()
     };
-    pair.asking.followed.take_word(pair.asking.now(), first);
+    pair.asking.replication.take_word(pair.asking.now(), first);
     let store = &pair.asking.platform.0;
     store.is_down.set(false);
     store.order(DesiredState::default());
@@ -59,7 +59,7 @@
                 site.order(newest, Vec::new());
                 site.until_version(newest).await;
                 pair.asking
-                    .followed
+                    .replication
                     .take_word(pair.asking.now(), relay_update(&site));
                 until(|| version(&pair.asking) == Some(newest)).await;
             }
@@ -86,7 +86,7 @@
                 ..DesiredState::default()
             });
             pair.asking
-                .followed
+                .replication
                 .take_word(pair.asking.now(), relay_update(&site));
             until(|| version(&pair.asking) == Some(5)).await;
         };
