--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -4,7 +4,7 @@
 use crate::fleet::world::{World, model};
 use mangovale::entry::peers;
 use mangovale::entry::platform::ModelAsk;
-use mangovale::entry::replication::{TableEnd, TablesWord};
+use mangovale::entry::replication::{TableEnd, TablesUpdate};
 use mangovale::entry::sync::SYNC_MS;
 use mangovale::group::{Member, Members};
 use mangovale::ordering::ledger::EngineChanges;
@@ -111,7 +111,7 @@
         work: Vec::new(),
         ready_in_ms: Vec::new(),
         separate: Vec::new(),
-        tables: TablesWord {
+        tables: TablesUpdate {
             desired: Some(end),
             upstreams: Some(end),
             rows: Vec::new(),
--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -8,7 +8,7 @@
 use crate::fleet::world::World;
 use mangovale::entry::peers::CALL_MS;
 use mangovale::entry::platform::{RowValue, Table, TableRow};
-use mangovale::entry::replication::{Next, ReplicationState, TablesWord};
+use mangovale::entry::replication::{Next, ReplicationState, TablesUpdate};
 use mangovale::group::Member;
 use mangovale::prelude::*;
 use mangovale::upstreams::Upstream;
@@ -99,7 +99,7 @@
     }
 
     /// Takes what it is told, and whatever else it needs to know as much as the one that told it.
-    fn take(&mut self, now: Millis, told: TablesWord) {
+    fn take(&mut self, now: Millis, told: TablesUpdate) {
         let end = told.upstreams.map(|list| list.end);
         let from = self.followed.wants_from();
         self.followed.take_word(now, told);
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -47,7 +47,7 @@
 
 /// What the orderer or a relay tells a host about the tables.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct TablesWord {
+pub struct TablesUpdate {
     /// The end of the table of desired states; none when the sender has not read it.
     pub desired: Option<TableEnd>,
     /// The end of the list of upstreams; none when the sender has not read it.
@@ -218,7 +218,7 @@
     }
 
     /// Returns the update for a host that needs rows of the list from an offset.
-    pub fn word(&self, now: Millis, wants_from: Option<Offset>) -> TablesWord {
+    pub fn word(&self, now: Millis, wants_from: Option<Offset>) -> TablesUpdate {
         let state = self.state.borrow();
         let rows = match (wants_from, &state.buffered) {
             (Some(from), Some(buffered)) if buffered.from <= from => {
@@ -230,7 +230,7 @@
             }
             _ => Vec::new(),
         };
-        TablesWord {
+        TablesUpdate {
             desired: state.desired.end(now),
             upstreams: state.upstreams.end(now),
             rows,
@@ -239,7 +239,7 @@
 
     /// Records an update, in reply to a call sent at `asked_at`. Returns whether it confirmed the
     /// copy of the list of upstreams.
-    pub fn take_word(&self, asked_at: Millis, word: TablesWord) -> bool {
+    pub fn take_word(&self, asked_at: Millis, word: TablesUpdate) -> bool {
         let mut state = self.state.borrow_mut();
         let newest_row = word.rows.last().map(|row| row.offset);
         let end_of_list = word.upstreams.map(|upstreams| upstreams.end);
--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -9,7 +9,7 @@
 use crate::entry::follow::follow;
 use crate::entry::host::Host;
 use crate::entry::platform::Table;
-use crate::entry::replication::{TableEnd, TablesWord};
+use crate::entry::replication::{TableEnd, TablesUpdate};
 use crate::prelude::*;
 
 fn version(host: &Host<FakePlatform>) -> Option<u64> {
@@ -18,22 +18,22 @@
 }
 
 /// Returns what the relay would tell hosts about its table of desired states.
-fn relay_update(site: &Site) -> TablesWord {
-    TablesWord {
+fn relay_update(site: &Site) -> TablesUpdate {
+    TablesUpdate {
         desired: site.host.replication.end(site.host.now(), Table::Desired),
-        ..TablesWord::default()
+        ..TablesUpdate::default()
     }
 }
 
 /// Starts to follow desired states at the host behind the relay. Waits until it has read the first
 /// one from the store and relies on updates from then on.
 async fn read_first(site: &Site, pair: &Pair) {
-    let first = TablesWord {
+    let first = TablesUpdate {
         desired: Some(TableEnd {
             end: Offset(1),
             age_ms: Millis::ZERO,
         }),
-        ..TablesWord::default()
+        ..TablesUpdate::default()
     };
     pair.asking.replication.take_word(pair.asking.now(), first);
     let store = &pair.asking.platform.0;
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -8,7 +8,7 @@
 use crate::entry::host::Host;
 use crate::entry::list_copy::{ListAsk, answer, fetch};
 use crate::entry::platform::Table;
-use crate::entry::replication::{TableEnd, TablesWord, UpstreamRow};
+use crate::entry::replication::{TableEnd, TablesUpdate, UpstreamRow};
 use crate::entry::sources::Sources;
 use crate::group::Member;
 use crate::prelude::*;
@@ -126,7 +126,7 @@
                 let age_ms = Millis::ZERO;
                 Some(TableEnd { end, age_ms })
             };
-            let update = TablesWord {
+            let update = TablesUpdate {
                 desired: None,
                 upstreams: table_end(Offset(end.0 + 1)),
                 rows: vec![row("u1", end.0 - 1, false), row("new", end.0, true)],
@@ -151,9 +151,9 @@
             end: Offset(UPSTREAMS as u64),
             age_ms: Millis::ZERO,
         };
-        let update = TablesWord {
+        let update = TablesUpdate {
             upstreams: Some(end),
-            ..TablesWord::default()
+            ..TablesUpdate::default()
         };
         pair.asking.replication.take_word(pair.asking.now(), update);
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -2,7 +2,7 @@
 //! order.
 
 use crate::entry::platform::{RowValue, Table, TableRow};
-use crate::entry::replication::{Next, ReplicationState, TableEnd, TablesWord};
+use crate::entry::replication::{Next, ReplicationState, TableEnd, TablesUpdate};
 use crate::prelude::*;
 
 const WITHIN_MS: Millis = Millis(1_500);
@@ -77,7 +77,7 @@
     orderer_next: u64,
     host: ReplicationState,
     host_next: u64,
-    in_flight: Vec<(Millis, TablesWord)>,
+    in_flight: Vec<(Millis, TablesUpdate)>,
 }
 
 impl Site {
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -3,7 +3,7 @@
 use crate::entry::desired_copy::DesiredCopy;
 use crate::entry::list_copy::{ListAsk, ListPart};
 use crate::entry::platform::{AppendOutcome, ModelAsk};
-use crate::entry::replication::TablesWord;
+use crate::entry::replication::TablesUpdate;
 use crate::group::Member;
 use crate::group::members::MembersNews;
 use crate::ordering::demand::AskCount;
@@ -136,7 +136,7 @@
     /// The models whose copies are kept apart for long and for short prompts.
     pub separate: Vec<Name>,
     /// How new the platform's tables are.
-    pub tables: TablesWord,
+    pub tables: TablesUpdate,
     /// How the list of hosts changed, when the asker's is older.
     pub members: Option<MembersNews>,
     /// What hosts add up, with or without an orderer.
