--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -231,7 +231,7 @@
         }
         for relay in &mut self.relays {
             if relay.is_due(now) {
-                let told = self.orderer.word(now, relay.followed.wants_from());
+                let told = self.orderer.update_for(now, relay.followed.wants_from());
                 relay.take(now, told);
             }
         }
@@ -241,8 +241,8 @@
             }
             let wants_from = host.followed.wants_from();
             let told = match host.relays.first() {
-                Some(relay) => self.relays[*relay].followed.word(now, wants_from),
-                None => self.orderer.word(now, wants_from),
+                Some(relay) => self.relays[*relay].followed.update_for(now, wants_from),
+                None => self.orderer.update_for(now, wants_from),
             };
             let told_bytes = bytes(&told);
             if let Some(relay) = host.relays.first() {
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns the update for a host that needs rows of the list from an offset.
-    pub fn word(&self, now: Millis, wants_from: Option<Offset>) -> TablesUpdate {
+    pub fn update_for(&self, now: Millis, wants_from: Option<Offset>) -> TablesUpdate {
         let state = self.state.borrow();
         let rows = match (wants_from, &state.buffered) {
             (Some(from), Some(buffered)) if buffered.from <= from => {
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -69,7 +69,7 @@
             .map(|(ask, at)| (ask.clone(), at.since(now)))
             .collect(),
         separate: orders.separate.clone(),
-        tables: host.replication.word(now, ask.upstreams_from),
+        tables: host.replication.update_for(now, ask.upstreams_from),
         members: host.members.borrow().news_since(ask.members_generation),
         totals,
     }))
@@ -100,7 +100,7 @@
         work: work.into_iter().collect(),
         ready_in_ms: view.ready_in_ms(now),
         separate: view.separate(),
-        tables: host.replication.word(now, ask.upstreams_from),
+        tables: host.replication.update_for(now, ask.upstreams_from),
         members: host.members.borrow().news_since(ask.members_generation),
         totals,
     }))
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -34,7 +34,7 @@
 fn host_waits_while_the_orderer_confirms_its_copy() {
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(1_000), Offset(5));
-    let update = orderer(Millis(9_800), 0, 5).word(Millis(10_000), host.wants_from());
+    let update = orderer(Millis(9_800), 0, 5).update_for(Millis(10_000), host.wants_from());
     assert!(host.take_word(Millis(9_990), update));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_790) + WITHIN_MS));
@@ -46,7 +46,7 @@
 fn rows_that_continue_the_copy_are_applied_and_a_gap_needs_a_catch_up() {
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
-    let update = orderer(Millis(9_900), 3, 8).word(Millis(10_000), host.wants_from());
+    let update = orderer(Millis(9_900), 3, 8).update_for(Millis(10_000), host.wants_from());
     host.take_word(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Take(rows(5..8), Offset(8)));
@@ -54,7 +54,7 @@
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
 
-    let update = orderer(Millis(10_100), 10, 12).word(Millis(10_200), host.wants_from());
+    let update = orderer(Millis(10_100), 10, 12).update_for(Millis(10_200), host.wants_from());
     host.take_word(Millis(10_190), update);
     let next = host.next(Millis(10_210), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Behind);
@@ -98,7 +98,7 @@
         let asked_at = self.now;
         let wants_from = self.host.wants_from();
         self.now += Millis(takes_ms);
-        let update = self.orderer.word(self.now, wants_from);
+        let update = self.orderer.update_for(self.now, wants_from);
         self.in_flight.push((asked_at, update));
     }
 
@@ -177,8 +177,8 @@
     // It read rows 3 and 4 while another host ordered, and buffered neither.
     orderer.note_read(Table::Upstreams, Millis(9_950), Offset(5));
     orderer.keep_rows(Offset(5), &rows(5..7), Offset(7), LISTED);
-    assert_eq!(orderer.word(Millis(10_000), Some(Offset(1))).rows, []);
-    let sent = orderer.word(Millis(10_000), Some(Offset(5))).rows;
+    assert_eq!(orderer.update_for(Millis(10_000), Some(Offset(1))).rows, []);
+    let sent = orderer.update_for(Millis(10_000), Some(Offset(5))).rows;
     assert_eq!(sent.len(), 2);
 }
 
@@ -189,7 +189,7 @@
     let orderer = orderer(Millis(9_900), 0, 3);
     orderer.drop_rows();
     orderer.keep_rows(Offset(3), &rows(3..5), Offset(5), LISTED);
-    let sent = orderer.word(Millis(10_000), Some(Offset(3))).rows;
+    let sent = orderer.update_for(Millis(10_000), Some(Offset(3))).rows;
     assert_eq!(sent.len(), 2);
 }
 
@@ -200,7 +200,7 @@
 fn end_of_a_poll_does_not_undo_a_later_confirmation() {
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
-    let update = orderer(Millis(9_900), 0, 5).word(Millis(10_000), host.wants_from());
+    let update = orderer(Millis(9_900), 0, 5).update_for(Millis(10_000), host.wants_from());
     host.take_word(Millis(9_990), update);
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let next = host.next(Millis(10_600), Table::Upstreams, WITHIN_MS);
@@ -236,7 +236,7 @@
         from = end;
         // The host calls its relay every two seconds only.
         if second % 2 == 0 {
-            host.take_word(now, relay.word(now, host.wants_from()));
+            host.take_word(now, relay.update_for(now, host.wants_from()));
             let next = host.next(now, Table::Upstreams, WITHIN_MS);
             let Next::Take(rows, end) = next else {
                 panic!("rows expected: {next:?}");
@@ -257,7 +257,10 @@
     relay.keep_rows(Offset(0), &rows(0..3_000), Offset(3_000), listed);
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(500), Offset(0));
-    host.take_word(Millis(1_010), relay.word(Millis(1_020), host.wants_from()));
+    host.take_word(
+        Millis(1_010),
+        relay.update_for(Millis(1_020), host.wants_from()),
+    );
     let next = host.next(Millis(1_030), Table::Upstreams, WITHIN_MS);
     assert!(matches!(next, Next::Take(rows, end) if rows.len() == 3_000 && end == Offset(3_000)));
 }
