--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -102,7 +102,7 @@
     fn take(&mut self, now: Millis, told: TablesUpdate) {
         let end = told.upstreams.map(|list| list.end);
         let from = self.followed.wants_from();
-        self.followed.take_word(now, told);
+        self.followed.apply_update(now, told);
         match self.followed.next(now, Table::Upstreams, WITHIN_MS) {
             Next::WaitUntil(_) => {}
             Next::Take(rows, end) => {
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -239,23 +239,23 @@
 
     /// Records an update, in reply to a call sent at `asked_at`. Returns whether it confirmed the
     /// copy of the list of upstreams.
-    pub fn take_word(&self, asked_at: Millis, word: TablesUpdate) -> bool {
+    pub fn apply_update(&self, asked_at: Millis, update: TablesUpdate) -> bool {
         let mut state = self.state.borrow_mut();
-        let newest_row = word.rows.last().map(|row| row.offset);
-        let end_of_list = word.upstreams.map(|upstreams| upstreams.end);
+        let newest_row = update.rows.last().map(|row| row.offset);
+        let end_of_list = update.upstreams.map(|upstreams| upstreams.end);
         // The rows are used only when they lead up to the end in the same update; those of an
         // earlier update lead to another end.
         let leads_to_end =
             newest_row.is_some_and(|offset| Some(Offset(offset.0 + 1)) == end_of_list);
         state.update_rows = match leads_to_end {
-            true => word.rows,
+            true => update.rows,
             false => Vec::new(),
         };
         state.updated_at = state.updated_at.max(Some(asked_at));
         let mut is_confirmed = false;
         for (table, said) in [
-            (Table::Desired, word.desired),
-            (Table::Upstreams, word.upstreams),
+            (Table::Desired, update.desired),
+            (Table::Upstreams, update.upstreams),
         ] {
             let Some(TableEnd { end, age_ms }) = said else {
                 continue;
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -366,7 +366,7 @@
         if age_ms < STALE_MS {
             host.members.borrow_mut().note_heard(now);
         }
-        if host.replication.take_word(asked_at, tables) {
+        if host.replication.apply_update(asked_at, tables) {
             host.upstreams.borrow_mut().note_heard(now);
         }
         if let Some(members) = members {
--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -35,7 +35,9 @@
         }),
         ..TablesUpdate::default()
     };
-    pair.asking.replication.take_word(pair.asking.now(), first);
+    pair.asking
+        .replication
+        .apply_update(pair.asking.now(), first);
     let store = &pair.asking.platform.0;
     store.is_down.set(false);
     store.order(DesiredState::default());
@@ -60,7 +62,7 @@
                 site.until_version(newest).await;
                 pair.asking
                     .replication
-                    .take_word(pair.asking.now(), relay_update(&site));
+                    .apply_update(pair.asking.now(), relay_update(&site));
                 until(|| version(&pair.asking) == Some(newest)).await;
             }
         };
@@ -87,7 +89,7 @@
             });
             pair.asking
                 .replication
-                .take_word(pair.asking.now(), relay_update(&site));
+                .apply_update(pair.asking.now(), relay_update(&site));
             until(|| version(&pair.asking) == Some(5)).await;
         };
         pair.shared.run(test).await;
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -131,7 +131,7 @@
                 upstreams: table_end(Offset(end.0 + 1)),
                 rows: vec![row("u1", end.0 - 1, false), row("new", end.0, true)],
             };
-            pair.asking.replication.take_word(now, update);
+            pair.asking.replication.apply_update(now, update);
             until(|| pair.asking.upstreams.borrow().get("new").is_some()).await;
         };
         pair.shared.run(test).await;
@@ -155,7 +155,9 @@
             upstreams: Some(end),
             ..TablesUpdate::default()
         };
-        pair.asking.replication.take_word(pair.asking.now(), update);
+        pair.asking
+            .replication
+            .apply_update(pair.asking.now(), update);
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
         site.executor.spawn(follow).detach();
         let test = until(|| pair.asking.upstreams.borrow().count() == UPSTREAMS);
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -35,7 +35,7 @@
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(1_000), Offset(5));
     let update = orderer(Millis(9_800), 0, 5).update_for(Millis(10_000), host.wants_from());
-    assert!(host.take_word(Millis(9_990), update));
+    assert!(host.apply_update(Millis(9_990), update));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_790) + WITHIN_MS));
     let next = host.next(Millis(11_300), Table::Upstreams, WITHIN_MS);
@@ -47,7 +47,7 @@
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let update = orderer(Millis(9_900), 3, 8).update_for(Millis(10_000), host.wants_from());
-    host.take_word(Millis(9_990), update);
+    host.apply_update(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Take(rows(5..8), Offset(8)));
     host.note_taken(Table::Upstreams, Offset(8));
@@ -55,7 +55,7 @@
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
 
     let update = orderer(Millis(10_100), 10, 12).update_for(Millis(10_200), host.wants_from());
-    host.take_word(Millis(10_190), update);
+    host.apply_update(Millis(10_190), update);
     let next = host.next(Millis(10_210), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Behind);
 }
@@ -153,7 +153,7 @@
                 6 | 7 if !site.in_flight.is_empty() => {
                     let nth = u.choose_index(site.in_flight.len())?;
                     let (asked_at, update) = site.in_flight.swap_remove(nth);
-                    site.host.take_word(asked_at, update);
+                    site.host.apply_update(asked_at, update);
                 }
                 // The orderer is replaced; the next one has buffered no rows.
                 8 if u.int_in_range(0..=5u8)? == 0 => site.orderer.drop_rows(),
@@ -201,7 +201,7 @@
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let update = orderer(Millis(9_900), 0, 5).update_for(Millis(10_000), host.wants_from());
-    host.take_word(Millis(9_990), update);
+    host.apply_update(Millis(9_990), update);
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let next = host.next(Millis(10_600), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
@@ -236,7 +236,7 @@
         from = end;
         // The host calls its relay every two seconds only.
         if second % 2 == 0 {
-            host.take_word(now, relay.update_for(now, host.wants_from()));
+            host.apply_update(now, relay.update_for(now, host.wants_from()));
             let next = host.next(now, Table::Upstreams, WITHIN_MS);
             let Next::Take(rows, end) = next else {
                 panic!("rows expected: {next:?}");
@@ -257,7 +257,7 @@
     relay.keep_rows(Offset(0), &rows(0..3_000), Offset(3_000), listed);
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(500), Offset(0));
-    host.take_word(
+    host.apply_update(
         Millis(1_010),
         relay.update_for(Millis(1_020), host.wants_from()),
     );
