--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -101,7 +101,7 @@
     /// Takes what it is told, and whatever else it needs to know as much as the one that told it.
     fn take(&mut self, now: Millis, told: TablesUpdate) {
         let end = told.upstreams.map(|list| list.end);
-        let from = self.followed.wants_from();
+        let from = self.followed.next_offset();
         self.followed.apply_update(now, told);
         match self.followed.next(now, Table::Upstreams, WITHIN_MS) {
             Next::WaitUntil(_) => {}
@@ -222,7 +222,7 @@
 
     fn is_known(&self) -> bool {
         let end = Some(Offset(self.rows.len() as u64));
-        self.hosts().all(|host| host.followed.wants_from() == end)
+        self.hosts().all(|host| host.followed.next_offset() == end)
     }
 
     fn step(&mut self, now: Millis) {
@@ -231,7 +231,7 @@
         }
         for relay in &mut self.relays {
             if relay.is_due(now) {
-                let told = self.orderer.update_for(now, relay.followed.wants_from());
+                let told = self.orderer.update_for(now, relay.followed.next_offset());
                 relay.take(now, told);
             }
         }
@@ -239,7 +239,7 @@
             if !host.is_due(now) {
                 continue;
             }
-            let wants_from = host.followed.wants_from();
+            let wants_from = host.followed.next_offset();
             let told = match host.relays.first() {
                 Some(relay) => self.relays[*relay].followed.update_for(now, wants_from),
                 None => self.orderer.update_for(now, wants_from),
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -213,14 +213,14 @@
 
     /// Returns the offset from which this host needs rows of the list of upstreams; nothing before
     /// its first read.
-    pub fn wants_from(&self) -> Option<Offset> {
+    pub fn next_offset(&self) -> Option<Offset> {
         self.state.borrow().upstreams.next
     }
 
     /// Returns the update for a host that needs rows of the list from an offset.
-    pub fn update_for(&self, now: Millis, wants_from: Option<Offset>) -> TablesUpdate {
+    pub fn update_for(&self, now: Millis, next_offset: Option<Offset>) -> TablesUpdate {
         let state = self.state.borrow();
-        let rows = match (wants_from, &state.buffered) {
+        let rows = match (next_offset, &state.buffered) {
             (Some(from), Some(buffered)) if buffered.from <= from => {
                 let first = buffered.rows.partition_point(|row| row.offset < from);
                 match buffered.rows.len() - first <= MAX_UPDATE_ROWS {
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -307,7 +307,7 @@
         members_generation: host.members.borrow().wants_from(),
         work: work.into_iter().collect(),
         demand,
-        upstreams_from: host.replication.wants_from(),
+        upstreams_from: host.replication.next_offset(),
         through,
         usage: limits::report(host),
         crashes: crashes::report(host),
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -34,7 +34,7 @@
 fn host_waits_while_the_orderer_confirms_its_copy() {
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(1_000), Offset(5));
-    let update = orderer(Millis(9_800), 0, 5).update_for(Millis(10_000), host.wants_from());
+    let update = orderer(Millis(9_800), 0, 5).update_for(Millis(10_000), host.next_offset());
     assert!(host.apply_update(Millis(9_990), update));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_790) + WITHIN_MS));
@@ -46,7 +46,7 @@
 fn rows_that_continue_the_copy_are_applied_and_a_gap_needs_a_catch_up() {
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
-    let update = orderer(Millis(9_900), 3, 8).update_for(Millis(10_000), host.wants_from());
+    let update = orderer(Millis(9_900), 3, 8).update_for(Millis(10_000), host.next_offset());
     host.apply_update(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Take(rows(5..8), Offset(8)));
@@ -54,7 +54,7 @@
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
 
-    let update = orderer(Millis(10_100), 10, 12).update_for(Millis(10_200), host.wants_from());
+    let update = orderer(Millis(10_100), 10, 12).update_for(Millis(10_200), host.next_offset());
     host.apply_update(Millis(10_190), update);
     let next = host.next(Millis(10_210), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Behind);
@@ -96,9 +96,9 @@
 
     fn host_asks(&mut self, takes_ms: u64) {
         let asked_at = self.now;
-        let wants_from = self.host.wants_from();
+        let next_offset = self.host.next_offset();
         self.now += Millis(takes_ms);
-        let update = self.orderer.update_for(self.now, wants_from);
+        let update = self.orderer.update_for(self.now, next_offset);
         self.in_flight.push((asked_at, update));
     }
 
@@ -200,7 +200,7 @@
 fn end_of_a_poll_does_not_undo_a_later_confirmation() {
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
-    let update = orderer(Millis(9_900), 0, 5).update_for(Millis(10_000), host.wants_from());
+    let update = orderer(Millis(9_900), 0, 5).update_for(Millis(10_000), host.next_offset());
     host.apply_update(Millis(9_990), update);
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let next = host.next(Millis(10_600), Table::Upstreams, WITHIN_MS);
@@ -236,7 +236,7 @@
         from = end;
         // The host calls its relay every two seconds only.
         if second % 2 == 0 {
-            host.apply_update(now, relay.update_for(now, host.wants_from()));
+            host.apply_update(now, relay.update_for(now, host.next_offset()));
             let next = host.next(now, Table::Upstreams, WITHIN_MS);
             let Next::Take(rows, end) = next else {
                 panic!("rows expected: {next:?}");
@@ -259,7 +259,7 @@
     host.note_read(Table::Upstreams, Millis(500), Offset(0));
     host.apply_update(
         Millis(1_010),
-        relay.update_for(Millis(1_020), host.wants_from()),
+        relay.update_for(Millis(1_020), host.next_offset()),
     );
     let next = host.next(Millis(1_030), Table::Upstreams, WITHIN_MS);
     assert!(matches!(next, Next::Take(rows, end) if rows.len() == 3_000 && end == Offset(3_000)));
