--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -124,7 +124,7 @@
         let Some(from) = from else { return };
         let known = rows.partition_point(|row| row.offset < from);
         let listed = end.0 as usize;
-        self.followed.keep_rows(from, &rows[known..], end, listed);
+        self.followed.buffer_rows(from, &rows[known..], end, listed);
     }
 
     fn jump(&self, now: Millis, end: Option<Offset>) {
@@ -261,7 +261,7 @@
         let (from, to) = (Offset(self.read_rows as u64), Offset(end as u64));
         self.orderer.note_read(Table::Upstreams, now, to);
         self.orderer
-            .keep_rows(from, &self.rows[self.read_rows..end], to, end);
+            .buffer_rows(from, &self.rows[self.read_rows..end], to, end);
         self.read_rows = end;
     }
 }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -333,7 +333,7 @@
 fn buffer_for_followers<P: Platform>(host: &Host<P>, from: Offset, rows: &[TableRow], end: Offset) {
     let known = rows.partition_point(|row| row.offset < from);
     host.replication
-        .keep_rows(from, &rows[known..], end, host.upstreams.borrow().count());
+        .buffer_rows(from, &rows[known..], end, host.upstreams.borrow().count());
 }
 
 fn longest_wait_ms<P: Platform>(host: &Host<P>, table: Table, paused_ms: Millis) -> Millis {
@@ -509,7 +509,7 @@
         match serves_tables(host) {
             true => {
                 let listed = host.upstreams.borrow().count();
-                host.replication.keep_rows(from, &rows, end, listed);
+                host.replication.buffer_rows(from, &rows, end, listed);
             }
             false => host.replication.drop_rows(),
         }
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -169,7 +169,7 @@
     /// Buffers rows of the list of upstreams, which were read from `from` up to `next`, for other
     /// hosts. `listed` is the number of upstreams in the list. Rows that do not follow the buffered
     /// ones replace them.
-    pub fn keep_rows(&self, from: Offset, rows: &[TableRow], next: Offset, listed: usize) {
+    pub fn buffer_rows(&self, from: Offset, rows: &[TableRow], next: Offset, listed: usize) {
         let max_rows = listed.max(MIN_BUFFERED_ROWS);
         let mut state = self.state.borrow_mut();
         let former = state
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -21,7 +21,7 @@
 fn orderer(asked_at: Millis, buffered_from: u64, end: u64) -> ReplicationState {
     let orderer = ReplicationState::default();
     orderer.note_read(Table::Upstreams, asked_at, Offset(end));
-    orderer.keep_rows(
+    orderer.buffer_rows(
         Offset(buffered_from),
         &rows(buffered_from..end),
         Offset(end),
@@ -90,7 +90,7 @@
         let read = rows(self.orderer_next..end);
         self.orderer
             .note_read(Table::Upstreams, asked_at, Offset(end));
-        self.orderer.keep_rows(from, &read, Offset(end), LISTED);
+        self.orderer.buffer_rows(from, &read, Offset(end), LISTED);
         self.orderer_next = end;
     }
 
@@ -176,7 +176,7 @@
     let orderer = orderer(Millis(9_900), 0, 3);
     // It read rows 3 and 4 while another host ordered, and buffered neither.
     orderer.note_read(Table::Upstreams, Millis(9_950), Offset(5));
-    orderer.keep_rows(Offset(5), &rows(5..7), Offset(7), LISTED);
+    orderer.buffer_rows(Offset(5), &rows(5..7), Offset(7), LISTED);
     assert_eq!(orderer.update_for(Millis(10_000), Some(Offset(1))).rows, []);
     let sent = orderer.update_for(Millis(10_000), Some(Offset(5))).rows;
     assert_eq!(sent.len(), 2);
@@ -188,7 +188,7 @@
 fn rows_buffered_after_others_were_dropped_are_sent() {
     let orderer = orderer(Millis(9_900), 0, 3);
     orderer.drop_rows();
-    orderer.keep_rows(Offset(3), &rows(3..5), Offset(5), LISTED);
+    orderer.buffer_rows(Offset(3), &rows(3..5), Offset(5), LISTED);
     let sent = orderer.update_for(Millis(10_000), Some(Offset(3))).rows;
     assert_eq!(sent.len(), 2);
 }
@@ -232,7 +232,7 @@
         let now = Millis(second * 1_000);
         let end = second * 700;
         relay.note_read(Table::Upstreams, now, Offset(end));
-        relay.keep_rows(Offset(from), &rows(from..end), Offset(end), from as usize);
+        relay.buffer_rows(Offset(from), &rows(from..end), Offset(end), from as usize);
         from = end;
         // The host calls its relay every two seconds only.
         if second % 2 == 0 {
@@ -254,7 +254,7 @@
     let listed = 10_000;
     let relay = ReplicationState::default();
     relay.note_read(Table::Upstreams, Millis(1_000), Offset(3_000));
-    relay.keep_rows(Offset(0), &rows(0..3_000), Offset(3_000), listed);
+    relay.buffer_rows(Offset(0), &rows(0..3_000), Offset(3_000), listed);
     let host = ReplicationState::default();
     host.note_read(Table::Upstreams, Millis(500), Offset(0));
     host.apply_update(
