--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -130,7 +130,7 @@
     fn jump(&self, now: Millis, end: Option<Offset>) {
         if let Some(end) = end {
             self.followed.note_read(Table::Upstreams, now, end);
-            self.followed.drop_rows();
+            self.followed.clear_buffered_rows();
         }
     }
 }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -189,7 +189,7 @@
     cursor.next = Some(copy.end);
     host.replication
         .note_read(cursor.table, copy.as_of, copy.end);
-    host.replication.drop_rows();
+    host.replication.clear_buffered_rows();
     let list = UpstreamList {
         as_of: copy.as_of,
         from: Some(copy.relay),
@@ -466,7 +466,7 @@
     cursor.next = Some(next);
     host.replication.note_read(cursor.table, asked_at, next);
     if cursor.table == Table::Upstreams {
-        host.replication.drop_rows();
+        host.replication.clear_buffered_rows();
     }
     apply_table(host, cursor.table, rows);
     Ok(false)
@@ -511,7 +511,7 @@
                 let listed = host.upstreams.borrow().count();
                 host.replication.buffer_rows(from, &rows, end, listed);
             }
-            false => host.replication.drop_rows(),
+            false => host.replication.clear_buffered_rows(),
         }
     }
     let has_changes = !rows.is_empty();
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -191,7 +191,7 @@
 
     /// Drops the rows that are buffered for other hosts, when this host no longer orders or relays
     /// or has read the whole table anew.
-    pub fn drop_rows(&self) {
+    pub fn clear_buffered_rows(&self) {
         self.state.borrow_mut().buffered = None;
     }
 
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -156,7 +156,7 @@
                     site.host.apply_update(asked_at, update);
                 }
                 // The orderer is replaced; the next one has buffered no rows.
-                8 if u.int_in_range(0..=5u8)? == 0 => site.orderer.drop_rows(),
+                8 if u.int_in_range(0..=5u8)? == 0 => site.orderer.clear_buffered_rows(),
                 // It reads rows without buffering them, as it does while another host orders.
                 8 if u.int_in_range(0..=5u8)? == 0 => {
                     let end = site.written.len() as u64;
@@ -187,7 +187,7 @@
 #[test]
 fn rows_buffered_after_others_were_dropped_are_sent() {
     let orderer = orderer(Millis(9_900), 0, 3);
-    orderer.drop_rows();
+    orderer.clear_buffered_rows();
     orderer.buffer_rows(Offset(3), &rows(3..5), Offset(5), LISTED);
     let sent = orderer.update_for(Millis(10_000), Some(Offset(3))).rows;
     assert_eq!(sent.len(), 2);
