--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -106,7 +106,7 @@
         match self.followed.next(now, Table::Upstreams, WITHIN_MS) {
             Next::WaitUntil(_) => {}
             Next::Take(rows, end) => {
-                self.followed.note_taken(Table::Upstreams, end);
+                self.followed.note_applied(Table::Upstreams, end);
                 self.keep(from, &rows, end);
             }
             Next::Behind => {
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -317,7 +317,7 @@
                 apply_rows(host, cursor, cursor.next, rows);
                 cursor.next = Some(end);
                 cursor.was_told_by_orderer = true;
-                host.replication.note_taken(cursor.table, end);
+                host.replication.note_applied(cursor.table, end);
                 return Due::Nothing;
             }
             Next::WaitUntil(due_at) => {
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -319,7 +319,7 @@
     }
 
     /// Records that rows from the orderer were applied up to an offset.
-    pub fn note_taken(&self, table: Table, next: Offset) {
+    pub fn note_applied(&self, table: Table, next: Offset) {
         let mut state = self.state.borrow_mut();
         let copy = state.copy(table);
         copy.next = Some(next);
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -50,7 +50,7 @@
     host.apply_update(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::Take(rows(5..8), Offset(8)));
-    host.note_taken(Table::Upstreams, Offset(8));
+    host.note_applied(Table::Upstreams, Offset(8));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
 
@@ -109,7 +109,7 @@
                 let expected: Vec<u64> = (offsets[0]..end.0).collect();
                 assert!(offsets[0] <= self.host_next, "rows are missing");
                 assert_eq!(offsets, expected);
-                self.host.note_taken(Table::Upstreams, end);
+                self.host.note_applied(Table::Upstreams, end);
                 self.host_next = self.host_next.max(end.0);
             }
             Next::Read | Next::Behind => {
@@ -242,7 +242,7 @@
                 panic!("rows expected: {next:?}");
             };
             taken += rows.len();
-            host.note_taken(Table::Upstreams, end);
+            host.note_applied(Table::Upstreams, end);
         }
     }
     assert_eq!(taken, 7_000);
