--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -8,7 +8,7 @@
 use crate::fleet::world::World;
 use mangovale::entry::peers::CALL_MS;
 use mangovale::entry::platform::{RowValue, Table, TableRow};
-use mangovale::entry::replication::{Next, ReplicationState, TablesUpdate};
+use mangovale::entry::replication::{NextStep, ReplicationState, TablesUpdate};
 use mangovale::group::Member;
 use mangovale::prelude::*;
 use mangovale::upstreams::Upstream;
@@ -104,16 +104,16 @@
         let from = self.followed.next_offset();
         self.followed.apply_update(now, told);
         match self.followed.next(now, Table::Upstreams, WITHIN_MS) {
-            Next::WaitUntil(_) => {}
-            Next::Take(rows, end) => {
+            NextStep::WaitUntil(_) => {}
+            NextStep::Take(rows, end) => {
                 self.followed.note_applied(Table::Upstreams, end);
                 self.keep(from, &rows, end);
             }
-            Next::Behind => {
+            NextStep::Behind => {
                 self.whole_lists += 1;
                 self.jump(now, end);
             }
-            Next::Read => {
+            NextStep::Read => {
                 self.store_reads += 1;
                 self.jump(now, end);
             }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -10,7 +10,7 @@
 use crate::entry::platform::{
     ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
-use crate::entry::replication::Next;
+use crate::entry::replication::NextStep;
 use crate::entry::sources::{Sources, serves_tables};
 use crate::entry::table_rows::{
     TableLine, UpstreamList, activate_desired_state, apply_list, apply_row, apply_table,
@@ -304,13 +304,13 @@
         // The orderer reads the store; another host reads it until the orderer says how fresh its
         // copy is.
         let next = match host.is_orderer() {
-            true => Next::Read,
+            true => NextStep::Read,
             false => host.replication.next(now, cursor.table, within_ms),
         };
         match next {
-            Next::Read => return Due::Read,
-            Next::Behind => return Due::CatchUp,
-            Next::Take(rows, end) => {
+            NextStep::Read => return Due::Read,
+            NextStep::Behind => return Due::CatchUp,
+            NextStep::Take(rows, end) => {
                 if let Some(from) = cursor.next.filter(|_| host.is_relay()) {
                     buffer_for_followers(host, from, &rows, end);
                 }
@@ -320,7 +320,7 @@
                 host.replication.note_applied(cursor.table, end);
                 return Due::Nothing;
             }
-            Next::WaitUntil(due_at) => {
+            NextStep::WaitUntil(due_at) => {
                 cursor.was_told_by_orderer = true;
                 within(due_at.since(now), update).await;
             }
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -131,7 +131,7 @@
 
 /// What to do next about a table.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Apply these rows from the orderer; the copy then reaches this offset.
     Take(Vec<TableRow>, Offset),
     /// Read the table: nobody says whether it has more rows.
@@ -281,7 +281,7 @@
     }
 
     /// Returns what to do next about a table that must be confirmed every `within_ms`.
-    pub fn next(&self, now: Millis, table: Table, within_ms: Millis) -> Next {
+    pub fn next(&self, now: Millis, table: Table, within_ms: Millis) -> NextStep {
         let mut state = self.state.borrow_mut();
         let updated_at = state.updated_at;
         let TableCopy {
@@ -292,10 +292,10 @@
         let (Some(next), Some(confirmed_at), Some((announced_end, _)), Some(updated_at)) =
             (next, confirmed_at, announced, updated_at)
         else {
-            return Next::Read;
+            return NextStep::Read;
         };
         if now >= updated_at + within_ms {
-            return Next::Read;
+            return NextStep::Read;
         }
         if announced_end > next {
             let rows = match table {
@@ -307,14 +307,14 @@
             // it.
             let continues_copy = rows.first().is_some_and(|row| row.offset <= next);
             return match continues_copy {
-                true => Next::Take(rows, announced_end),
-                false => Next::Behind,
+                true => NextStep::Take(rows, announced_end),
+                false => NextStep::Behind,
             };
         }
         let due_at = confirmed_at + within_ms;
         match now < due_at {
-            true => Next::WaitUntil(due_at),
-            false => Next::Read,
+            true => NextStep::WaitUntil(due_at),
+            false => NextStep::Read,
         }
     }
 
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -2,7 +2,7 @@
 //! order.
 
 use crate::entry::platform::{RowValue, Table, TableRow};
-use crate::entry::replication::{Next, ReplicationState, TableEnd, TablesUpdate};
+use crate::entry::replication::{NextStep, ReplicationState, TableEnd, TablesUpdate};
 use crate::prelude::*;
 
 const WITHIN_MS: Millis = Millis(1_500);
@@ -37,9 +37,9 @@
     let update = orderer(Millis(9_800), 0, 5).update_for(Millis(10_000), host.next_offset());
     assert!(host.apply_update(Millis(9_990), update));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, Next::WaitUntil(Millis(9_790) + WITHIN_MS));
+    assert_eq!(next, NextStep::WaitUntil(Millis(9_790) + WITHIN_MS));
     let next = host.next(Millis(11_300), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, Next::Read);
+    assert_eq!(next, NextStep::Read);
 }
 
 #[test]
@@ -49,15 +49,15 @@
     let update = orderer(Millis(9_900), 3, 8).update_for(Millis(10_000), host.next_offset());
     host.apply_update(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, Next::Take(rows(5..8), Offset(8)));
+    assert_eq!(next, NextStep::Take(rows(5..8), Offset(8)));
     host.note_applied(Table::Upstreams, Offset(8));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
+    assert_eq!(next, NextStep::WaitUntil(Millis(9_890) + WITHIN_MS));
 
     let update = orderer(Millis(10_100), 10, 12).update_for(Millis(10_200), host.next_offset());
     host.apply_update(Millis(10_190), update);
     let next = host.next(Millis(10_210), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, Next::Behind);
+    assert_eq!(next, NextStep::Behind);
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let host = ReplicationState::default();
     host.note_read(Table::Desired, Millis(10_000), Offset(5));
     let next = host.next(Millis(10_001), Table::Desired, WITHIN_MS);
-    assert_eq!(next, Next::Read);
+    assert_eq!(next, NextStep::Read);
 }
 
 /// A table that grows, an orderer that reads it with a delay, and a host that receives the
@@ -104,7 +104,7 @@
 
     fn host_acts(&mut self) {
         match self.host.next(self.now, Table::Upstreams, WITHIN_MS) {
-            Next::Take(rows, end) => {
+            NextStep::Take(rows, end) => {
                 let offsets: Vec<u64> = rows.iter().map(|row| row.offset.0).collect();
                 let expected: Vec<u64> = (offsets[0]..end.0).collect();
                 assert!(offsets[0] <= self.host_next, "rows are missing");
@@ -112,12 +112,12 @@
                 self.host.note_applied(Table::Upstreams, end);
                 self.host_next = self.host_next.max(end.0);
             }
-            Next::Read | Next::Behind => {
+            NextStep::Read | NextStep::Behind => {
                 let end = self.written.len() as u64;
                 self.host.note_read(Table::Upstreams, self.now, Offset(end));
                 self.host_next = end;
             }
-            Next::WaitUntil(due_at) => {
+            NextStep::WaitUntil(due_at) => {
                 assert!(due_at > self.now);
                 let unknown = self.written[self.host_next as usize..].iter();
                 for written_at in unknown {
@@ -204,7 +204,7 @@
     host.apply_update(Millis(9_990), update);
     host.note_read(Table::Upstreams, Millis(9_000), Offset(5));
     let next = host.next(Millis(10_600), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, Next::WaitUntil(Millis(9_890) + WITHIN_MS));
+    assert_eq!(next, NextStep::WaitUntil(Millis(9_890) + WITHIN_MS));
 }
 
 /// Guards against an orderer that reports the middle of a long list as its end.
@@ -238,7 +238,7 @@
         if second % 2 == 0 {
             host.apply_update(now, relay.update_for(now, host.next_offset()));
             let next = host.next(now, Table::Upstreams, WITHIN_MS);
-            let Next::Take(rows, end) = next else {
+            let NextStep::Take(rows, end) = next else {
                 panic!("rows expected: {next:?}");
             };
             taken += rows.len();
@@ -262,5 +262,7 @@
         relay.update_for(Millis(1_020), host.next_offset()),
     );
     let next = host.next(Millis(1_030), Table::Upstreams, WITHIN_MS);
-    assert!(matches!(next, Next::Take(rows, end) if rows.len() == 3_000 && end == Offset(3_000)));
+    assert!(
+        matches!(next, NextStep::Take(rows, end) if rows.len() == 3_000 && end == Offset(3_000))
+    );
 }
