--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -105,7 +105,7 @@
         self.followed.apply_update(now, told);
         match self.followed.next(now, Table::Upstreams, WITHIN_MS) {
             NextStep::WaitUntil(_) => {}
-            NextStep::Take(rows, end) => {
+            NextStep::Apply(rows, end) => {
                 self.followed.note_applied(Table::Upstreams, end);
                 self.keep(from, &rows, end);
             }
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -133,7 +133,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextStep {
     /// Apply these rows from the orderer; the copy then reaches this offset.
-    Take(Vec<TableRow>, Offset),
+    Apply(Vec<TableRow>, Offset),
     /// Read the table: nobody says whether it has more rows.
     Read,
     /// Catch up: the table has more rows, and the update did not bring them.
@@ -307,7 +307,7 @@
             // it.
             let continues_copy = rows.first().is_some_and(|row| row.offset <= next);
             return match continues_copy {
-                true => NextStep::Take(rows, announced_end),
+                true => NextStep::Apply(rows, announced_end),
                 false => NextStep::Behind,
             };
         }
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -49,7 +49,7 @@
     let update = orderer(Millis(9_900), 3, 8).update_for(Millis(10_000), host.next_offset());
     host.apply_update(Millis(9_990), update);
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, NextStep::Take(rows(5..8), Offset(8)));
+    assert_eq!(next, NextStep::Apply(rows(5..8), Offset(8)));
     host.note_applied(Table::Upstreams, Offset(8));
     let next = host.next(Millis(10_010), Table::Upstreams, WITHIN_MS);
     assert_eq!(next, NextStep::WaitUntil(Millis(9_890) + WITHIN_MS));
@@ -104,7 +104,7 @@
 
     fn host_acts(&mut self) {
         match self.host.next(self.now, Table::Upstreams, WITHIN_MS) {
-            NextStep::Take(rows, end) => {
+            NextStep::Apply(rows, end) => {
                 let offsets: Vec<u64> = rows.iter().map(|row| row.offset.0).collect();
                 let expected: Vec<u64> = (offsets[0]..end.0).collect();
                 assert!(offsets[0] <= self.host_next, "rows are missing");
@@ -238,7 +238,7 @@
         if second % 2 == 0 {
             host.apply_update(now, relay.update_for(now, host.next_offset()));
             let next = host.next(now, Table::Upstreams, WITHIN_MS);
-            let NextStep::Take(rows, end) = next else {
+            let NextStep::Apply(rows, end) = next else {
                 panic!("rows expected: {next:?}");
             };
             taken += rows.len();
@@ -263,6 +263,6 @@
     );
     let next = host.next(Millis(1_030), Table::Upstreams, WITHIN_MS);
     assert!(
-        matches!(next, NextStep::Take(rows, end) if rows.len() == 3_000 && end == Offset(3_000))
+        matches!(next, NextStep::Apply(rows, end) if rows.len() == 3_000 && end == Offset(3_000))
     );
 }
