--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -109,7 +109,7 @@
                 self.followed.note_applied(Table::Upstreams, end);
                 self.keep(from, &rows, end);
             }
-            NextStep::Behind => {
+            NextStep::CatchUp => {
                 self.whole_lists += 1;
                 self.jump(now, end);
             }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -309,7 +309,7 @@
         };
         match next {
             NextStep::Read => return Due::Read,
-            NextStep::Behind => return Due::CatchUp,
+            NextStep::CatchUp => return Due::CatchUp,
             NextStep::Apply(rows, end) => {
                 if let Some(from) = cursor.next.filter(|_| host.is_relay()) {
                     buffer_for_followers(host, from, &rows, end);
--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -137,7 +137,7 @@
     /// Read the table: nobody says whether it has more rows.
     Read,
     /// Catch up: the table has more rows, and the update did not bring them.
-    Behind,
+    CatchUp,
     /// Wait until then; the copy is fresh enough so far.
     WaitUntil(Millis),
 }
@@ -308,7 +308,7 @@
             let continues_copy = rows.first().is_some_and(|row| row.offset <= next);
             return match continues_copy {
                 true => NextStep::Apply(rows, announced_end),
-                false => NextStep::Behind,
+                false => NextStep::CatchUp,
             };
         }
         let due_at = confirmed_at + within_ms;
--- a/src/entry/tests/replication.rs
+++ b/src/entry/tests/replication.rs
@@ -57,7 +57,7 @@
     let update = orderer(Millis(10_100), 10, 12).update_for(Millis(10_200), host.next_offset());
     host.apply_update(Millis(10_190), update);
     let next = host.next(Millis(10_210), Table::Upstreams, WITHIN_MS);
-    assert_eq!(next, NextStep::Behind);
+    assert_eq!(next, NextStep::CatchUp);
 }
 
 #[test]
@@ -112,7 +112,7 @@
                 self.host.note_applied(Table::Upstreams, end);
                 self.host_next = self.host_next.max(end.0);
             }
-            NextStep::Read | NextStep::Behind => {
+            NextStep::Read | NextStep::CatchUp => {
                 let end = self.written.len() as u64;
                 self.host.note_read(Table::Upstreams, self.now, Offset(end));
                 self.host_next = end;
