--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -4,7 +4,7 @@
 use crate::desired::RouteTable;
 use crate::entry::metrics::EntryMetrics;
 use crate::entry::orderer::Orders;
-use crate::entry::peers::Known;
+use crate::entry::peers::AcceptedFingerprints;
 use crate::entry::platform::{Platform, StoreCall, StoreError};
 use crate::entry::pool::Pool;
 use crate::entry::replication::ReplicationState;
@@ -61,7 +61,7 @@
     /// The state of ordering loads.
     pub orders: RefCell<Orders>,
     /// The certificates of hosts that are accepted.
-    pub known_hosts: Arc<Known>,
+    pub known_hosts: Arc<AcceptedFingerprints>,
     /// What callers asked of each model since the orderer was told last.
     pub demand: RefCell<crate::ordering::demand::Demand>,
     /// What is known of requests that are sent again.
@@ -94,7 +94,7 @@
         platform: P,
         clock: Clock,
         metrics: EntryMetrics,
-        known_hosts: Arc<Known>,
+        known_hosts: Arc<AcceptedFingerprints>,
     ) -> Rc<Self> {
         let limits = SharedLimits {
             organisations: Limiter::new(clock.now(), settings.bounds.limit_tolerance),
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -49,9 +49,9 @@
 
 /// The fingerprints of the certificates that are accepted from other hosts.
 #[derive(Debug, Default)]
-pub struct Known(Mutex<IndexSet<Name>>);
+pub struct AcceptedFingerprints(Mutex<IndexSet<Name>>);
 
-impl Known {
+impl AcceptedFingerprints {
     /// Accepts these fingerprints from now on, and no others. Open connections stay.
     pub fn replace(&self, fingerprints: IndexSet<Name>) {
         *self.lock() = fingerprints;
@@ -80,7 +80,7 @@
     pub fingerprint: Name,
     /// The fingerprints that both sides of its connections accept; replaced when the list of hosts
     /// changes.
-    pub known: Arc<Known>,
+    pub known: Arc<AcceptedFingerprints>,
     connections: RefCell<IndexMap<SocketAddr, Connection>>,
 }
 
@@ -90,7 +90,7 @@
         address: SocketAddr,
         executor: Arc<Executor<'static>>,
     ) -> Result<Rc<Self>, EntryError> {
-        let known = Arc::new(Known::default());
+        let known = Arc::new(AcceptedFingerprints::default());
         let identity = Identity::make()?;
         let verifier = Arc::new(FingerprintVerifier::new(known.clone()));
         let socket = UdpSocket::bind(address).map_err(|source| EntryError::Listen {
@@ -278,12 +278,12 @@
 /// handshake proves that the other side has the certificate's key.
 #[derive(Debug)]
 struct FingerprintVerifier {
-    known: Arc<Known>,
+    known: Arc<AcceptedFingerprints>,
     provider: Arc<CryptoProvider>,
 }
 
 impl FingerprintVerifier {
-    fn new(known: Arc<Known>) -> Self {
+    fn new(known: Arc<AcceptedFingerprints>) -> Self {
         Self {
             known,
             provider: Arc::new(rustls::crypto::ring::default_provider()),
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -8,7 +8,7 @@
 use crate::entry::follow::follow;
 use crate::entry::host::Host;
 use crate::entry::metrics::EntryMetrics;
-use crate::entry::peers::{Known, Peers};
+use crate::entry::peers::{AcceptedFingerprints, Peers};
 use crate::entry::platform::Table;
 use crate::entry::settings::{EntrySettings, PlatformBounds};
 use crate::group::Member;
@@ -67,7 +67,7 @@
             platform,
             Clock::start(),
             metrics,
-            Arc::new(Known::default()),
+            Arc::new(AcceptedFingerprints::default()),
         );
         executor
             .spawn(caller::accept(host.clone(), executor.clone(), listener))
