--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -80,7 +80,7 @@
     pub fingerprint: Name,
     /// The fingerprints that both sides of its connections accept; replaced when the list of hosts
     /// changes.
-    pub known: Arc<AcceptedFingerprints>,
+    pub accepted: Arc<AcceptedFingerprints>,
     connections: RefCell<IndexMap<SocketAddr, Connection>>,
 }
 
@@ -90,9 +90,9 @@
         address: SocketAddr,
         executor: Arc<Executor<'static>>,
     ) -> Result<Rc<Self>, EntryError> {
-        let known = Arc::new(AcceptedFingerprints::default());
+        let accepted = Arc::new(AcceptedFingerprints::default());
         let identity = Identity::make()?;
-        let verifier = Arc::new(FingerprintVerifier::new(known.clone()));
+        let verifier = Arc::new(FingerprintVerifier::new(accepted.clone()));
         let socket = UdpSocket::bind(address).map_err(|source| EntryError::Listen {
             key: "peer_listen",
             address,
@@ -113,7 +113,7 @@
         Ok(Rc::new(Self {
             endpoint,
             fingerprint: fingerprint(&identity.certificate),
-            known,
+            accepted,
             connections: RefCell::default(),
         }))
     }
@@ -278,14 +278,14 @@
 /// handshake proves that the other side has the certificate's key.
 #[derive(Debug)]
 struct FingerprintVerifier {
-    known: Arc<AcceptedFingerprints>,
+    accepted: Arc<AcceptedFingerprints>,
     provider: Arc<CryptoProvider>,
 }
 
 impl FingerprintVerifier {
-    fn new(known: Arc<AcceptedFingerprints>) -> Self {
+    fn new(accepted: Arc<AcceptedFingerprints>) -> Self {
         Self {
-            known,
+            accepted,
             provider: Arc::new(rustls::crypto::ring::default_provider()),
         }
     }
@@ -319,7 +319,7 @@
         _ocsp_response: &[u8],
         _now: UnixTime,
     ) -> Result<ServerCertVerified, rustls::Error> {
-        self.known.check(certificate)?;
+        self.accepted.check(certificate)?;
         Ok(ServerCertVerified::assertion())
     }
 
@@ -357,7 +357,7 @@
         _intermediates: &[CertificateDer<'_>],
         _now: UnixTime,
     ) -> Result<ClientCertVerified, rustls::Error> {
-        self.known.check(certificate)?;
+        self.accepted.check(certificate)?;
         Ok(ClientCertVerified::assertion())
     }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -106,7 +106,7 @@
     // Tasks of QUIC may not share state by `Rc`, so they have an executor of their own on the same thread.
     let shared = Arc::new(Executor::new());
     let peers = Peers::bind(settings.peer_listen, shared.clone())?;
-    let host = Host::new(settings, platform, clock, metrics, peers.known.clone());
+    let host = Host::new(settings, platform, clock, metrics, peers.accepted.clone());
     let executor = Rc::new(LocalExecutor::new());
     let main = start(host, executor.clone(), peers, path, reconnect);
     smol::block_on(shared.run(executor.run(main)))
--- a/src/entry/tests/lease_keeper.rs
+++ b/src/entry/tests/lease_keeper.rs
@@ -29,8 +29,8 @@
             .iter()
             .map(|member| member.fingerprint.clone())
             .collect();
-        own.known.replace(fingerprints.clone());
-        other.known.replace(fingerprints);
+        own.accepted.replace(fingerprints.clone());
+        other.accepted.replace(fingerprints);
         let now = site.host.now();
         site.host.members.borrow_mut().replace(now, 1, both);
         let serve = peers::serve(other_host, other, site.executor.clone());
--- a/src/entry/tests/peers.rs
+++ b/src/entry/tests/peers.rs
@@ -26,18 +26,18 @@
                 asking.call(address, &sync_call()).await.is_none(),
                 "neither host accepts the other"
             );
-            asking.known.replace(only(&answering.fingerprint));
+            asking.accepted.replace(only(&answering.fingerprint));
             assert!(
                 asking.call(address, &sync_call()).await.is_none(),
                 "the answering host does not accept the asking one"
             );
-            answering.known.replace(only(&asking.fingerprint));
-            asking.known.replace(IndexSet::new());
+            answering.accepted.replace(only(&asking.fingerprint));
+            asking.accepted.replace(IndexSet::new());
             assert!(
                 asking.call(address, &sync_call()).await.is_none(),
                 "the asking host does not accept the answering one"
             );
-            asking.known.replace(only(&answering.fingerprint));
+            asking.accepted.replace(only(&answering.fingerprint));
             let reply = asking.call(address, &sync_call()).await;
             assert!(matches!(
                 reply,
--- a/src/entry/tests/relay_pair.rs
+++ b/src/entry/tests/relay_pair.rs
@@ -62,7 +62,7 @@
             host.members.borrow_mut().replace(now, 1, list.clone());
             host.accept_listed();
         }
-        own.known.replace([me.fingerprint.clone()].into());
+        own.accepted.replace([me.fingerprint.clone()].into());
         let serve = peers::serve(site.host.clone(), own, site.executor.clone());
         site.executor.spawn(serve).detach();
         Self {
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -322,6 +322,6 @@
         FakePlatform(store),
         Clock::start(),
         metrics,
-        peers.known.clone(),
+        peers.accepted.clone(),
     )
 }
