--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -194,7 +194,7 @@
         let is_lost = |relay: &Member| lost.is_some_and(|lost| lost == relay);
         let first_ask = Millis(random.u64(0..to_host.0));
         let (relay, ask_at) = match relays.as_slice() {
-            [first, second, ..] if is_lost(first) => (*second, first_ask + peers::CALL_MS),
+            [first, second, ..] if is_lost(first) => (*second, first_ask + peers::CALL_TIMEOUT_MS),
             [first, ..] if is_lost(first) => continue,
             [first, ..] => (*first, first_ask),
             // In a small site hosts ask the orderer.
--- a/bench/src/fleet/filling.rs
+++ b/bench/src/fleet/filling.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::exchange::{bytes, interval_ms};
 use crate::fleet::world::World;
-use mangovale::entry::peers::CALL_MS;
+use mangovale::entry::peers::CALL_TIMEOUT_MS;
 use mangovale::entry::platform::{RowValue, Table, TableRow};
 use mangovale::entry::replication::{NextStep, ReplicationState, TablesUpdate};
 use mangovale::group::Member;
@@ -203,7 +203,7 @@
         for host in &mut self.others {
             if host.relays.first() == Some(&lost) {
                 host.relays.remove(0);
-                host.asks_at += CALL_MS;
+                host.asks_at += CALL_TIMEOUT_MS;
             }
         }
         // Nobody waits for the lost relay itself.
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -36,7 +36,7 @@
 /// The name and version of the protocol, as negotiated by ALPN in the TLS handshake.
 const ALPN: &[u8] = b"mangovale-order/3";
 /// The time-out of a call; a round trip takes a few milliseconds.
-pub const CALL_MS: Millis = Millis(700);
+pub const CALL_TIMEOUT_MS: Millis = Millis(700);
 /// How long a connection stays open without traffic. A dead one is detected by the first call that
 /// times out on it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -123,9 +123,9 @@
         self.endpoint.local_addr()
     }
 
-    /// Calls a peer. Returns nothing when there is no answer within [`CALL_MS`].
+    /// Calls a peer. Returns nothing when there is no answer within [`CALL_TIMEOUT_MS`].
     pub async fn call(&self, address: SocketAddr, call: &PeerCall) -> Option<PeerReply> {
-        let reply = within(CALL_MS, self.try_call(address, call))
+        let reply = within(CALL_TIMEOUT_MS, self.try_call(address, call))
             .await
             .flatten();
         if reply.is_none() {
