--- a/bench/src/fleet/exchange.rs
+++ b/bench/src/fleet/exchange.rs
@@ -5,7 +5,7 @@
 use mangovale::entry::peers;
 use mangovale::entry::platform::ModelAsk;
 use mangovale::entry::replication::{TableEnd, TablesUpdate};
-use mangovale::entry::sync::SYNC_MS;
+use mangovale::entry::sync::SYNC_INTERVAL_MS;
 use mangovale::group::{Member, Members};
 use mangovale::ordering::ledger::EngineChanges;
 use mangovale::ordering::message::{OrdererNews, SyncAsk, SyncReply, Totals};
@@ -76,7 +76,7 @@
 
 /// Returns how often a host speaks with the orderer, or with its relay.
 pub fn interval_ms(world: &World, is_direct: bool) -> Millis {
-    Millis(SYNC_MS.0 * world.tree.interval_factor(is_direct))
+    Millis(SYNC_INTERVAL_MS.0 * world.tree.interval_factor(is_direct))
 }
 
 fn ask(host: &Member) -> SyncAsk {
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -19,7 +19,7 @@
 /// How often a host exchanges state with the orderer or its relay when nothing is urgent. This and
 /// the intervals below hold while few hosts share the same peer, and grow with their number; see
 /// [`Tree::interval_factor`](crate::group::Tree::interval_factor).
-pub const SYNC_MS: Millis = Millis(250);
+pub const SYNC_INTERVAL_MS: Millis = Millis(250);
 /// The interval while a request waits for a model.
 const WAITING_SYNC_INTERVAL_MS: Millis = Millis(30);
 /// The minimum pause between two exchanges.
@@ -264,7 +264,7 @@
 pub fn interval_ms<P: Platform>(host: &Host<P>, has_waiting: bool) -> Millis {
     match has_waiting {
         true => scaled_ms(host, WAITING_SYNC_INTERVAL_MS),
-        false => scaled_ms(host, SYNC_MS),
+        false => scaled_ms(host, SYNC_INTERVAL_MS),
     }
 }
 
