--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::desired::RouteTable;
 use crate::entry::metrics::EntryMetrics;
-use crate::entry::orderer::Orders;
+use crate::entry::orderer::OrderingState;
 use crate::entry::peers::AcceptedFingerprints;
 use crate::entry::platform::{Platform, StoreCall, StoreError};
 use crate::entry::pool::Pool;
@@ -59,7 +59,7 @@
     /// What the orderer says.
     pub view: RefCell<View>,
     /// The state of ordering loads.
-    pub orders: RefCell<Orders>,
+    pub orders: RefCell<OrderingState>,
     /// The certificates of hosts that are accepted.
     pub known_hosts: Arc<AcceptedFingerprints>,
     /// What callers asked of each model since the orderer was told last.
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -4,7 +4,7 @@
 use crate::entry::crashes;
 use crate::entry::host::Host;
 use crate::entry::lines;
-use crate::entry::orderer::{ErrorLine, Orders};
+use crate::entry::orderer::{ErrorLine, OrderingState};
 use crate::entry::peers::Peers;
 use crate::entry::platform::{AppendOutcome, Platform, StoreCall, StoreError};
 use crate::group::Member;
@@ -350,7 +350,7 @@
     lines::write(event, &line);
 }
 
-fn update_orderer<P: Platform>(host: &Host<P>, orders: &mut Orders) {
+fn update_orderer<P: Platform>(host: &Host<P>, orders: &mut OrderingState) {
     let holder = orders.holder().cloned();
     let incarnation = holder.as_ref().map(|holder| holder.incarnation);
     if orders.logged_orderer != incarnation {
@@ -369,7 +369,7 @@
     Some(record)
 }
 
-fn learned<P: Platform>(host: &Host<P>, orders: &Orders) -> Learned {
+fn learned<P: Platform>(host: &Host<P>, orders: &OrderingState) -> Learned {
     Learned {
         store_loads_at_once: orders.store_loads_at_once(),
         crashes: crashes::lasting(host),
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -39,7 +39,7 @@
 /// One host's state of ordering loads. Most of it is used while the host is the orderer; every host
 /// keeps the lease and the name of the orderer.
 #[derive(Default)]
-pub struct Orders {
+pub struct OrderingState {
     /// The lease to order loads, as this host knows it.
     pub lease: Lease,
     /// What the engines hold by their reports, and the orders they were sent.
@@ -70,7 +70,7 @@
     pub logged_orderer: Option<u64>,
 }
 
-impl Orders {
+impl OrderingState {
     /// Returns how many concurrent loads the weight store serves at full speed, as this orderer or
     /// else a former one has learned; nothing when none has.
     pub fn store_loads_at_once(&self) -> Option<usize> {
@@ -350,7 +350,12 @@
 
 /// Lowers the limit of concurrent loads when an engine reports that an overdue load is still
 /// running.
-fn learn_from_overdue<P: Platform>(host: &Host<P>, orders: &mut Orders, id: &str, now: Millis) {
+fn learn_from_overdue<P: Platform>(
+    host: &Host<P>,
+    orders: &mut OrderingState,
+    id: &str,
+    now: Millis,
+) {
     let engine = orders.ledger.get(id);
     let under_way: Vec<Loaded> = engine
         .into_iter()
@@ -389,7 +394,7 @@
     let mut orders = host.orders.borrow_mut();
     orders.book.expire(now);
     orders.ledger.assume_unloaded(now);
-    let Orders {
+    let OrderingState {
         ledger,
         book,
         ceiling,
