--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -234,7 +234,7 @@
 fn is_isolated<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     let mut orders = host.orders.borrow_mut();
     let has_others = host.members.borrow().count() > 1;
-    let hears_others = orders.book.hosts() > 1;
+    let hears_others = orders.demand.hosts() > 1;
     if !has_others || hears_others {
         orders.isolated_since = None;
         return false;
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -180,7 +180,7 @@
     match (host.is_orderer(), tree.is_relay(host.incarnation)) {
         (true, _) => Place {
             scope: Scope::Site,
-            heard: host.orders.borrow().book.heard(),
+            heard: host.orders.borrow().demand.heard(),
             expected: members.count(),
             members: known,
         },
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -50,7 +50,7 @@
     /// engines in the ledger.
     engine_versions: Option<(u64, u64)>,
     /// The demand and the work that the hosts report.
-    pub book: Book,
+    pub demand: Book,
     /// The orderer that another host named since this one last read or took the lease.
     named_orderer: Option<Member>,
     reports_in_flight: usize,
@@ -194,7 +194,7 @@
         let ready_at = expected_ready_at(&host, &table, &unusable, now);
         let mut orders = host.orders.borrow_mut();
         orders.ready_at = ready_at;
-        orders.separate = orders.book.separate(now);
+        orders.separate = orders.demand.separate(now);
     }
 }
 
@@ -222,7 +222,7 @@
             service,
             spec,
             ledger: &orders.ledger,
-            book: &orders.book,
+            book: &orders.demand,
             unusable,
         };
         planner.ready_in_ms(pace)
@@ -392,11 +392,11 @@
     now: Millis,
 ) {
     let mut orders = host.orders.borrow_mut();
-    orders.book.expire(now);
+    orders.demand.expire(now);
     orders.ledger.assume_unloaded(now);
     let OrderingState {
         ledger,
-        book,
+        demand: book,
         ceiling,
         lease,
         ..
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -53,7 +53,7 @@
         return SyncReply::NoNews { totals };
     };
     let has_waiting = ask.demand.iter().any(|(_, count)| count.waiting > 0);
-    orders.book.take(now, ask.incarnation, ask.take_report());
+    orders.demand.take(now, ask.incarnation, ask.take_report());
     if has_waiting {
         host.note_want();
     }
@@ -64,7 +64,7 @@
         lease_end: Some(holding.end),
         orderer: holding.me,
         engines: orders.published.since(ask.view_version),
-        work: orders.book.work_of_others(ask.incarnation),
+        work: orders.demand.work_of_others(ask.incarnation),
         ready_in_ms: ready_at
             .map(|(ask, at)| (ask.clone(), at.since(now)))
             .collect(),
