--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -43,7 +43,7 @@
     /// The lease to order loads, as this host knows it.
     pub lease: Lease,
     /// What the engines hold by their reports, and the orders they were sent.
-    pub ledger: Ledger,
+    pub inventory: Ledger,
     /// What the hosts are told of the engines, versioned so that a host gets changes only.
     pub published: PublishedEngines,
     /// The versions of the list of upstreams and of the desired state at the last update of the
@@ -80,7 +80,7 @@
 
     /// Drops everything known of the engines, because another host may order from now on.
     pub fn forget_engines(&mut self) {
-        self.ledger = Ledger::default();
+        self.inventory = Ledger::default();
         self.engine_versions = None;
         self.ready_at = Vec::new();
     }
@@ -108,7 +108,7 @@
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
             return;
         };
-        let changes = self.ledger.take_changes(now);
+        let changes = self.inventory.take_changes(now);
         let is_as_listed = |view: &EngineView| {
             let upstream = upstreams.get_lifetime(&view.engine);
             upstream.is_some_and(|upstream| upstream.holds_just(&view.held))
@@ -221,7 +221,7 @@
             now,
             service,
             spec,
-            ledger: &orders.ledger,
+            ledger: &orders.inventory,
             book: &orders.demand,
             unusable,
         };
@@ -237,7 +237,7 @@
     let upstreams = host.upstreams.borrow();
     let mut orders = host.orders.borrow_mut();
     let versions = Some((upstreams.version(), table.version));
-    if orders.engine_versions == versions && !orders.ledger.lacks_engines() {
+    if orders.engine_versions == versions && !orders.inventory.lacks_engines() {
         return;
     }
     orders.engine_versions = versions;
@@ -249,7 +249,7 @@
         .iter()
         .filter(|upstream| is_engine(&upstream.entry.service))
         .map(|upstream| (upstream.lifetime(), upstream.entry.service.clone()));
-    orders.ledger.take_engines(now, engines);
+    orders.inventory.take_engines(now, engines);
 }
 
 fn request_due_reports<P: Platform + 'static>(
@@ -260,7 +260,7 @@
     let due = {
         let mut orders = host.orders.borrow_mut();
         let max_idle = MAX_REPORTS_IN_FLIGHT.saturating_sub(orders.reports_in_flight);
-        let due = orders.ledger.due_reports(now, max_idle);
+        let due = orders.inventory.due_reports(now, max_idle);
         orders.reports_in_flight += due.len();
         due
     };
@@ -298,13 +298,16 @@
     }
     let now = host.now();
     let mut orders = host.orders.borrow_mut();
-    let was_known = orders.ledger.get(id).is_some_and(|engine| engine.is_known);
+    let was_known = orders
+        .inventory
+        .get(id)
+        .is_some_and(|engine| engine.is_known);
     let has_report = report.is_some();
-    let loaded = orders.ledger.take_report(now, id, report);
+    let loaded = orders.inventory.take_report(now, id, report);
     if has_report {
         learn_from_overdue(host, &mut orders, id, now);
     }
-    if !was_known && let Some(engine) = orders.ledger.get(id).filter(|engine| engine.is_known) {
+    if !was_known && let Some(engine) = orders.inventory.get(id).filter(|engine| engine.is_known) {
         let line = EngineLine {
             upstream: id,
             models: engine.copies.keys().collect(),
@@ -356,7 +359,7 @@
     id: &str,
     now: Millis,
 ) {
-    let engine = orders.ledger.get(id);
+    let engine = orders.inventory.get(id);
     let under_way: Vec<Loaded> = engine
         .into_iter()
         .flat_map(|engine| engine.loads_under_way(now))
@@ -393,9 +396,9 @@
 ) {
     let mut orders = host.orders.borrow_mut();
     orders.demand.expire(now);
-    orders.ledger.assume_unloaded(now);
+    orders.inventory.assume_unloaded(now);
     let OrderingState {
-        ledger,
+        inventory: ledger,
         demand: book,
         ceiling,
         lease,
@@ -462,7 +465,7 @@
     me: &Member,
     now: Millis,
 ) {
-    let due = host.orders.borrow_mut().ledger.due(now);
+    let due = host.orders.borrow_mut().inventory.due(now);
     for (id, order) in due {
         let host = host.clone();
         let holder: Name = format!("{}-{:x}", host.settings().name, me.incarnation).into();
@@ -497,17 +500,20 @@
     let expected_load = {
         let routes = host.routes.borrow();
         let orders = host.orders.borrow();
-        let service = orders.ledger.get(id).map(|engine| engine.service.clone());
+        let service = orders
+            .inventory
+            .get(id)
+            .map(|engine| engine.service.clone());
         let spec = service.and_then(|service| {
             let table = routes.as_ref()?;
             table.services.get(&service)?.engine.as_ref()
         });
-        spec.map(|spec| load_time(spec, &orders.ledger, id, &order.ask))
+        spec.map(|spec| load_time(spec, &orders.inventory, id, &order.ask))
     };
     let load = expected_load.unwrap_or_default();
     host.orders
         .borrow_mut()
-        .ledger
+        .inventory
         .take_answer(now, id, order, answer, load);
     let line = OrderAnswerLine {
         upstream: id,
