--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,7 +18,7 @@
 pub mod forward;
 pub mod host;
 pub mod in_flight;
-pub mod lease_keeper;
+pub mod lease_manager;
 pub mod limits;
 pub mod lines;
 pub mod list_copy;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -10,7 +10,7 @@
 use crate::entry::orderer;
 use crate::entry::platform::Platform;
 use crate::entry::run::EntryError;
-use crate::entry::{desired_copy, lease_keeper, list_copy, sync};
+use crate::entry::{desired_copy, lease_manager, list_copy, sync};
 use crate::http1::client::within;
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
@@ -205,7 +205,7 @@
         PeerCall::Desired => PeerReply::Desired(desired_copy::answer(host)),
         PeerCall::List(ask) => PeerReply::List(list_copy::answer(host, ask)),
         PeerCall::AppendLease { end, record } => {
-            PeerReply::AppendedLease(lease_keeper::append_for_peer(host, end, &record).await)
+            PeerReply::AppendedLease(lease_manager::append_for_peer(host, end, &record).await)
         }
     }
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -10,7 +10,7 @@
 use crate::entry::settings::EntrySettings;
 use crate::entry::sources::Sources;
 use crate::entry::{
-    budgeted_log, caller, follow, lease_keeper, lines, orderer, stop, sync, table_rows,
+    budgeted_log, caller, follow, lease_manager, lines, orderer, stop, sync, table_rows,
 };
 use crate::group::Member;
 use crate::prelude::*;
@@ -180,7 +180,7 @@
         executor.spawn(watch_signals(host.clone(), signals, path, reconnect)),
     ];
     let members = executor.spawn(members::keep(host.clone(), me.clone()));
-    let lease = executor.spawn(lease_keeper::keep_lease(host.clone(), peers.clone(), me));
+    let lease = executor.spawn(lease_manager::keep_lease(host.clone(), peers.clone(), me));
     stop::wait(&host).await;
     drop((members, lease));
     drop(tasks);
--- a/src/entry/tests.rs
+++ b/src/entry/tests.rs
@@ -8,7 +8,7 @@
 mod fake_platform;
 mod fake_upstream;
 mod follow;
-mod lease_keeper;
+mod lease_manager;
 mod list_copy;
 mod organisations;
 mod peers;
--- a/src/entry/tests/lease_keeper.rs
+++ b/src/entry/tests/lease_manager.rs
@@ -3,7 +3,7 @@
 use super::fake_platform::FakePlatform;
 use super::site::{another_host, as_member, bind_peers, on_site};
 use crate::entry::host::Host;
-use crate::entry::lease_keeper::{append_for_peer, keep_lease};
+use crate::entry::lease_manager::{append_for_peer, keep_lease};
 use crate::entry::peers;
 use crate::group::Member;
 use crate::prelude::*;
