--- a/src/entry/lease_manager.rs
+++ b/src/entry/lease_manager.rs
@@ -57,7 +57,7 @@
 
 /// Runs the lease task: claims the lease when it is free, renews it, and returns after releasing it
 /// at a planned stop.
-pub async fn keep_lease<P: Platform>(host: Rc<Host<P>>, peers: Rc<Peers>, me: Member) {
+pub async fn manage_lease<P: Platform>(host: Rc<Host<P>>, peers: Rc<Peers>, me: Member) {
     let mut read_at = Millis::ZERO;
     loop {
         if host.is_stopping() {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -180,7 +180,7 @@
         executor.spawn(watch_signals(host.clone(), signals, path, reconnect)),
     ];
     let members = executor.spawn(members::keep(host.clone(), me.clone()));
-    let lease = executor.spawn(lease_manager::keep_lease(host.clone(), peers.clone(), me));
+    let lease = executor.spawn(lease_manager::manage_lease(host.clone(), peers.clone(), me));
     stop::wait(&host).await;
     drop((members, lease));
     drop(tasks);
--- a/src/entry/tests/lease_manager.rs
+++ b/src/entry/tests/lease_manager.rs
@@ -3,7 +3,7 @@
 use super::fake_platform::FakePlatform;
 use super::site::{another_host, as_member, bind_peers, on_site};
 use crate::entry::host::Host;
-use crate::entry::lease_manager::{append_for_peer, keep_lease};
+use crate::entry::lease_manager::{append_for_peer, manage_lease};
 use crate::entry::peers;
 use crate::group::Member;
 use crate::prelude::*;
@@ -35,7 +35,7 @@
         site.host.members.borrow_mut().replace(now, 1, both);
         let serve = peers::serve(other_host, other, site.executor.clone());
         site.executor.spawn(serve).detach();
-        let keep = keep_lease(site.host.clone(), own, me);
+        let keep = manage_lease(site.host.clone(), own, me);
         site.executor.spawn(keep).detach();
         let test = async {
             site.until(|host| host.is_orderer()).await;
@@ -91,14 +91,14 @@
             as_member(&other_host, &other, 0),
         );
         let digest = RequestDigest::of(None, "POST", "x", "/a/1", b"crash");
-        let keep = keep_lease(site.host.clone(), own, me);
+        let keep = manage_lease(site.host.clone(), own, me);
         site.executor.spawn(keep).detach();
         let test = async {
             site.until(|host| host.is_orderer()).await;
             record_crashes(&site.host, digest);
             let before = store.lease_records();
             site.until(|_| store.lease_records() > before).await;
-            let keep = keep_lease(other_host.clone(), other, next);
+            let keep = manage_lease(other_host.clone(), other, next);
             site.executor.spawn(keep).detach();
             site.until(|_| is_quarantined(&other_host, &digest)).await;
         };
