--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -51,7 +51,7 @@
 
 /// Keeps this host in the group and its list of the group fresh. Leaves the group and returns at a
 /// planned stop.
-pub async fn keep<P: Platform>(host: Rc<Host<P>>, me: Member) {
+pub async fn maintain_membership<P: Platform>(host: Rc<Host<P>>, me: Member) {
     let name = me.to_text();
     let mut failures = 0;
     let mut renewal = Renewal {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -179,7 +179,7 @@
         executor.spawn(peers::serve(host.clone(), peers.clone(), executor.clone())),
         executor.spawn(watch_signals(host.clone(), signals, path, reconnect)),
     ];
-    let members = executor.spawn(members::keep(host.clone(), me.clone()));
+    let members = executor.spawn(members::maintain_membership(host.clone(), me.clone()));
     let lease = executor.spawn(lease_manager::manage_lease(host.clone(), peers.clone(), me));
     stop::wait(&host).await;
     drop((members, lease));
