--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -4,6 +4,7 @@
 //! have run is refused as "not run"; one that may not run twice is not sent again after a try that may have.
 
 use crate::desired::Repeat;
+use crate::entry::answer_relay::{self, Relayed};
 use crate::entry::ask::Ask;
 use crate::entry::caller::CallerSide;
 use crate::entry::choice::{choose, prefix_source};
@@ -12,7 +13,6 @@
 use crate::entry::host::Host;
 use crate::entry::limits::Charge;
 use crate::entry::platform::{Platform, SendFacts};
-use crate::entry::relay::{self, Relayed};
 use crate::entry::send::{self, Sent, StartedAnswer};
 use crate::entry::tries::Tries;
 use crate::entry::upstream_limits;
@@ -137,7 +137,7 @@
     answer: Box<StartedAnswer>,
 ) -> Option<Ended> {
     log.course.status = answer.head.status;
-    let relayed = relay::relay(host, ask, out, log, tries, answer).await;
+    let relayed = answer_relay::relay(host, ask, out, log, tries, answer).await;
     match relayed {
         Relayed::Whole => {
             if log.course.status < 500 {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -5,6 +5,7 @@
 //! holds a borrow of it across an await. Everything that is specific to the platform is behind
 //! [`platform::Platform`].
 
+pub mod answer_relay;
 pub mod ask;
 pub mod budgeted_log;
 pub mod caller;
@@ -28,7 +29,6 @@
 pub mod peers;
 pub mod platform;
 pub mod pool;
-pub mod relay;
 pub mod replication;
 pub mod run;
 pub mod send;
