--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -39,7 +39,7 @@
 
 /// Relays an answer to the caller: at once when the host has all of it, event by event when it is
 /// an event stream, piece by piece otherwise.
-pub async fn relay<P: Platform>(
+pub async fn relay_answer<P: Platform>(
     host: &Host<P>,
     ask: &Ask,
     out: &mut CallerSide,
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -137,7 +137,7 @@
     answer: Box<StartedAnswer>,
 ) -> Option<Ended> {
     log.course.status = answer.head.status;
-    let relayed = answer_relay::relay(host, ask, out, log, tries, answer).await;
+    let relayed = answer_relay::relay_answer(host, ask, out, log, tries, answer).await;
     match relayed {
         Relayed::Whole => {
             if log.course.status < 500 {
