--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -28,7 +28,7 @@
 const MAX_RESUME_ATTEMPTS: usize = 3;
 
 /// How relaying an answer ended.
-pub enum Relayed {
+pub enum RelayOutcome {
     /// The caller has the complete answer.
     Whole,
     /// The caller has a part of the answer, for this reason; its connection must be closed.
@@ -46,7 +46,7 @@
     log: &mut CourseLog<'_, P>,
     tries: &mut Tries,
     answer: Box<StartedAnswer>,
-) -> Relayed {
+) -> RelayOutcome {
     if answer.reader.is_done() {
         return relay_complete(host, ask, out, log, answer).await;
     }
@@ -74,7 +74,7 @@
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     answer: Box<StartedAnswer>,
-) -> Relayed {
+) -> RelayOutcome {
     let StartedAnswer {
         upstream,
         head,
@@ -92,8 +92,8 @@
     let written = out.write_whole(&head, form, &begun).await;
     keep(host, &upstream.id, connection, &head, reader);
     match written {
-        Ok(()) => Relayed::Whole,
-        Err(_) => Relayed::Broken("the caller's connection broke"),
+        Ok(()) => RelayOutcome::Whole,
+        Err(_) => RelayOutcome::Broken("the caller's connection broke"),
     }
 }
 
@@ -104,7 +104,7 @@
     out: &mut CallerSide,
     log: &mut CourseLog<'_, P>,
     mut answer: Box<StartedAnswer>,
-) -> Relayed {
+) -> RelayOutcome {
     let form = match answer.head.framing {
         Framing::Length(length) => BodyForm::Length(length),
         _ => BodyForm::Chunked,
@@ -112,21 +112,21 @@
     note_first_byte(host, ask, log);
     let begun = std::mem::take(&mut answer.begun);
     if out.begin(&answer.head, form).await.is_err() || out.piece(&begun).await.is_err() {
-        return Relayed::Broken("the caller's connection broke");
+        return RelayOutcome::Broken("the caller's connection broke");
     }
     loop {
         let left_ms = (ask.ends_at + GRACE_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
-            None => return Relayed::Broken("the time limit was reached"),
+            None => return RelayOutcome::Broken("the time limit was reached"),
             Some(Err(_)) => {
                 crashes::note_broken_run(host, ask, &answer.upstream).await;
                 note_failure(host, &answer.upstream, host.now(), false);
-                return Relayed::Broken("the upstream broke off");
+                return RelayOutcome::Broken("the upstream broke off");
             }
             Some(Ok(Some(piece))) => {
                 if out.piece(&piece).await.is_err() {
-                    return Relayed::Broken("the caller's connection broke");
+                    return RelayOutcome::Broken("the caller's connection broke");
                 }
             }
             Some(Ok(None)) => {
@@ -140,8 +140,8 @@
                 } = *answer;
                 keep(host, &upstream.id, connection, &head, reader);
                 return match ended {
-                    Ok(()) => Relayed::Whole,
-                    Err(_) => Relayed::Broken("the caller's connection broke"),
+                    Ok(()) => RelayOutcome::Whole,
+                    Err(_) => RelayOutcome::Broken("the caller's connection broke"),
                 };
             }
         }
@@ -192,11 +192,11 @@
         out: &mut CallerSide,
         log: &mut CourseLog<'_, P>,
         mut answer: Box<StartedAnswer>,
-    ) -> Relayed {
+    ) -> RelayOutcome {
         self.buffer = std::mem::take(&mut answer.begun);
         loop {
             if self.write_events(out, log, &answer).await.is_err() {
-                return Relayed::Broken("the caller's connection broke");
+                return RelayOutcome::Broken("the caller's connection broke");
             }
             match self.next_piece(&mut answer).await {
                 Piece::Bytes(bytes) => self.buffer.extend_from_slice(&bytes),
@@ -206,7 +206,7 @@
                     crashes::note_broken_run(self.host, self.ask, &answer.upstream).await;
                     note_failure(self.host, &answer.upstream, self.host.now(), false);
                     if !self.has_begun {
-                        return Relayed::NotBegun(why);
+                        return RelayOutcome::NotBegun(why);
                     }
                     match self.resume(&answer.upstream.id, why, log).await {
                         Some(next) => {
@@ -287,7 +287,7 @@
         out: &mut CallerSide,
         log: &mut CourseLog<'_, P>,
         answer: Box<StartedAnswer>,
-    ) -> Relayed {
+    ) -> RelayOutcome {
         let rest = std::mem::take(&mut self.buffer);
         let begun = self.begin(out, log, &answer).await;
         if self.ask.at_engine {
@@ -311,15 +311,15 @@
         } = *answer;
         keep(self.host, &upstream.id, connection, &head, reader);
         match written {
-            Ok(()) => Relayed::Whole,
-            Err(_) => Relayed::Broken("the caller's connection broke"),
+            Ok(()) => RelayOutcome::Whole,
+            Err(_) => RelayOutcome::Broken("the caller's connection broke"),
         }
     }
 
-    fn broken(&self, why: &'static str) -> Relayed {
+    fn broken(&self, why: &'static str) -> RelayOutcome {
         match self.has_begun {
-            true => Relayed::Broken(why),
-            false => Relayed::NotBegun(why),
+            true => RelayOutcome::Broken(why),
+            false => RelayOutcome::NotBegun(why),
         }
     }
 
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -4,7 +4,7 @@
 //! have run is refused as "not run"; one that may not run twice is not sent again after a try that may have.
 
 use crate::desired::Repeat;
-use crate::entry::answer_relay::{self, Relayed};
+use crate::entry::answer_relay::{self, RelayOutcome};
 use crate::entry::ask::Ask;
 use crate::entry::caller::CallerSide;
 use crate::entry::choice::{choose, prefix_source};
@@ -139,19 +139,19 @@
     log.course.status = answer.head.status;
     let relayed = answer_relay::relay_answer(host, ask, out, log, tries, answer).await;
     match relayed {
-        Relayed::Whole => {
+        RelayOutcome::Whole => {
             if log.course.status < 500 {
                 crashes::note_completed(host, ask);
             }
             log.outcome = Some("answered");
             Some(Ended::Whole)
         }
-        Relayed::Broken(why) => {
+        RelayOutcome::Broken(why) => {
             log.outcome = Some("broken");
             log.course.why = Some(why);
             Some(Ended::Broken)
         }
-        Relayed::NotBegun(why) => {
+        RelayOutcome::NotBegun(why) => {
             log.course.why = Some(why);
             None
         }
