--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -30,7 +30,7 @@
 /// How relaying an answer ended.
 pub enum RelayOutcome {
     /// The caller has the complete answer.
-    Whole,
+    Complete,
     /// The caller has a part of the answer, for this reason; its connection must be closed.
     Broken(&'static str),
     /// The caller has received nothing, for this reason; another answer can be sent.
@@ -92,7 +92,7 @@
     let written = out.write_whole(&head, form, &begun).await;
     keep(host, &upstream.id, connection, &head, reader);
     match written {
-        Ok(()) => RelayOutcome::Whole,
+        Ok(()) => RelayOutcome::Complete,
         Err(_) => RelayOutcome::Broken("the caller's connection broke"),
     }
 }
@@ -140,7 +140,7 @@
                 } = *answer;
                 keep(host, &upstream.id, connection, &head, reader);
                 return match ended {
-                    Ok(()) => RelayOutcome::Whole,
+                    Ok(()) => RelayOutcome::Complete,
                     Err(_) => RelayOutcome::Broken("the caller's connection broke"),
                 };
             }
@@ -311,7 +311,7 @@
         } = *answer;
         keep(self.host, &upstream.id, connection, &head, reader);
         match written {
-            Ok(()) => RelayOutcome::Whole,
+            Ok(()) => RelayOutcome::Complete,
             Err(_) => RelayOutcome::Broken("the caller's connection broke"),
         }
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -139,7 +139,7 @@
     log.course.status = answer.head.status;
     let relayed = answer_relay::relay_answer(host, ask, out, log, tries, answer).await;
     match relayed {
-        RelayOutcome::Whole => {
+        RelayOutcome::Complete => {
             if log.course.status < 500 {
                 crashes::note_completed(host, ask);
             }
