--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -32,7 +32,7 @@
     /// The caller has the complete answer.
     Complete,
     /// The caller has a part of the answer, for this reason; its connection must be closed.
-    Broken(&'static str),
+    Truncated(&'static str),
     /// The caller has received nothing, for this reason; another answer can be sent.
     NotBegun(&'static str),
 }
@@ -93,7 +93,7 @@
     keep(host, &upstream.id, connection, &head, reader);
     match written {
         Ok(()) => RelayOutcome::Complete,
-        Err(_) => RelayOutcome::Broken("the caller's connection broke"),
+        Err(_) => RelayOutcome::Truncated("the caller's connection broke"),
     }
 }
 
@@ -112,21 +112,21 @@
     note_first_byte(host, ask, log);
     let begun = std::mem::take(&mut answer.begun);
     if out.begin(&answer.head, form).await.is_err() || out.piece(&begun).await.is_err() {
-        return RelayOutcome::Broken("the caller's connection broke");
+        return RelayOutcome::Truncated("the caller's connection broke");
     }
     loop {
         let left_ms = (ask.ends_at + GRACE_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match within(left_ms, read).await {
-            None => return RelayOutcome::Broken("the time limit was reached"),
+            None => return RelayOutcome::Truncated("the time limit was reached"),
             Some(Err(_)) => {
                 crashes::note_broken_run(host, ask, &answer.upstream).await;
                 note_failure(host, &answer.upstream, host.now(), false);
-                return RelayOutcome::Broken("the upstream broke off");
+                return RelayOutcome::Truncated("the upstream broke off");
             }
             Some(Ok(Some(piece))) => {
                 if out.piece(&piece).await.is_err() {
-                    return RelayOutcome::Broken("the caller's connection broke");
+                    return RelayOutcome::Truncated("the caller's connection broke");
                 }
             }
             Some(Ok(None)) => {
@@ -141,7 +141,7 @@
                 keep(host, &upstream.id, connection, &head, reader);
                 return match ended {
                     Ok(()) => RelayOutcome::Complete,
-                    Err(_) => RelayOutcome::Broken("the caller's connection broke"),
+                    Err(_) => RelayOutcome::Truncated("the caller's connection broke"),
                 };
             }
         }
@@ -196,7 +196,7 @@
         self.buffer = std::mem::take(&mut answer.begun);
         loop {
             if self.write_events(out, log, &answer).await.is_err() {
-                return RelayOutcome::Broken("the caller's connection broke");
+                return RelayOutcome::Truncated("the caller's connection broke");
             }
             match self.next_piece(&mut answer).await {
                 Piece::Bytes(bytes) => self.buffer.extend_from_slice(&bytes),
@@ -312,13 +312,13 @@
         keep(self.host, &upstream.id, connection, &head, reader);
         match written {
             Ok(()) => RelayOutcome::Complete,
-            Err(_) => RelayOutcome::Broken("the caller's connection broke"),
+            Err(_) => RelayOutcome::Truncated("the caller's connection broke"),
         }
     }
 
     fn broken(&self, why: &'static str) -> RelayOutcome {
         match self.has_begun {
-            true => RelayOutcome::Broken(why),
+            true => RelayOutcome::Truncated(why),
             false => RelayOutcome::NotBegun(why),
         }
     }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -146,7 +146,7 @@
             log.outcome = Some("answered");
             Some(Ended::Whole)
         }
-        RelayOutcome::Broken(why) => {
+        RelayOutcome::Truncated(why) => {
             log.outcome = Some("broken");
             log.course.why = Some(why);
             Some(Ended::Broken)
