--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -34,7 +34,7 @@
     /// The caller has a part of the answer, for this reason; its connection must be closed.
     Truncated(&'static str),
     /// The caller has received nothing, for this reason; another answer can be sent.
-    NotBegun(&'static str),
+    NotStarted(&'static str),
 }
 
 /// Relays an answer to the caller: at once when the host has all of it, event by event when it is
@@ -206,7 +206,7 @@
                     crashes::note_broken_run(self.host, self.ask, &answer.upstream).await;
                     note_failure(self.host, &answer.upstream, self.host.now(), false);
                     if !self.has_begun {
-                        return RelayOutcome::NotBegun(why);
+                        return RelayOutcome::NotStarted(why);
                     }
                     match self.resume(&answer.upstream.id, why, log).await {
                         Some(next) => {
@@ -319,7 +319,7 @@
     fn broken(&self, why: &'static str) -> RelayOutcome {
         match self.has_begun {
             true => RelayOutcome::Truncated(why),
-            false => RelayOutcome::NotBegun(why),
+            false => RelayOutcome::NotStarted(why),
         }
     }
 
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -151,7 +151,7 @@
             log.course.why = Some(why);
             Some(Ended::Broken)
         }
-        RelayOutcome::NotBegun(why) => {
+        RelayOutcome::NotStarted(why) => {
             log.course.why = Some(why);
             None
         }
