--- a/src/entry/desired_copy.rs
+++ b/src/entry/desired_copy.rs
@@ -8,7 +8,7 @@
 use crate::desired::DesiredState;
 use crate::entry::host::Host;
 use crate::entry::platform::{Platform, Table};
-use crate::entry::sources::{Sources, serves_tables};
+use crate::entry::sources::{TableSources, serves_tables};
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
 
@@ -42,7 +42,7 @@
 /// nothing when this host is to read the store instead.
 pub async fn fetch<P: Platform>(
     host: &Host<P>,
-    sources: &Sources,
+    sources: &TableSources,
     newer_than: Offset,
 ) -> Option<DesiredCopy> {
     for relay in sources.relays(host)? {
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -11,7 +11,7 @@
     ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
 use crate::entry::replication::NextStep;
-use crate::entry::sources::{Sources, serves_tables};
+use crate::entry::sources::{TableSources, serves_tables};
 use crate::entry::table_rows::{
     TableLine, UpstreamList, activate_desired_state, apply_list, apply_row, apply_table,
 };
@@ -96,7 +96,7 @@
 /// Follows a table until the process ends. `sources` names the relays from which a host that is
 /// behind may fetch the table instead of the store; the list of upstreams may also be fetched from
 /// them at the start.
-pub async fn follow<P: Platform>(host: Rc<Host<P>>, table: Table, sources: Option<Sources>) {
+pub async fn follow<P: Platform>(host: Rc<Host<P>>, table: Table, sources: Option<TableSources>) {
     let mut cursor = Cursor {
         table,
         next: None,
@@ -164,7 +164,7 @@
 async fn load_table<P: Platform>(
     host: &Host<P>,
     cursor: &mut Cursor,
-    sources: Option<&Sources>,
+    sources: Option<&TableSources>,
 ) -> Result<bool, StoreError> {
     let first = read_first_page(host, cursor).await;
     let search_ms = match &first {
@@ -218,7 +218,7 @@
     host: &Host<P>,
     cursor: &mut Cursor,
     from: Offset,
-    sources: Option<&Sources>,
+    sources: Option<&TableSources>,
 ) -> Result<bool, StoreError> {
     if let Some(sources) = sources
         && fetch_from_relay(host, cursor, from, sources, Millis::ZERO).await
@@ -237,7 +237,7 @@
     host: &Host<P>,
     cursor: &mut Cursor,
     from: Offset,
-    sources: Option<&Sources>,
+    sources: Option<&TableSources>,
 ) -> Result<bool, StoreError> {
     if let Some(sources) = sources {
         let new_for_ms = list_copy::RELAY_SEARCH_MS - host.age_ms(host.now());
@@ -251,7 +251,11 @@
 
 /// Returns the page size for a read of changes: short for a host that may fetch the rest from
 /// another one.
-fn page_size<P: Platform>(host: &Host<P>, table: Table, sources: Option<&Sources>) -> PageSize {
+fn page_size<P: Platform>(
+    host: &Host<P>,
+    table: Table,
+    sources: Option<&TableSources>,
+) -> PageSize {
     let may_ask = sources.is_some() && !serves_tables(host);
     match (table, may_ask) {
         (Table::Upstreams, true) => PageSize::Short,
@@ -264,7 +268,7 @@
     host: &Host<P>,
     cursor: &mut Cursor,
     from: Offset,
-    sources: &Sources,
+    sources: &TableSources,
     search_ms: Millis,
 ) -> bool {
     let asked_at = host.now();
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -9,7 +9,7 @@
 use crate::entry::host::Host;
 use crate::entry::peers::Peers;
 use crate::entry::platform::{Platform, Table};
-use crate::entry::sources::{Sources, serves_tables};
+use crate::entry::sources::{TableSources, serves_tables};
 use crate::group::Member;
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
@@ -107,7 +107,7 @@
 /// within `search_ms`. All relays are asked at least once.
 pub async fn fetch<P: Platform>(
     host: &Host<P>,
-    sources: &Sources,
+    sources: &TableSources,
     newer_than: Option<Offset>,
     search_ms: Millis,
 ) -> Option<ListCopy> {
--- a/src/entry/sources.rs
+++ b/src/entry/sources.rs
@@ -9,14 +9,14 @@
 
 /// What a host needs to fetch tables from its relays.
 #[derive(Clone)]
-pub struct Sources {
+pub struct TableSources {
     /// The endpoint for calls to other hosts.
     pub peers: Rc<Peers>,
     /// This host, as the group lists it.
     pub me: Member,
 }
 
-impl Sources {
+impl TableSources {
     /// Returns the relays to ask, in order; an empty list while they would refuse this host.
     /// Returns nothing when this host is to read the store itself, since it orders or relays, or
     /// the site has no relays.
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -9,7 +9,7 @@
 use crate::entry::list_copy::{ListAsk, answer, fetch};
 use crate::entry::platform::Table;
 use crate::entry::replication::{TableEnd, TablesUpdate, UpstreamRow};
-use crate::entry::sources::Sources;
+use crate::entry::sources::TableSources;
 use crate::group::Member;
 use crate::prelude::*;
 use crate::test_support::member;
@@ -238,7 +238,7 @@
 fn relay_reads_the_store_and_only_relays_serve_the_list() {
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
-        let sources = Sources {
+        let sources = TableSources {
             me: as_member(&site.host, &pair.peers, 500),
             ..pair.sources()
         };
