--- a/src/entry/desired_copy.rs
+++ b/src/entry/desired_copy.rs
@@ -8,7 +8,7 @@
 use crate::desired::DesiredState;
 use crate::entry::host::Host;
 use crate::entry::platform::{Platform, Table};
-use crate::entry::sources::{TableSources, serves_tables};
+use crate::entry::table_sources::{TableSources, serves_tables};
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
 
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -11,10 +11,10 @@
     ChangesAsk, PageSize, Platform, StoreCall, StoreError, Table, TablePage, TableRow,
 };
 use crate::entry::replication::NextStep;
-use crate::entry::sources::{TableSources, serves_tables};
 use crate::entry::table_rows::{
     TableLine, UpstreamList, activate_desired_state, apply_list, apply_row, apply_table,
 };
+use crate::entry::table_sources::{TableSources, serves_tables};
 use crate::http1::client::within;
 use crate::prelude::*;
 use smol::Timer;
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -9,7 +9,7 @@
 use crate::entry::host::Host;
 use crate::entry::peers::Peers;
 use crate::entry::platform::{Platform, Table};
-use crate::entry::sources::{TableSources, serves_tables};
+use crate::entry::table_sources::{TableSources, serves_tables};
 use crate::group::Member;
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -8,7 +8,7 @@
 use crate::entry::peers::{self, Peers};
 use crate::entry::platform::{Platform, Table};
 use crate::entry::settings::EntrySettings;
-use crate::entry::sources::TableSources;
+use crate::entry::table_sources::TableSources;
 use crate::entry::{
     budgeted_log, caller, follow, lease_manager, lines, orderer, stop, sync, table_rows,
 };
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -4,7 +4,7 @@
 use crate::entry::host::Host;
 use crate::entry::lines;
 use crate::entry::platform::{Platform, RowValue, Table, TableRow};
-use crate::entry::sources::serves_tables;
+use crate::entry::table_sources::serves_tables;
 use crate::prelude::*;
 use crate::upstreams::UpstreamEntry;
 use crate::upstreams::registry::Change;
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -9,7 +9,7 @@
 use crate::entry::list_copy::{ListAsk, answer, fetch};
 use crate::entry::platform::Table;
 use crate::entry::replication::{TableEnd, TablesUpdate, UpstreamRow};
-use crate::entry::sources::TableSources;
+use crate::entry::table_sources::TableSources;
 use crate::group::Member;
 use crate::prelude::*;
 use crate::test_support::member;
--- a/src/entry/tests/relay_pair.rs
+++ b/src/entry/tests/relay_pair.rs
@@ -4,7 +4,7 @@
 use super::site::{Site, another_host, as_member, bind_peers, entry};
 use crate::entry::host::Host;
 use crate::entry::peers::{self, Peers};
-use crate::entry::sources::TableSources;
+use crate::entry::table_sources::TableSources;
 use crate::group::Member;
 use crate::prelude::*;
 use crate::test_support::member;
