--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -32,7 +32,7 @@
 
 /// A request for a part of the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListAsk {
+pub struct ListRequest {
     /// The number of the part, from zero.
     pub part: u32,
     /// Into how many parts the list is split; zero when the host that is asked decides.
@@ -67,7 +67,7 @@
 
 /// Answers a host that starts or is behind. Returns nothing when this host does not have the list
 /// itself, or neither orders nor relays.
-pub fn answer<P: Platform>(host: &Host<P>, ask: ListAsk) -> Option<ListPart> {
+pub fn answer<P: Platform>(host: &Host<P>, ask: ListRequest) -> Option<ListPart> {
     if !serves_tables(host) || !host.upstreams_known.get() || ask.parts > MAX_PARTS {
         return None;
     }
@@ -135,7 +135,7 @@
     relay: &Member,
 ) -> Option<ListCopy> {
     let asked_at = host.now();
-    let first = fetch_part(peers, relay, ListAsk::default()).await?;
+    let first = fetch_part(peers, relay, ListRequest::default()).await?;
     let parts = first.parts.min(MAX_PARTS);
     // The list is followed from the end that the first part gave, so later changes come again.
     let mut copy = ListCopy {
@@ -145,13 +145,13 @@
         as_of: asked_at - first.age_ms,
     };
     for part in 1..parts {
-        let next = fetch_part(peers, relay, ListAsk { part, parts }).await?;
+        let next = fetch_part(peers, relay, ListRequest { part, parts }).await?;
         copy.entries.extend(next.entries);
     }
     Some(copy)
 }
 
-async fn fetch_part(peers: &Peers, relay: &Member, ask: ListAsk) -> Option<ListPart> {
+async fn fetch_part(peers: &Peers, relay: &Member, ask: ListRequest) -> Option<ListPart> {
     match peers.call(relay.peer_address, &PeerCall::List(ask)).await? {
         PeerReply::List(part) => part,
         PeerReply::Sync(_) | PeerReply::AppendedLease(_) | PeerReply::Desired(_) => None,
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -6,7 +6,7 @@
 use super::site::{Site, as_member, entry, on_site};
 use crate::entry::follow::follow;
 use crate::entry::host::Host;
-use crate::entry::list_copy::{ListAsk, answer, fetch};
+use crate::entry::list_copy::{ListRequest, answer, fetch};
 use crate::entry::platform::Table;
 use crate::entry::replication::{TableEnd, TablesUpdate, UpstreamRow};
 use crate::entry::table_sources::TableSources;
@@ -244,9 +244,9 @@
         };
         let copy = fetch(&site.host, &sources, None, Millis(5_000)).await;
         assert!(copy.is_none());
-        assert!(answer(&site.host, ListAsk::default()).is_some());
-        assert!(answer(&pair.asking, ListAsk::default()).is_none());
-        let too_many = ListAsk {
+        assert!(answer(&site.host, ListRequest::default()).is_some());
+        assert!(answer(&pair.asking, ListRequest::default()).is_none());
+        let too_many = ListRequest {
             part: 0,
             parts: u32::MAX,
         };
@@ -269,7 +269,8 @@
         upstreams.remove(outage_ends_at, "u1");
         assert!(upstreams.get("u1").is_some());
         drop(upstreams);
-        let part = answer(&site.host, ListAsk { part: 0, parts: 1 }).expect("the host is a relay");
+        let part =
+            answer(&site.host, ListRequest { part: 0, parts: 1 }).expect("the host is a relay");
         assert_eq!(part.entries.len(), UPSTREAMS - 1);
     });
 }
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -1,7 +1,7 @@
 //! Orders to engines, their answers and reports, and the messages between a host and the orderer.
 
 use crate::entry::desired_copy::DesiredCopy;
-use crate::entry::list_copy::{ListAsk, ListPart};
+use crate::entry::list_copy::{ListPart, ListRequest};
 use crate::entry::platform::{AppendOutcome, ModelAsk};
 use crate::entry::replication::TablesUpdate;
 use crate::group::Member;
@@ -167,7 +167,7 @@
         record: Vec<u8>,
     },
     /// Asking for a part of the list of upstreams.
-    List(ListAsk),
+    List(ListRequest),
     /// Asking for the newest desired state.
     Desired,
 }
