--- a/bench/src/fleet/start.rs
+++ b/bench/src/fleet/start.rs
@@ -22,7 +22,7 @@
 
 /// Measures a start.
 pub fn measure(world: &World) -> Start {
-    let parts = list_copy::parts_of(&world.upstreams);
+    let parts = list_copy::part_count(&world.upstreams);
     let messages: Vec<usize> = (0..parts)
         .map(|part| {
             let entries = list_copy::part(&world.upstreams, part, parts);
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -74,7 +74,7 @@
     let list = host.replication.end(host.now(), Table::Upstreams)?;
     let upstreams = host.upstreams.borrow();
     let parts = match ask.parts {
-        0 => parts_of(&upstreams),
+        0 => part_count(&upstreams),
         parts => parts,
     };
     Some(ListPart {
@@ -86,7 +86,7 @@
 }
 
 /// Returns into how many parts a list is split.
-pub fn parts_of(upstreams: &Registry) -> u32 {
+pub fn part_count(upstreams: &Registry) -> u32 {
     let parts = upstreams.count().div_ceil(PART_ENTRIES).max(1) as u32;
     parts.min(MAX_PARTS)
 }
