--- a/bench/src/fleet/start.rs
+++ b/bench/src/fleet/start.rs
@@ -25,7 +25,7 @@
     let parts = list_copy::part_count(&world.upstreams);
     let messages: Vec<usize> = (0..parts)
         .map(|part| {
-            let entries = list_copy::part(&world.upstreams, part, parts);
+            let entries = list_copy::part_entries(&world.upstreams, part, parts);
             super::exchange::bytes(&list_copy::ListPart {
                 parts,
                 entries,
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -79,7 +79,7 @@
     };
     Some(ListPart {
         parts,
-        entries: part(&upstreams, ask.part, parts),
+        entries: part_entries(&upstreams, ask.part, parts),
         end: list.end,
         age_ms: list.age_ms,
     })
@@ -92,7 +92,7 @@
 }
 
 /// Returns the listed entries of one of `parts` parts.
-pub fn part(upstreams: &Registry, part: u32, parts: u32) -> Vec<UpstreamEntry> {
+pub fn part_entries(upstreams: &Registry, part: u32, parts: u32) -> Vec<UpstreamEntry> {
     let is_in_part = |id: &str| rapidhash_v3(id.as_bytes()) % u64::from(parts) == u64::from(part);
     let listed = upstreams.iter().filter(|upstream| upstream.is_listed());
     listed
