--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -40,7 +40,7 @@
 }
 
 /// Answers requests until the process ends.
-pub async fn answer<P: Platform + 'static>(
+pub async fn serve<P: Platform + 'static>(
     host: Rc<Host<P>>,
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -145,7 +145,7 @@
     ];
     for (key, address, questions) in questions {
         let listener = listen(key, address).await?;
-        let answer = directory::answer(host.clone(), executor.clone(), listener, questions);
+        let answer = directory::serve(host.clone(), executor.clone(), listener, questions);
         executor.spawn(answer).detach();
     }
     let callers = listen("caller_listen", settings.caller_listen).await?;
