--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -24,7 +24,7 @@
 
 /// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Questions {
+pub enum Endpoint {
     /// Host discovery: the addresses of the hosts that callers may use.
     Directory,
     /// Whether this host is ready for callers.
@@ -44,7 +44,7 @@
     host: Rc<Host<P>>,
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
-    questions: Questions,
+    questions: Endpoint,
 ) {
     loop {
         match listener.accept().await {
@@ -61,7 +61,7 @@
     }
 }
 
-async fn serve_connection<P: Platform>(host: &Host<P>, stream: TcpStream, questions: Questions) {
+async fn serve_connection<P: Platform>(host: &Host<P>, stream: TcpStream, questions: Endpoint) {
     if prepare(&stream).is_err() {
         return;
     }
@@ -78,9 +78,9 @@
     }
 }
 
-fn reply<P: Platform>(host: &Host<P>, head: &RequestHead, questions: Questions) -> Reply {
+fn reply<P: Platform>(host: &Host<P>, head: &RequestHead, questions: Endpoint) -> Reply {
     match questions {
-        Questions::Directory => match host.platform.read_directory(head) {
+        Endpoint::Directory => match host.platform.read_directory(head) {
             Some(question) => {
                 let addresses = addresses(host, &question);
                 let ttl_ms = TTL_MS.min(host.settings().bounds.directory_ttl_ms());
@@ -92,17 +92,17 @@
             }
             None => not_found(),
         },
-        Questions::Ready if host.platform.asks_ready(head) => Reply {
+        Endpoint::Ready if host.platform.asks_ready(head) => Reply {
             status: if host.is_ready() { 200 } else { 503 },
             content_type: "text/plain",
             body: Vec::new(),
         },
-        Questions::Metrics => Reply {
+        Endpoint::Metrics => Reply {
             status: 200,
             content_type: "text/plain; version=0.0.4",
             body: host.metrics.text().into_bytes(),
         },
-        Questions::Ready => not_found(),
+        Endpoint::Ready => not_found(),
     }
 }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,7 +1,7 @@
 //! Starting an entry host and its tasks.
 
 use crate::clock::Clock;
-use crate::entry::directory::{self, Questions};
+use crate::entry::directory::{self, Endpoint};
 use crate::entry::host::Host;
 use crate::entry::members;
 use crate::entry::metrics::EntryMetrics;
@@ -134,14 +134,10 @@
         (
             "directory_listen",
             settings.directory_listen,
-            Questions::Directory,
-        ),
-        ("ready_listen", settings.ready_listen, Questions::Ready),
-        (
-            "metrics_listen",
-            settings.metrics_listen,
-            Questions::Metrics,
+            Endpoint::Directory,
         ),
+        ("ready_listen", settings.ready_listen, Endpoint::Ready),
+        ("metrics_listen", settings.metrics_listen, Endpoint::Metrics),
     ];
     for (key, address, questions) in questions {
         let listener = listen(key, address).await?;
