--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -200,7 +200,7 @@
         let gone = host.upstreams.borrow_mut().expire(now);
         for id in &gone {
             host.pool.forget(id);
-            table_rows::note_gone(id, "its entry did not come back after an outage");
+            table_rows::log_upstream_gone(id, "its entry did not come back after an outage");
         }
     }
 }
--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -215,7 +215,7 @@
 }
 
 /// Writes the log line about an upstream that is no longer used.
-pub fn note_gone(id: &str, change: &'static str) {
+pub fn log_upstream_gone(id: &str, change: &'static str) {
     let line = UpstreamLine {
         upstream: id,
         change,
