--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -15,7 +15,7 @@
 const FAILED: &str = "HTTP/1.1 500 Failed\r\nId: {id}\r\nSeal: s\r\nContent-Length: 3\r\n\r\nbad";
 
 async fn serve_by(site: &Site, repeat: Repeat) {
-    site.order(1, vec![route(repeat)]);
+    site.publish_desired(1, vec![route(repeat)]);
     site.until_version(1).await;
 }
 
@@ -176,7 +176,7 @@
 #[test]
 fn a_broken_stream_goes_on_after_its_last_whole_event() {
     on_site(|site| async move {
-        site.order(1, vec![stream_route(Repeat::Resumable)]);
+        site.publish_desired(1, vec![stream_route(Repeat::Resumable)]);
         site.until_version(1).await;
         let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: a\n\nid\r\n";
         let rest = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s2\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
@@ -202,7 +202,7 @@
 fn a_stream_whose_upstream_is_silent_for_seconds_stays_there() {
     const SILENCE_MS: Millis = Millis(3_000);
     on_site(|site| async move {
-        site.order(1, vec![stream_route(Repeat::Resumable)]);
+        site.publish_desired(1, vec![stream_route(Repeat::Resumable)]);
         site.until_version(1).await;
         let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
         let rest = "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
@@ -227,7 +227,7 @@
 #[test]
 fn a_broken_stream_that_must_not_run_twice_does_not_look_whole() {
     on_site(|site| async move {
-        site.order(1, vec![stream_route(Repeat::Once)]);
+        site.publish_desired(1, vec![stream_route(Repeat::Once)]);
         site.until_version(1).await;
         let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
         let first = site.upstream("u1", vec![vec![Write(begun), Close]]).await;
@@ -262,7 +262,7 @@
             time_limit_ms: Millis(300),
             ..route(Repeat::Once)
         };
-        site.order(1, vec![limited]);
+        site.publish_desired(1, vec![limited]);
         site.until_version(1).await;
         let upstream = site.upstream("u1", vec![vec![Hang]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
--- a/src/entry/tests/callers.rs
+++ b/src/entry/tests/callers.rs
@@ -21,7 +21,7 @@
 #[test]
 fn improper_requests_get_their_status_and_reach_no_upstream() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let long = format!(
@@ -65,7 +65,7 @@
 #[test]
 fn pipelined_requests_get_their_own_answers_in_order() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let mut caller = site.connect().await;
@@ -82,7 +82,7 @@
 #[test]
 fn a_chunked_body_reaches_the_upstream_whole() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let request = "POST /a/ HTTP/1.1\r\nHost: x\r\nId: id-1\r\nWait-Ms: 5000\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
@@ -94,7 +94,7 @@
 #[test]
 fn a_body_beyond_what_a_host_holds_at_once_is_refused_as_not_run() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let request = "POST /a/ HTTP/1.1\r\nHost: x\r\nId: i001\r\nContent-Length: 3\r\n\r\nabc";
--- a/src/entry/tests/crashes.rs
+++ b/src/entry/tests/crashes.rs
@@ -50,7 +50,7 @@
 #[test]
 fn a_request_under_which_three_upstreams_ended_is_not_sent_again() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstreams = upstreams_that_crash(&site, 6).await;
         for id in 0..3 {
@@ -72,7 +72,7 @@
 #[test]
 fn repeats_from_other_addresses_are_the_same_request() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstreams = upstreams_that_crash(&site, 6).await;
         for id in 0..6 {
@@ -94,7 +94,7 @@
 #[test]
 fn requests_beside_the_cause_are_still_sent() {
     on_site(|site| async move {
-        site.order(1, vec![stream_route()]);
+        site.publish_desired(1, vec![stream_route()]);
         site.until_version(1).await;
         upstreams_that_crash(&site, 1).await;
         site.call(&request(0, "crash")).await;
@@ -120,7 +120,7 @@
 #[test]
 fn an_upstream_that_closes_connections_and_lives_has_not_crashed() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstream = site.upstream("closes", vec![vec![Close]]).await;
         for id in 0..6 {
@@ -133,7 +133,7 @@
 #[test]
 fn an_upstream_that_was_leaving_has_not_crashed() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         for n in 0..5 {
             let id = format!("leaves-{n}");
@@ -161,7 +161,7 @@
 #[test]
 fn a_request_that_differs_in_its_body_or_path_is_not_held_back() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         upstreams_that_crash(&site, 3).await;
         for id in 0..3 {
@@ -178,7 +178,7 @@
 #[test]
 fn a_lookup_that_was_answered_before_is_not_held_back_when_services_are_lost() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         site.upstream("first", vec![vec![Write(WHOLE)], vec![Crash]])
             .await;
--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -51,14 +51,14 @@
 #[test]
 fn host_refused_by_the_store_fetches_the_desired_state_from_its_relay() {
     on_site(|site| async move {
-        site.order(1, Vec::new());
+        site.publish_desired(1, Vec::new());
         site.until_version(1).await;
         let pair = Pair::new(&site).await;
         let test = async {
             read_first(&site, &pair).await;
             pair.asking.platform.0.is_down.set(true);
             for newest in [7, 8] {
-                site.order(newest, Vec::new());
+                site.publish_desired(newest, Vec::new());
                 site.until_version(newest).await;
                 pair.asking
                     .replication
@@ -75,7 +75,7 @@
 fn host_reads_the_store_when_its_relay_has_no_desired_state() {
     on_site(|site| async move {
         for version in [4, 5] {
-            site.order(version, Vec::new());
+            site.publish_desired(version, Vec::new());
             site.until_version(version).await;
         }
         let pair = Pair::new(&site).await;
@@ -101,7 +101,7 @@
     on_site(|site| async move {
         let pair = Pair::new(&site).await;
         let test = async {
-            site.order(7, Vec::new());
+            site.publish_desired(7, Vec::new());
             site.until_version(7).await;
             let end = relay_update(&site).desired.expect("it was read").end;
             let sources = pair.sources();
--- a/src/entry/tests/follow.rs
+++ b/src/entry/tests/follow.rs
@@ -18,12 +18,12 @@
             name: "newer".into(),
             ..route(Repeat::Once)
         };
-        site.order(7, vec![newer]);
+        site.publish_desired(7, vec![newer]);
         site.until_version(7).await;
-        site.order(3, vec![route(Repeat::Once)]);
-        site.order(8, vec![route(Repeat::Once)]);
+        site.publish_desired(3, vec![route(Repeat::Once)]);
+        site.publish_desired(8, vec![route(Repeat::Once)]);
         site.until_version(8).await;
-        site.order(5, Vec::new());
+        site.publish_desired(5, Vec::new());
         site.store.list("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.upstreams.borrow().get("u1").is_some())
             .await;
@@ -68,7 +68,7 @@
 #[test]
 fn host_stays_ready_during_a_store_outage_and_catches_up_after_it() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.store.list("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.is_ready()).await;
         site.store.is_down.set(true);
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -87,7 +87,7 @@
     }
 
     /// Publishes a desired state with one service and these routes.
-    pub fn order(&self, version: u64, routes: Vec<Route>) {
+    pub fn publish_desired(&self, version: u64, routes: Vec<Route>) {
         self.order_for(version, routes, None);
     }
 
--- a/src/entry/tests/stop.rs
+++ b/src/entry/tests/stop.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_stopping_host_is_not_ready_serves_what_comes_soon_and_closes_after_each_answer() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         assert!(site.host.is_ready());
@@ -27,7 +27,7 @@
 #[test]
 fn a_request_late_in_a_stop_is_refused_as_not_run() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let mut caller = site.connect().await;
@@ -58,7 +58,7 @@
 #[test]
 fn a_request_that_waits_for_an_upstream_is_refused_when_its_host_stops() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
--- a/src/entry/tests/upstream_limits.rs
+++ b/src/entry/tests/upstream_limits.rs
@@ -35,7 +35,7 @@
 
 /// Lists the host as the only one of its group.
 async fn serve(site: &Site) {
-    site.order(1, vec![route(Repeat::Once)]);
+    site.publish_desired(1, vec![route(Repeat::Once)]);
     site.until_version(1).await;
     let me = member(site.host.incarnation, "here", 250);
     let now = site.host.now();
--- a/src/entry/tests/waiting.rs
+++ b/src/entry/tests/waiting.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_model_that_nobody_holds_is_refused_at_once_while_no_host_orders() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         let long_ago = site.host.now() - Millis(4_000);
         site.host.view.borrow_mut().answered_at = Some(long_ago);
@@ -35,7 +35,7 @@
 #[test]
 fn a_model_that_nobody_holds_is_waited_for_while_a_host_orders() {
     on_site(|site| async move {
-        site.order(1, vec![route(Repeat::Once)]);
+        site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
         site.host.view.borrow_mut().answered_at = Some(site.host.now());
         let answer = site.call(REQUEST).await;
