--- a/src/entry/tests/organisations.rs
+++ b/src/entry/tests/organisations.rs
@@ -27,7 +27,7 @@
 
 async fn order(site: &Site, version: u64, organisation: Arc<Organisation>) {
     let routes = vec![route(Repeat::Once)];
-    site.order_for(version, routes, Some(vec![organisation]));
+    site.publish_desired_for(version, routes, Some(vec![organisation]));
     site.until_version(version).await;
 }
 
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -88,11 +88,11 @@
 
     /// Publishes a desired state with one service and these routes.
     pub fn publish_desired(&self, version: u64, routes: Vec<Route>) {
-        self.order_for(version, routes, None);
+        self.publish_desired_for(version, routes, None);
     }
 
     /// Publishes a desired state with one service, these routes and these organisations.
-    pub fn order_for(
+    pub fn publish_desired_for(
         &self,
         version: u64,
         routes: Vec<Route>,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -198,7 +198,7 @@
         }),
         ..Organisation::default()
     };
-    site.order_for(1, Vec::new(), Some(vec![Arc::new(organisation)]));
+    site.publish_desired_for(1, Vec::new(), Some(vec![Arc::new(organisation)]));
 }
 
 fn used(requests: i64) -> Vec<Usage> {
