--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -30,7 +30,7 @@
 fn a_request_passes_unchanged_but_for_what_hosts_set() {
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let answer = site.call(REQUEST).await;
         assert_eq!((answer.head.status, &*answer.body), (200, "ok"));
         assert_eq!(answer.head.headers.text("X-Up"), Some("3"));
@@ -50,8 +50,8 @@
 fn a_lost_answer_is_unknown_where_the_request_must_not_run_twice() {
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
-        let first = site.upstream("u1", vec![vec![Close]]).await;
-        let second = site.upstream("u2", vec![vec![Close]]).await;
+        let first = site.start_upstream("u1", vec![vec![Close]]).await;
+        let second = site.start_upstream("u2", vec![vec![Close]]).await;
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 502);
         let arrivals = first.arrivals.borrow().len() + second.arrivals.borrow().len();
@@ -65,12 +65,12 @@
         serve_by(&site, Repeat::Idempotent).await;
         let is_sound_known = Rc::new(Cell::new(false));
         let dead = site
-            .upstream("u1", vec![vec![Wait(is_sound_known.clone()), Close]])
+            .start_upstream("u1", vec![vec![Wait(is_sound_known.clone()), Close]])
             .await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
         site.until(|_| dead.arrivals.borrow().len() == 1).await;
-        let sound = site.upstream("u2", vec![vec![Write(WHOLE)]]).await;
+        let sound = site.start_upstream("u2", vec![vec![Write(WHOLE)]]).await;
         is_sound_known.set(true);
         assert_eq!(caller.answer().await.head.status, 200);
         assert_eq!(sound.arrivals.borrow().len(), 1);
@@ -81,7 +81,7 @@
 fn refusals_of_every_upstream_are_not_run_with_a_time_to_come_back() {
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
-        let upstream = site.upstream("u1", vec![vec![Write(BUSY)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(BUSY)]]).await;
         let answer = site.call(REQUEST).await;
         assert_eq!(answer.head.status, 503);
         let after_s: f64 = answer
@@ -101,8 +101,8 @@
     on_site(|site| async move {
         serve_by(&site, Repeat::Idempotent).await;
         let upstreams = [
-            site.upstream("u1", vec![vec![Write(FAILED)]]).await,
-            site.upstream("u2", vec![vec![Write(FAILED)]]).await,
+            site.start_upstream("u1", vec![vec![Write(FAILED)]]).await,
+            site.start_upstream("u2", vec![vec![Write(FAILED)]]).await,
         ];
         let answer = site.call(REQUEST).await;
         assert_eq!((answer.head.status, &*answer.body), (500, "bad"));
@@ -120,7 +120,8 @@
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
         let cut = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s\r\nContent-Length: 20\r\n\r\nhalf";
-        site.upstream("u1", vec![vec![Write(cut), Close]]).await;
+        site.start_upstream("u1", vec![vec![Write(cut), Close]])
+            .await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
     });
 }
@@ -130,7 +131,7 @@
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
         let bare = "HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok";
-        site.upstream("u1", vec![vec![Write(bare)]]).await;
+        site.start_upstream("u1", vec![vec![Write(bare)]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
     });
 }
@@ -140,7 +141,7 @@
     on_site(|site| async move {
         serve_by(&site, Repeat::Idempotent).await;
         let extra = "HTTP/1.1 200 OK\r\nId: other\r\nSeal: s\r\nContent-Length: 5\r\n\r\nwrong";
-        let upstream = site.upstream(
+        let upstream = site.start_upstream(
             "u1",
             vec![
                 vec![Write(extra), Write(WHOLE), Write(extra)],
@@ -161,7 +162,7 @@
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
         let moved = "HTTP/1.1 421 Misdirected\r\nId: {id}\r\nNot-Run: 1\r\nLifetime: u9\r\nContent-Length: 0\r\n\r\n";
-        let upstream = site.upstream("u1", vec![vec![Write(moved)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(moved)]]).await;
         let address = upstream.address;
         assert_eq!(site.call(REQUEST).await.head.status, 503);
         assert!(site.host.upstreams.borrow().get("u1").is_none());
@@ -182,11 +183,11 @@
         let rest = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s2\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
         let is_second_known = Rc::new(Cell::new(false));
         let script = vec![Write(begun), Wait(is_second_known.clone()), Close];
-        let first = site.upstream("u1", vec![script]).await;
+        let first = site.start_upstream("u1", vec![script]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
         site.until(|_| first.arrivals.borrow().len() == 1).await;
-        let second = site.upstream("u2", vec![vec![Write(rest)]]).await;
+        let second = site.start_upstream("u2", vec![vec![Write(rest)]]).await;
         is_second_known.set(true);
         let answer = caller.answer().await;
         assert!(answer.is_whole);
@@ -208,11 +209,11 @@
         let rest = "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
         let goes_on = Rc::new(Cell::new(false));
         let script = vec![Write(begun), Wait(goes_on.clone()), Write(rest)];
-        let first = site.upstream("u1", vec![script]).await;
+        let first = site.start_upstream("u1", vec![script]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
         site.until(|_| first.arrivals.borrow().len() == 1).await;
-        let second = site.upstream("u2", vec![vec![Hang]]).await;
+        let second = site.start_upstream("u2", vec![vec![Hang]]).await;
         let since = site.host.now();
         site.until(|host| host.now().since(since) >= SILENCE_MS)
             .await;
@@ -230,8 +231,12 @@
         site.publish_desired(1, vec![stream_route(Repeat::Once)]);
         site.until_version(1).await;
         let begun = "HTTP/1.1 200 OK\r\nId: {id}\r\nSeal: s1\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n";
-        let first = site.upstream("u1", vec![vec![Write(begun), Close]]).await;
-        let second = site.upstream("u2", vec![vec![Write(begun), Close]]).await;
+        let first = site
+            .start_upstream("u1", vec![vec![Write(begun), Close]])
+            .await;
+        let second = site
+            .start_upstream("u2", vec![vec![Write(begun), Close]])
+            .await;
         let answer = site.call(REQUEST).await;
         assert!(!answer.is_whole);
         assert_eq!(
@@ -245,7 +250,7 @@
 fn a_caller_that_leaves_ends_the_work_at_the_upstream() {
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
-        let upstream = site.upstream("u1", vec![vec![Hang]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Hang]]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
         site.until(|_| upstream.arrivals.borrow().len() == 1).await;
@@ -264,7 +269,7 @@
         };
         site.publish_desired(1, vec![limited]);
         site.until_version(1).await;
-        let upstream = site.upstream("u1", vec![vec![Hang]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Hang]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
         site.until(|_| *upstream.left.borrow() == 1).await;
     });
@@ -279,7 +284,7 @@
     ] {
         on_site(|site| async move {
             serve_by(&site, Repeat::Once).await;
-            let upstream = site.upstream("u1", vec![vec![Write(refusal)]]).await;
+            let upstream = site.start_upstream("u1", vec![vec![Write(refusal)]]).await;
             assert_eq!(site.call(REQUEST).await.head.status, 502);
             assert_eq!(upstream.arrivals.borrow().len(), 1);
         });
@@ -291,7 +296,7 @@
     on_site(|site| async move {
         serve_by(&site, Repeat::Once).await;
         let denial = "HTTP/1.1 404 Gone\r\nId: {id}\r\nContent-Length: 0\r\n\r\n";
-        site.upstream("u1", vec![vec![Write(denial)]]).await;
+        site.start_upstream("u1", vec![vec![Write(denial)]]).await;
         assert_eq!(site.call(REQUEST).await.head.status, 502);
     });
 }
--- a/src/entry/tests/callers.rs
+++ b/src/entry/tests/callers.rs
@@ -23,7 +23,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let long = format!(
             "GET /a/ HTTP/1.1\r\nHost: x\r\nId: i1\r\nX: {}\r\n\r\n",
             "x".repeat(20_000)
@@ -67,7 +67,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let mut caller = site.connect().await;
         let request =
             |id: &str| format!("GET /a/ HTTP/1.1\r\nHost: x\r\nId: {id}\r\nWait-Ms: 5000\r\n\r\n");
@@ -84,7 +84,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let request = "POST /a/ HTTP/1.1\r\nHost: x\r\nId: id-1\r\nWait-Ms: 5000\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         assert_eq!(site.call(request).await.head.status, 200);
         assert_eq!(upstream.arrivals.borrow()[0].body, b"abcde");
@@ -96,7 +96,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let request = "POST /a/ HTTP/1.1\r\nHost: x\r\nId: i001\r\nContent-Length: 3\r\n\r\nabc";
         site.host.held_body_bytes.set(MAX_HELD_BODY_BYTES - 2);
         let answer = site.call(request).await;
--- a/src/entry/tests/crashes.rs
+++ b/src/entry/tests/crashes.rs
@@ -31,7 +31,7 @@
     let mut upstreams = Vec::new();
     for n in 0..count {
         let id = format!("crashes-{n}");
-        upstreams.push(site.upstream(&id, vec![vec![Crash]]).await);
+        upstreams.push(site.start_upstream(&id, vec![vec![Crash]]).await);
     }
     upstreams
 }
@@ -57,7 +57,7 @@
             let answer = site.call(&request(id, "crash")).await;
             assert_eq!(answer.head.status, 502);
         }
-        let sound = site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        let sound = site.start_upstream("sound", vec![vec![Write(WHOLE)]]).await;
         for id in 3..10 {
             let answer = site.call(&request(id, "crash")).await;
             assert_eq!(answer.head.status, 503, "{}", answer.body);
@@ -100,7 +100,7 @@
         site.call(&request(0, "crash")).await;
         for n in 1..4 {
             let id = format!("beside-{n}");
-            site.upstream(&id, beside_the_cause()).await;
+            site.start_upstream(&id, beside_the_cause()).await;
             let mut beside = site.connect().await;
             beside.send(&request(10 + n, "beside")).await;
             let begun = beside.0.read_response_head(64 << 10, false).await;
@@ -108,7 +108,7 @@
             site.call(&request(n, "crash")).await;
         }
         let sound = site
-            .upstream("sound", vec![vec![Write(BEGUN), Close]])
+            .start_upstream("sound", vec![vec![Write(BEGUN), Close]])
             .await;
         assert_eq!(site.call(&request(20, "crash")).await.head.status, 503);
         assert!(sound.arrivals.borrow().is_empty());
@@ -122,7 +122,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        let upstream = site.upstream("closes", vec![vec![Close]]).await;
+        let upstream = site.start_upstream("closes", vec![vec![Close]]).await;
         for id in 0..6 {
             assert_eq!(site.call(&request(id, "a")).await.head.status, 502);
         }
@@ -139,7 +139,7 @@
             let id = format!("leaves-{n}");
             let may_end = Rc::new(Cell::new(false));
             let scripts = vec![vec![Wait(may_end.clone()), Crash]];
-            let upstream = site.upstream(&id, scripts).await;
+            let upstream = site.start_upstream(&id, scripts).await;
             let mut caller = site.connect().await;
             caller.send(&request(n, "a")).await;
             site.until(|_| upstream.arrivals.borrow().len() == 1).await;
@@ -153,7 +153,7 @@
             may_end.set(true);
             assert_eq!(caller.answer().await.head.status, 502);
         }
-        site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        site.start_upstream("sound", vec![vec![Write(WHOLE)]]).await;
         assert_eq!(site.call(&request(9, "a")).await.head.status, 200);
     });
 }
@@ -167,7 +167,7 @@
         for id in 0..3 {
             site.call(&request(id, "crash")).await;
         }
-        site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        site.start_upstream("sound", vec![vec![Write(WHOLE)]]).await;
         assert_eq!(site.call(&request(3, "crash")).await.head.status, 503);
         assert_eq!(site.call(&request(4, "other")).await.head.status, 200);
         let other_path = request(5, "crash").replace("/a/1", "/a/2");
@@ -180,7 +180,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        site.upstream("first", vec![vec![Write(WHOLE)], vec![Crash]])
+        site.start_upstream("first", vec![vec![Write(WHOLE)], vec![Crash]])
             .await;
         assert_eq!(site.call(&request(0, "a")).await.head.status, 200);
         assert_eq!(site.call(&request(1, "a")).await.head.status, 502);
@@ -188,7 +188,7 @@
         for id in 2..6 {
             assert_eq!(site.call(&request(id, "a")).await.head.status, 502);
         }
-        site.upstream("sound", vec![vec![Write(WHOLE)]]).await;
+        site.start_upstream("sound", vec![vec![Write(WHOLE)]]).await;
         assert_eq!(site.call(&request(6, "a")).await.head.status, 200);
     });
 }
--- a/src/entry/tests/organisations.rs
+++ b/src/entry/tests/organisations.rs
@@ -49,7 +49,7 @@
 fn a_request_without_a_valid_key_is_refused_and_reaches_no_upstream() {
     on_site(|site| async move {
         order(&site, 1, organisation(&["k1"], None)).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         for headers in ["", "Key: k2\r\n", "Organisation: o\r\n"] {
             let answer = site.call(&request(headers)).await;
             assert_eq!(answer.head.status, 401, "{headers}");
@@ -63,7 +63,7 @@
 fn an_upstream_learns_the_organisation_and_not_the_key() {
     on_site(|site| async move {
         order(&site, 1, organisation(&["k1"], None)).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let forged = request("Key: k1\r\norganisation: other\r\n");
         assert_eq!(site.call(&forged).await.head.status, 200);
         let arrivals = upstream.arrivals.borrow();
@@ -77,7 +77,7 @@
 fn a_key_that_is_taken_away_ends_on_open_connections_too() {
     on_site(|site| async move {
         order(&site, 1, organisation(&["k1", "k2"], None)).await;
-        site.upstream("u1", vec![vec![Write(WHOLE)], vec![Write(WHOLE)]])
+        site.start_upstream("u1", vec![vec![Write(WHOLE)], vec![Write(WHOLE)]])
             .await;
         let mut caller = site.connect().await;
         let mut status = async |key: &str| {
@@ -100,7 +100,7 @@
         list_host(&site);
         order(&site, 1, limited).await;
         let scripts = (0..7).map(|_| vec![Write(WHOLE)]).collect();
-        let upstream = site.upstream("u1", scripts).await;
+        let upstream = site.start_upstream("u1", scripts).await;
         for _ in 0..7 {
             let answer = site.call(&request("Key: k1\r\n")).await;
             assert_eq!(answer.head.status, 200);
@@ -130,7 +130,7 @@
 fn a_host_that_does_not_know_the_others_admits_nothing_of_a_limit() {
     on_site(|site| async move {
         order(&site, 1, organisation(&["k1"], Some(LIMIT))).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let answer = site.call(&request("Key: k1\r\n")).await;
         assert_eq!(answer.head.status, 429);
         assert!(upstream.arrivals.borrow().is_empty());
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -112,7 +112,7 @@
     }
 
     /// Starts an upstream of the service and lists it.
-    pub async fn upstream(&self, id: &str, scripts: Vec<Vec<Step>>) -> FakeUpstream {
+    pub async fn start_upstream(&self, id: &str, scripts: Vec<Vec<Step>>) -> FakeUpstream {
         let upstream = FakeUpstream::start(&self.executor, scripts).await;
         self.store.list(id, Some(entry(id, upstream.address)));
         self.until(|host| host.upstreams.borrow().get(id).is_some())
--- a/src/entry/tests/stop.rs
+++ b/src/entry/tests/stop.rs
@@ -14,7 +14,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         assert!(site.host.is_ready());
         site.host.ask_stop();
         assert!(!site.host.is_ready());
@@ -29,7 +29,7 @@
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
         site.until_version(1).await;
-        let upstream = site.upstream("u1", vec![vec![Write(WHOLE)]]).await;
+        let upstream = site.start_upstream("u1", vec![vec![Write(WHOLE)]]).await;
         let mut caller = site.connect().await;
         caller.send(REQUEST).await;
         assert_eq!(caller.answer().await.head.status, 200);
--- a/src/entry/tests/upstream_limits.rs
+++ b/src/entry/tests/upstream_limits.rs
@@ -49,9 +49,11 @@
 fn an_upstream_that_names_a_limit_gets_no_more_than_it_allows() {
     on_site(|site| async move {
         serve(&site).await;
-        let limited = site.upstream("limited", vec![vec![Write(LIMITED)]]).await;
+        let limited = site
+            .start_upstream("limited", vec![vec![Write(LIMITED)]])
+            .await;
         assert_eq!(site.call(&request(0)).await.head.status, 200);
-        let other = site.upstream("other", vec![vec![Write(FREE)]]).await;
+        let other = site.start_upstream("other", vec![vec![Write(FREE)]]).await;
         for id in 1..60 {
             assert_eq!(site.call(&request(id)).await.head.status, 200);
         }
