--- a/src/entry/tests/answers.rs
+++ b/src/entry/tests/answers.rs
@@ -166,8 +166,8 @@
         let address = upstream.address;
         assert_eq!(site.call(REQUEST).await.head.status, 503);
         assert!(site.host.upstreams.borrow().get("u1").is_none());
-        site.store.list("u1", Some(entry("u1", address)));
-        site.store.list("u2", Some(entry("u2", address)));
+        site.store.write_upstream("u1", Some(entry("u1", address)));
+        site.store.write_upstream("u2", Some(entry("u2", address)));
         site.until(|host| host.upstreams.borrow().get("u2").is_some())
             .await;
         assert!(site.host.upstreams.borrow().get("u1").is_none());
--- a/src/entry/tests/crashes.rs
+++ b/src/entry/tests/crashes.rs
@@ -147,7 +147,7 @@
                 leaving: true,
                 ..entry(&id, upstream.address)
             };
-            site.store.list(&id, Some(leaving));
+            site.store.write_upstream(&id, Some(leaving));
             site.until(|host| host.upstreams.borrow().usable("s").next().is_none())
                 .await;
             may_end.set(true);
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -59,7 +59,7 @@
     }
 
     /// Writes or removes the entry of an upstream.
-    pub fn list(&self, id: &str, entry: Option<UpstreamEntry>) {
+    pub fn write_upstream(&self, id: &str, entry: Option<UpstreamEntry>) {
         self.upstreams.borrow_mut().push((id.into(), entry));
         self.changed.notify(usize::MAX);
     }
--- a/src/entry/tests/follow.rs
+++ b/src/entry/tests/follow.rs
@@ -24,7 +24,8 @@
         site.publish_desired(8, vec![route(Repeat::Once)]);
         site.until_version(8).await;
         site.publish_desired(5, Vec::new());
-        site.store.list("u1", Some(entry("u1", unused_address())));
+        site.store
+            .write_upstream("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.upstreams.borrow().get("u1").is_some())
             .await;
         site.until_version(8).await;
@@ -34,12 +35,14 @@
 #[test]
 fn list_is_read_in_full_after_its_history_was_trimmed() {
     on_site(|site| async move {
-        site.store.list("u1", Some(entry("u1", unused_address())));
+        site.store
+            .write_upstream("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.upstreams.borrow().get("u1").is_some())
             .await;
         site.store.kept_from.set(100);
-        site.store.list("u1", None);
-        site.store.list("u2", Some(entry("u2", unused_address())));
+        site.store.write_upstream("u1", None);
+        site.store
+            .write_upstream("u2", Some(entry("u2", unused_address())));
         site.until(|host| {
             let upstreams = host.upstreams.borrow();
             upstreams.get("u1").is_none() && upstreams.get("u2").is_some()
@@ -57,7 +60,8 @@
         site.store.pages_until_refusal.set(Some(3));
         for n in 0..50 {
             let id = format!("u{n}");
-            site.store.list(&id, Some(entry(&id, unused_address())));
+            site.store
+                .write_upstream(&id, Some(entry(&id, unused_address())));
         }
         site.until(|host| host.upstreams.borrow().count() == 50)
             .await;
@@ -69,10 +73,12 @@
 fn host_stays_ready_during_a_store_outage_and_catches_up_after_it() {
     on_site(|site| async move {
         site.publish_desired(1, vec![route(Repeat::Once)]);
-        site.store.list("u1", Some(entry("u1", unused_address())));
+        site.store
+            .write_upstream("u1", Some(entry("u1", unused_address())));
         site.until(|host| host.is_ready()).await;
         site.store.is_down.set(true);
-        site.store.list("u2", Some(entry("u2", unused_address())));
+        site.store
+            .write_upstream("u2", Some(entry("u2", unused_address())));
         assert!(site.host.is_ready());
         site.store.is_down.set(false);
         site.until(|host| host.upstreams.borrow().get("u2").is_some())
--- a/src/entry/tests/list_copy.rs
+++ b/src/entry/tests/list_copy.rs
@@ -25,7 +25,7 @@
         until(|| pair.asking.upstreams_known.get()).await;
         for n in 0..UPSTREAMS {
             let id = format!("u{n}");
-            store.list(&id, Some(entry(&id, unused_address())));
+            store.write_upstream(&id, Some(entry(&id, unused_address())));
         }
         until(|| pair.asking.upstreams.borrow().count() == UPSTREAMS).await;
     };
@@ -55,7 +55,7 @@
         store.page_rows.set(500);
         for n in 0..UPSTREAMS {
             let id = format!("u{n}");
-            store.list(&id, Some(entry(&id, unused_address())));
+            store.write_upstream(&id, Some(entry(&id, unused_address())));
         }
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
         site.executor.spawn(follow).detach();
@@ -73,7 +73,7 @@
         let pair = Pair::new(&site).await;
         let store = &pair.asking.platform.0;
         store.is_down.set(false);
-        store.list("own", Some(entry("own", unused_address())));
+        store.write_upstream("own", Some(entry("own", unused_address())));
         let follow = follow(pair.asking.clone(), Table::Upstreams, Some(pair.sources()));
         site.executor.spawn(follow).detach();
         let test = until(|| pair.asking.upstreams_known.get());
@@ -146,7 +146,7 @@
         let pair = Pair::new(&site).await;
         let store = pair.asking.platform.0.clone();
         store.is_down.set(false);
-        store.list("u0", Some(entry("u0", unused_address())));
+        store.write_upstream("u0", Some(entry("u0", unused_address())));
         let end = TableEnd {
             end: Offset(UPSTREAMS as u64),
             age_ms: Millis::ZERO,
--- a/src/entry/tests/relay_pair.rs
+++ b/src/entry/tests/relay_pair.rs
@@ -42,7 +42,8 @@
     pub async fn with_nearby_hosts(site: &Site, near: Vec<Member>) -> Self {
         for n in 0..UPSTREAMS {
             let id = format!("u{n}");
-            site.store.list(&id, Some(entry(&id, unused_address())));
+            site.store
+                .write_upstream(&id, Some(entry(&id, unused_address())));
         }
         site.until(|host| host.upstreams.borrow().iter().count() == UPSTREAMS)
             .await;
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -114,7 +114,8 @@
     /// Starts an upstream of the service and lists it.
     pub async fn start_upstream(&self, id: &str, scripts: Vec<Vec<Step>>) -> FakeUpstream {
         let upstream = FakeUpstream::start(&self.executor, scripts).await;
-        self.store.list(id, Some(entry(id, upstream.address)));
+        self.store
+            .write_upstream(id, Some(entry(id, upstream.address)));
         self.until(|host| host.upstreams.borrow().get(id).is_some())
             .await;
         upstream
