--- a/src/entry/tests/desired_copy.rs
+++ b/src/entry/tests/desired_copy.rs
@@ -40,7 +40,7 @@
         .apply_update(pair.asking.now(), first);
     let store = &pair.asking.platform.0;
     store.is_down.set(false);
-    store.order(DesiredState::default());
+    store.write_desired(DesiredState::default());
     let follow = follow(pair.asking.clone(), Table::Desired, Some(pair.sources()));
     site.executor.spawn(follow).detach();
     until(|| version(&pair.asking) == Some(0)).await;
@@ -83,7 +83,7 @@
             assert!(answer(&site.host).is_none());
             read_first(&site, &pair).await;
             let store = &pair.asking.platform.0;
-            store.order(DesiredState {
+            store.write_desired(DesiredState {
                 version: 5,
                 ..DesiredState::default()
             });
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -53,7 +53,7 @@
     }
 
     /// Writes a desired state.
-    pub fn order(&self, state: DesiredState) {
+    pub fn write_desired(&self, state: DesiredState) {
         self.desired.borrow_mut().push(state);
         self.changed.notify(usize::MAX);
     }
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -102,7 +102,7 @@
             max_connections: 100,
             engine: None,
         };
-        self.store.order(DesiredState {
+        self.store.write_desired(DesiredState {
             version,
             routes,
             services: [(Name::from("s"), service)].into_iter().collect(),
