--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -44,14 +44,14 @@
     host: Rc<Host<P>>,
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
-    questions: Endpoint,
+    endpoint: Endpoint,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let host = host.clone();
                 executor
-                    .spawn(async move { serve_connection(&host, stream, questions).await })
+                    .spawn(async move { serve_connection(&host, stream, endpoint).await })
                     .detach();
             }
             Err(_) => {
@@ -61,7 +61,7 @@
     }
 }
 
-async fn serve_connection<P: Platform>(host: &Host<P>, stream: TcpStream, questions: Endpoint) {
+async fn serve_connection<P: Platform>(host: &Host<P>, stream: TcpStream, endpoint: Endpoint) {
     if prepare(&stream).is_err() {
         return;
     }
@@ -69,7 +69,7 @@
     loop {
         let read = within(IDLE_MS, connection.read_request_head(MAX_HEAD_BYTES)).await;
         let Some(Ok(Some(head))) = read else { return };
-        let reply = reply(host, &head, questions);
+        let reply = reply(host, &head, endpoint);
         let closes = !head.keep_alive || host.is_stopping();
         let bytes = reply_bytes(&reply, closes);
         if connection.stream().clone().write_all(&bytes).await.is_err() || closes {
@@ -78,11 +78,11 @@
     }
 }
 
-fn reply<P: Platform>(host: &Host<P>, head: &RequestHead, questions: Endpoint) -> Reply {
-    match questions {
+fn reply<P: Platform>(host: &Host<P>, head: &RequestHead, endpoint: Endpoint) -> Reply {
+    match endpoint {
         Endpoint::Directory => match host.platform.read_directory(head) {
-            Some(question) => {
-                let addresses = addresses(host, &question);
+            Some(query) => {
+                let addresses = addresses(host, &query);
                 let ttl_ms = TTL_MS.min(host.settings().bounds.directory_ttl_ms());
                 Reply {
                     status: 200,
@@ -116,14 +116,14 @@
 
 /// Returns the hosts' addresses: those in the caller's data centre first, otherwise in random
 /// order, so that callers who use the first ones spread over the hosts.
-fn addresses<P: Platform>(host: &Host<P>, question: &DirectoryQuestion) -> Vec<SocketAddr> {
+fn addresses<P: Platform>(host: &Host<P>, query: &DirectoryQuestion) -> Vec<SocketAddr> {
     let own = host.settings().caller_listen;
     let members = host.members.borrow();
     let mut hosts: Vec<(bool, SocketAddr)> = members
         .iter()
         .map(|member| {
             (
-                member.data_centre != question.data_centre,
+                member.data_centre != query.data_centre,
                 member.caller_address,
             )
         })
@@ -131,7 +131,7 @@
         .collect();
     let is_usable = !host.is_stopping() || hosts.is_empty();
     if is_usable {
-        let is_far = host.settings().data_centre != question.data_centre;
+        let is_far = host.settings().data_centre != query.data_centre;
         hosts.push((is_far, own));
     }
     fastrand::shuffle(&mut hosts);
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -47,7 +47,7 @@
     /// What the hosts are told of the engines, versioned so that a host gets changes only.
     pub published: PublishedEngines,
     /// The versions of the list of upstreams and of the desired state at the last update of the
-    /// engines in the ledger.
+    /// engines in the inventory.
     engine_versions: Option<(u64, u64)>,
     /// The demand and the work that the hosts report.
     pub demand: Book,
@@ -101,9 +101,9 @@
         self.named_orderer = None;
     }
 
-    /// Adds the changes in the ledger to what the hosts are told. Does nothing without the lease.
-    /// An engine whose entry in the list of upstreams says the same is left out, since every host
-    /// has the list.
+    /// Adds the changes in the inventory to what the hosts are told. Does nothing without the
+    /// lease. An engine whose entry in the list of upstreams says the same is left out, since every
+    /// host has the list.
     pub fn publish(&mut self, now: Millis, upstreams: &Registry) {
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
             return;
@@ -231,8 +231,8 @@
     ready.collect()
 }
 
-/// Updates the engines in the ledger when the list of upstreams or the desired state has changed,
-/// or the ledger dropped an engine that may still be listed.
+/// Updates the engines in the inventory when the list of upstreams or the desired state has
+/// changed, or the inventory dropped an engine that may still be listed.
 fn update_engines<P: Platform>(host: &Host<P>, table: &RouteTable, now: Millis) {
     let upstreams = host.upstreams.borrow();
     let mut orders = host.orders.borrow_mut();
