--- a/src/entry/lease_manager.rs
+++ b/src/entry/lease_manager.rs
@@ -36,11 +36,11 @@
 const MAX_RECORD_BYTES: usize = 4 << 10;
 /// The most hosts that are asked to append one renewal.
 const MAX_RENEWAL_PEERS: usize = 2;
-/// How long a holder that hears from no other host keeps the lease. It is then taken to be cut off
-/// from the others, so that one of these is the better orderer.
+/// How long a holder that hears from no other host keeps the lease. After that it counts as cut off
+/// from them, and releases the lease so that another host can claim it.
 const ISOLATED_MS: Millis = Millis(3_000);
-/// How long a host that gave up the lease, since it could not renew it or heard from no other host,
-/// does not claim it.
+/// How long a host does not claim the lease after it gave it up because it could not renew it or
+/// heard from no other host.
 const NO_CLAIM_MS: Millis = Millis(6_000);
 
 #[derive(Serialize)]
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -27,7 +27,7 @@
 /// group lists the previous processes for about two seconds more, and a relay accepts a host only
 /// once the group lists it.
 pub const RELAY_SEARCH_MS: Millis = Millis(5_000);
-/// The pause after no relay had the list, before they are asked again.
+/// The pause before the relays are asked again when none of them had the list.
 const RETRY_PAUSE_MS: Millis = Millis(250);
 
 /// A request for a part of the list.
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -102,8 +102,8 @@
     }
 
     /// Adds the changes in the inventory to what the hosts are told. Does nothing without the
-    /// lease. An engine whose entry in the list of upstreams says the same is left out, since every
-    /// host has the list.
+    /// lease. An engine is left out as long as its entry in the list of upstreams says the same,
+    /// since every host has the list.
     pub fn publish(&mut self, now: Millis, upstreams: &Registry) {
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
             return;
