--- a/src/entry/replication.rs
+++ b/src/entry/replication.rs
@@ -274,8 +274,8 @@
         is_confirmed
     }
 
-    /// Returns a listener for the next update. Listen before calling [`ReplicationState::next`], so that no
-    /// update is missed.
+    /// Returns a listener for the next update. Listen before calling [`ReplicationState::next`], so
+    /// that no update is missed.
     pub fn next_update(&self) -> EventListener {
         self.updated.listen()
     }
