--- a/src/routing/first_byte.rs
+++ b/src/routing/first_byte.rs
@@ -1,25 +1,25 @@
-//! How long an upstream may take to its first byte, learned from its latest answers.
+//! Timeout for the first byte of an upstream's answer, derived from its latest answers.
 
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// How many answers are remembered.
+/// Number of latest answers that are kept.
 pub const MAX_SAMPLES: usize = 64;
-/// How far above the slowest remembered answer the bound lies.
+/// Timeout as a multiple of the second longest time to first byte among the kept answers.
 pub const FACTOR: u64 = 4;
-/// The least bound.
+/// The shortest timeout.
 pub const LEAST_BOUND_MS: Millis = Millis(1_000);
-/// The greatest bound, and the one without any answer yet.
+/// The longest timeout; also used while no answer has been received.
 pub const GREATEST_BOUND_MS: Millis = Millis(10_000);
 
-/// The times to the first byte of an upstream's latest answers.
+/// Times to first byte of an upstream's latest answers, at most [`MAX_SAMPLES`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FirstByteTimes {
     samples: VecDeque<Millis>,
 }
 
 impl FirstByteTimes {
-    /// Takes note of an answer.
+    /// Records the time to first byte of an answer.
     pub fn note(&mut self, took_ms: Millis) {
         self.samples.push_back(took_ms);
         if self.samples.len() > MAX_SAMPLES {
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Returns the bound: a multiple of the second slowest remembered answer, within limits.
+    /// Returns the timeout: [`FACTOR`] times the second longest kept time, between
+    /// [`LEAST_BOUND_MS`] and [`GREATEST_BOUND_MS`].
     pub fn bound_ms(&self) -> Millis {
         let mut sorted: Vec<Millis> = self.samples.iter().copied().collect();
         sorted.sort_unstable_by(|a, b| b.cmp(a));
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request.
+//! Selection of the upstream that serves a request.
 
 pub mod first_byte;
 pub mod occupancy;
--- a/src/routing/occupancy.rs
+++ b/src/routing/occupancy.rs
@@ -1,23 +1,28 @@
-//! How long requests keep a slot of an engine, as one host observes it.
+//! How long requests occupy a slot of an engine, as observed by one host.
 //!
-//! Answers the pattern of long answers at engines with few slots: one more request at an engine whose slots are all
-//! taken waits until one of them is free, which takes the time that a request keeps its slot, divided by the slots.
+//! Handles long answers on engines with few slots: when all slots of an engine are taken, one more
+//! request waits until one is free, which takes the mean time that a request occupies a slot,
+//! divided by the number of slots.
 
 use crate::prelude::*;
 
-/// What is assumed before the first answer ended: within a factor of three of what was seen of answers of 30 to 280
-/// tokens.
+/// Mean before the first answer has ended: within a factor of three of the observed means for
+/// answers of 30 to 280 tokens.
 const ASSUMED_MS: f64 = 1_000.0;
-/// The weight of the newest answer: about the last fifty count, some seconds of one host's answers.
+/// Weight of the newest answer in the moving average: about the last fifty answers count, which one
+/// host sees within seconds.
 const NEWEST_WEIGHT: f64 = 0.04;
 
-/// How many slots must become free for an engine that was full to be asked again: hosts that all ask at once would fill one
-/// with the first and be refused with the rest.
+/// How many slots must become free before an engine that was full gets requests again. If all hosts
+/// retried as soon as one slot was free, the first request would fill it and the others would be
+/// refused.
 const FREED_SLOTS: f64 = 6.0;
-/// The longest time for which an engine counts as full: callers wait half a second for a first event at the least.
+/// The longest time for which an engine counts as full. Callers wait at least half a second for the
+/// first event.
 const FULL_MS_AT_MOST: Millis = Millis(500);
 
-/// The mean time for which requests of a service keep a slot.
+/// Mean time for which requests of a service occupy a slot, as a moving average. Before the first
+/// answer it is one second.
 #[derive(Clone, Copy, Debug)]
 pub struct Occupancy {
     mean_ms: f64,
@@ -32,18 +37,20 @@
 }
 
 impl Occupancy {
-    /// Takes note of an answer that took so long from its first event to its end.
+    /// Records the time from an answer's first event to its end.
     pub fn note(&mut self, took_ms: Millis) {
         self.mean_ms += (took_ms.0 as f64 - self.mean_ms) * NEWEST_WEIGHT;
     }
 
-    /// Returns how long an engine that refused a request as full is taken to be full: until a few of its slots are free.
+    /// Returns how long an engine that refused a request because it is full gets no more requests:
+    /// until a few of its slots should be free.
     pub fn full_ms(&self, slots: u32) -> Millis {
         let slot_ms = self.mean_ms / f64::from(slots.max(1));
         Millis((slot_ms * FREED_SLOTS) as u64).min(FULL_MS_AT_MOST)
     }
 
-    /// Returns how long one more request waits for a slot of an engine that has `under_way` others, in milliseconds.
+    /// Returns how long one more request waits for a slot, in milliseconds, on an engine with
+    /// `under_way` requests in flight; 0 where the number of slots is unknown (`slots` is 0).
     pub fn wait_ms(&self, slots: u32, under_way: u32) -> f64 {
         if slots == 0 {
             return 0.0;
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -1,9 +1,11 @@
-//! Which upstream gets a request: by its load, this host's results with it, and what it kept of prompts.
+//! Chooses the upstream of a request by load, by this host's recent failures there, and by cached
+//! prompt prefixes.
 //!
-//! Answers the pattern of a few busy models whose prompts share long beginnings: a shared beginning that is
-//! read anew costs an engine as much time as the rest of the prompt, but requests of one beginning that all
-//! go to one engine wait for each other. So each beginning has a home among the engines that hold the
-//! model, and a request leaves it when waiting there costs more than reading the beginning elsewhere.
+//! Handles workloads in which a few busy models get prompts that share long prefixes. Reading a
+//! shared prefix again costs an engine as much time as the rest of the prompt, but if all requests
+//! with one prefix went to one engine, they would queue there. So rendezvous hashing gives each
+//! prefix a preferred engine among those that hold the model, and a request goes elsewhere when the
+//! wait at the preferred engine costs more than reading the prefix again.
 
 use crate::prelude::*;
 use crate::rendezvous;
@@ -11,30 +13,33 @@
 use crate::routing::roles::{is_long, short_copies};
 use crate::upstreams::Upstream;
 
-/// What a running request costs another one, in prompt tokens: each step of an engine serves all of them, and a
-/// prompt is read in pieces between the steps.
+/// Delay that one running request causes to another, in prompt tokens: each step of an engine
+/// serves all running requests, and a prompt is read in chunks between the steps.
 const RUNNING_TOKENS: f64 = 150.0;
-/// What a long prompt at a copy for short ones costs, and a short one at a copy for long ones, in prompt tokens: about
-/// what makes the streams there late.
+/// Cost of a long prompt on a copy reserved for short ones, and of a short one on a copy for long
+/// ones, in prompt tokens: about the amount that makes the streams there late.
 const OFF_ROLE_TOKENS: f64 = 14_000.0;
-/// Prompt tokens that an engine reads in a millisecond: what a wait is worth against prompts that are read anew.
+/// Prompt tokens that an engine reads in a millisecond. Converts waiting times to the unit of the
+/// other costs.
 pub const TOKENS_PER_MS: f64 = 38.0;
-/// What an upstream that fails every request costs, in prompt tokens: more than any queue that is worth waiting in.
+/// Cost of an upstream that fails every request, in prompt tokens: more than any queue that is
+/// worth waiting in.
 const FAILING_TOKENS: f64 = 60_000.0;
-/// What a request under way at a plain service costs, in shares of the upstream's slots, against failures.
+/// Cost of an upstream of a plain service that fails every request, as a multiple of its slots.
 const FAILING_SLOTS: f64 = 4.0;
-/// What another data centre costs, in shares of an upstream's slots: it only breaks ties, since a round trip
-/// of a few milliseconds is less than any queue.
+/// Cost of an upstream in another data centre, as a fraction of its slots. It only breaks ties,
+/// because a round trip of a few milliseconds is shorter than any queue.
 const FAR_SLOTS: f64 = 0.05;
 
-/// The work of other hosts at an upstream.
+/// Load that hosts have placed on one upstream. The choice of an upstream uses the sum over all
+/// other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// Prompt tokens of requests without a first event.
+    /// Prompt tokens of requests that have not had their first event.
     pub prompt_tokens: u64,
-    /// How many of these requests have long prompts.
+    /// Number of these requests that have long prompts.
     pub long_prompts: u32,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub running: u32,
 }
 
@@ -47,37 +52,39 @@
 }
 
 impl Work {
-    /// Returns the requests of all hosts under way at an upstream, with this host's own.
+    /// Returns the number of requests in flight at an upstream from all hosts: `self`, which holds
+    /// those of the other hosts, plus this host's own.
     pub fn under_way(&self, upstream: &Upstream) -> u32 {
         upstream.in_flight + self.running
     }
 }
 
-/// What the choice of an engine needs of a request.
+/// Properties of a request's prompt that the choice of an engine depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptShape {
-    /// A digest of the model, the adapter and the shared parts of the prompt.
+    /// Digest of the model, the adapter and the shared prefix of the prompt.
     pub beginning: u64,
-    /// The tokens of the shared parts.
+    /// Tokens of the shared prefix.
     pub shared_tokens: u64,
-    /// The tokens of the whole prompt.
+    /// Tokens of the whole prompt.
     pub tokens: u64,
 }
 
-/// What the choice of an engine needs of the model.
+/// Properties of a model that the choice of an engine depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelCopies<'a> {
-    /// Its name.
+    /// Name of the model.
     pub name: &'a str,
-    /// Whether its copies are kept apart for long and for short prompts.
+    /// Whether long and short prompts go to separate copies of the model.
     pub are_separate: bool,
-    /// What the shared beginning of a prompt costs at an engine that has not read it, as a part of reading it: less than
-    /// one where the engine fetches it from another.
+    /// Cost of a shared prefix that an engine has not cached, as a fraction of the cost of reading
+    /// it; below 1 where the engine fetches the prefix from another engine.
     pub reread_cost: f64,
 }
 
 impl ModelCopies<'_> {
-    /// Returns which engines are kept for the other kind of prompts than this one.
+    /// Returns the engines that are reserved for the other kind of prompts (long or short) than
+    /// this one.
     fn kept_for_others<'a>(
         &self,
         holders: impl Iterator<Item = &'a Upstream> + Clone,
@@ -95,8 +102,9 @@
     }
 }
 
-/// Returns the engine from which another one is to fetch a beginning, among those that hold the model: the one to which
-/// requests of that beginning go first. For that one itself it is the next, which was the first before a new copy came.
+/// Returns the engine from which `receiver` should fetch a prefix: the preferred engine of that
+/// prefix among those that hold the model. If `receiver` is itself the preferred engine, this is
+/// the next in rank, which was the preferred one before `receiver` became a holder.
 pub fn prefix_source<'a>(
     model: &ModelCopies<'_>,
     holders: impl Iterator<Item = &'a Upstream> + Clone,
@@ -110,7 +118,8 @@
         .max_by_key(|upstream| affinity(&upstream.entry.id, prompt.beginning))
 }
 
-/// Chooses an engine among those that hold the model: the least predicted wait, in prompt tokens.
+/// Chooses the engine with the lowest predicted wait among those that hold the model. Waits are
+/// compared in prompt tokens.
 pub fn engine<'a>(
     now: Millis,
     model: &ModelCopies<'_>,
@@ -132,7 +141,8 @@
         .filter(|(upstream, _)| !kept_for_others.contains(&upstream.entry.id))
         .max_by_key(|(upstream, _)| affinity(&upstream.entry.id, prompt.beginning))
         .map(|(upstream, _)| upstream.entry.id.clone());
-    // Of engines that cost the same the first is chosen; hosts that all had one order would fill it together.
+    // The first of several engines with equal cost is chosen. With the same order on all hosts, all
+    // of them would send to the same engine.
     random.shuffle(&mut candidates);
     let cost = |(upstream, others): &(&Upstream, Work)| {
         let prompt_tokens = upstream.prompt_tokens + others.prompt_tokens;
@@ -156,7 +166,8 @@
     least(candidates, cost)
 }
 
-/// Chooses an upstream of a plain service: the least share of slots in use, near ones first.
+/// Chooses an upstream of a plain service: the one with the lowest fraction of its slots in use;
+/// upstreams in `data_centre` win ties. `point` is a uniform random number between 0 and 1.
 pub fn service<'a>(
     now: Millis,
     candidates: impl Iterator<Item = &'a Upstream>,
@@ -175,7 +186,8 @@
             true => 0.0,
             false => FAR_SLOTS,
         };
-        // Hosts of one data centre without an upstream must not all choose the same one.
+        // Spreads the requests of hosts whose data centre has no upstream over the upstreams
+        // elsewhere.
         let spread = (point + f64::from(nth) * 0.618).fract() * FAR_SLOTS / 2.0;
         used + far + spread + upstream.health.failure_share(now) * FAILING_SLOTS
     };
@@ -199,7 +211,8 @@
         .map(|(_, upstream)| upstream)
 }
 
-/// Returns the rank of an upstream for a beginning: an upstream that comes or goes moves only its own beginnings.
+/// Returns the rendezvous score of an upstream for a prefix. When an upstream is added or removed,
+/// only the prefixes that it is preferred for change their preferred upstream.
 pub fn affinity(id: &str, beginning: u64) -> u64 {
     rendezvous::score(id.as_bytes(), beginning)
 }
--- a/src/routing/prefix.rs
+++ b/src/routing/prefix.rs
@@ -1,19 +1,23 @@
-//! Whether an engine does well to fetch the beginning of a prompt from another one that has read it.
+//! Whether an engine should fetch a prompt prefix from another engine that has already read it.
 //!
-//! Answers the pattern of busy models whose prompts share beginnings of thousands of tokens: with several copies each
-//! beginning was read anew at every copy that it came to, 6 of 28 million prompt tokens on a heavy day of 78 engines. Over the
-//! engines' link it takes a twenty-fifth of the time that reading takes, so requests may go to the engine that is least
-//! busy. Late long prompts fell from 242 to 148 of 1,900 on a calm day, and 237 GB were moved on the heavy one.
+//! Handles busy models whose prompts share prefixes of thousands of tokens. With several copies,
+//! each copy read each prefix again, which cost 6 of 28 million prompt tokens with 78 engines.
+//! Transferring a prefix over the link between engines takes one twenty-fifth of the time of
+//! reading it, so a request can go to the least busy engine. This reduced late long prompts from
+//! 242 to 148 of 1,900 under moderate load, and transferred 237 GB under heavy load.
 
 use crate::desired::EngineSpec;
 
-/// Beginnings that are shorter are read anew: that takes a dozen milliseconds, hardly more than asking another engine.
+/// Shorter prefixes are read again: that takes a dozen milliseconds, hardly more than the request
+/// to another engine.
 const LEAST_TOKENS: u64 = 500;
-/// The most that fetching may take, as a part of reading: links are shared, and transfers on one link queue.
+/// The longest transfer, as a fraction of the reading time: links are shared, and transfers on one
+/// link queue.
 const MOST_SHARE: f64 = 0.25;
 
-/// Returns how long fetching a prompt takes, as a part of the time that reading it takes, where engines are to fetch: the
-/// stated link and the size of a token's state are what counts. `tokens_per_ms` is how fast engines read.
+/// Returns the time to fetch a prefix divided by the time to read it, or `None` if engines should
+/// read it. It is computed from the link speed and the state size per token in `spec`.
+/// `tokens_per_ms` is the reading speed of engines.
 pub fn fetch_share(spec: &EngineSpec, tokens_per_ms: f64, shared_tokens: u64) -> Option<f64> {
     if spec.link_mbps <= 0.0 || spec.token_bytes <= 0.0 || shared_tokens < LEAST_TOKENS {
         return None;
--- a/src/routing/roles.rs
+++ b/src/routing/roles.rs
@@ -1,35 +1,40 @@
-//! Which copies of a model take long prompts and which take short ones.
+//! Which copies of a model serve long prompts and which serve short ones.
 //!
-//! Answers the pattern of one busy model asked with both: an engine reads prompts in pieces between the steps of
-//! running streams, so two long prompts that arrive together stretch the gap between the events of every
-//! stream there beyond what is on time (five tokens an event, each waiting for a piece of 4,096 tokens: about
-//! 0.7 s for a large model). A model with several copies keeps some of them for short prompts.
+//! Handles a busy model that gets both. An engine reads prompts in chunks between the steps of its
+//! running streams. Two long prompts that arrive together lengthen the gap between the events of
+//! every stream on that engine beyond the allowed time: an event has five tokens, each of which
+//! waits for a chunk of 4,096 tokens, about 0.7 s in all for a large model. A model with several
+//! copies therefore reserves some of them for short prompts.
 
 use crate::prelude::*;
 use crate::routing::pick::affinity;
 
-/// A prompt of at least so many tokens is long: a large model reads it in some 65 ms, the time of several steps.
+/// Prompts of at least this many tokens are long. A large model reads one in some 65 ms, the time
+/// of several steps.
 const LONG_PROMPT_TOKENS: u64 = 2_500;
-/// Tells whether a prompt of so many tokens is long.
+/// Returns whether a prompt of this many tokens is long.
 pub fn is_long(prompt_tokens: u64) -> bool {
     prompt_tokens >= LONG_PROMPT_TOKENS
 }
 
-/// The rates of long and of short prompts from which the copies of a model are kept apart: below them streams are
-/// seldom late, and a copy kept for one kind only leaves the slots of the others unused.
+/// Rates of long and of short prompts, in requests per second, from which a model's copies are
+/// separated. At lower rates streams are seldom late, and a copy reserved for one kind leaves slots
+/// of the other copies unused.
 const LONG_PER_S: f64 = 0.5;
 const SHORT_PER_S: f64 = 0.7;
 
-/// Tells whether a model is asked with both kinds of prompts so often that its copies are kept apart.
+/// Returns whether the rates of long and of short prompts are high enough to separate a model's
+/// copies.
 pub fn has_both_kinds(long_per_s: f64, short_per_s: f64) -> bool {
     long_per_s >= LONG_PER_S && short_per_s >= SHORT_PER_S
 }
 
-/// Of so many copies one is kept for short prompts: these are about a tenth of the tokens.
+/// One of this many copies is reserved for short prompts, which make up about a tenth of the
+/// tokens.
 const COPIES_FOR_EACH_SHORT: usize = 3;
 
-/// Chooses the copies for short prompts among the engines that hold a model: the same ones at every host. A single
-/// copy takes both.
+/// Chooses the copies reserved for short prompts among the engines that hold a model. Every host
+/// chooses the same ones. A single copy serves both kinds, so the result is empty.
 pub fn short_copies<'a>(model: &str, holders: impl Iterator<Item = &'a Name>) -> Vec<&'a Name> {
     let digest = rapidhash::v3::rapidhash_v3(model.as_bytes());
     let mut ranked: Vec<&Name> = holders.collect();
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of routing.
+//! Tests of first-byte timeouts and of the schedule of engine reports.
 
 mod pick;
 
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Which engine gets a request, by what is under way there.
+//! Tests of the choice of an engine by load, prompt length and prefix.
 
 use crate::desired::EngineSpec;
 use crate::prelude::*;
@@ -35,7 +35,8 @@
     }
 }
 
-/// Sends requests one after the other, each to the engine that is chosen for it, and returns how many each engine got.
+/// Sends requests one after the other, each to the engine that is chosen for it, and returns the
+/// number of requests for each engine. None of them ends.
 fn spread(requests: u64, are_separate: bool) -> Vec<u32> {
     let registry = engines(4);
     let mut running: IndexMap<Name, u32> = registry
@@ -56,7 +57,7 @@
             are_separate,
             reread_cost: 1.0,
         };
-        // All prompts share one beginning, which has its home at one of the engines.
+        // The prompts share two prefixes, each of which has a preferred engine.
         let prompt = short_prompt(request % 2);
         let occupancy = Occupancy::default();
         let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
@@ -68,8 +69,9 @@
 
 const NOW: Millis = Millis(1_000);
 
-/// The pattern: many short prompts for one model with several copies and no long ones. Kept apart, a third of the copies
-/// got all of them until each had some ninety requests more than the others, at 24 slots an engine.
+/// Guards against overload of some copies when a model with several copies gets only short prompts:
+/// with separated copies, a third of them got all requests until each had some ninety more than the
+/// others, at 24 slots an engine.
 #[test]
 fn copies_share_short_prompts_where_no_long_ones_come() {
     let running = spread(4 * 20, false);
@@ -79,14 +81,16 @@
     );
 }
 
-/// Where both kinds come, the copy for short prompts gets the short ones as long as its queue is no worse.
+/// With both kinds of prompts, the copy reserved for short prompts gets the short ones while its
+/// queue is no worse.
 #[test]
 fn copies_that_are_kept_apart_take_their_own_kind() {
     let running = spread(10, true);
     assert_eq!(running.iter().filter(|running| **running > 0).count(), 1);
 }
 
-/// An engine past its slots costs the time until one is free, as this host's answers show it.
+/// An engine with all slots taken costs the wait until one is free, which follows from the answers
+/// that this host has seen.
 #[test]
 fn the_wait_for_a_slot_follows_how_long_answers_keep_one() {
     let mut occupancy = Occupancy::default();
@@ -131,7 +135,8 @@
     assert!(choose(NOW + full_ms));
 }
 
-/// The pattern: a model comes into demand at many hosts at the same moment, and its copies have nothing to do yet.
+/// Guards against many hosts choosing the same engine when demand for a model starts on all of them
+/// at once and its copies are idle.
 #[test]
 fn hosts_that_see_equal_engines_do_not_all_choose_the_same() {
     let registry = engines(4);
@@ -155,8 +160,9 @@
     assert_eq!(chosen.len(), 4);
 }
 
-/// The pattern: all requests of a busy model share one beginning of 6,300 tokens. Where engines fetch it from each other, its
-/// home is worth no queue.
+/// Guards against a queue at the preferred engine when all requests of a busy model share one
+/// prefix of 6,300 tokens: where engines fetch it from each other, the preferred engine is not
+/// worth waiting for.
 #[test]
 fn a_beginning_that_can_be_fetched_does_not_draw_requests_to_its_home() {
     let registry = engines(4);
@@ -216,7 +222,8 @@
     assert_eq!(share(spec(0.0, 1_100_000.0), 6_300), None);
 }
 
-/// The pattern: a model gets another copy, which becomes the first for some beginnings that it has never read.
+/// Guards against fetching from a copy without the prefix: a new copy of a model becomes the
+/// preferred engine of some prefixes that it has never read.
 #[test]
 fn a_new_copy_fetches_beginnings_from_the_copy_that_had_them() {
     let registry = engines(4);
--- a/src/routing/upstreams.rs
+++ b/src/routing/upstreams.rs
@@ -1,44 +1,45 @@
-//! What this host knows of each upstream: its own requests there, reports, health, and leaving.
+//! State of each upstream as known to this host: requests in flight, reports, back-off and leaving.
 
 use crate::membership::message::UpstreamEntry;
 use crate::placement::message::EngineReport;
 use crate::prelude::*;
 use crate::routing::first_byte::{FirstByteTimes, GREATEST_BOUND_MS};
 
-/// How long an upstream is passed over after a failure.
+/// How long an upstream gets no requests after a failure.
 pub const FAILURE_REST_MS: Millis = Millis(500);
-/// How long an upstream is passed over that has too much to do.
+/// How long an upstream gets no requests after it refused one as busy.
 pub const BUSY_REST_MS: Millis = Millis(50);
-/// How often an engine is asked for its report.
+/// Interval at which engines are asked for their reports.
 pub const REPORT_INTERVAL_MS: Millis = Millis(500);
-/// Most engines asked for their report in one interval, however many there are.
+/// Maximum number of engines asked for their report in one interval, independent of the number of
+/// engines.
 pub const MAX_REPORT_ASKS: usize = 8;
 
-/// What is known of one upstream.
+/// State of one upstream.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct UpstreamView {
-    /// Requests of this host under way there.
+    /// Requests of this host in flight there.
     pub in_flight: u32,
-    /// Passed over until then.
+    /// End of the back-off: until then the upstream gets no requests.
     pub resting_until: Millis,
-    /// Whether anyone said that it is leaving.
+    /// Whether the upstream is known to be leaving, from itself or from another host.
     pub leaving: bool,
-    /// Times to the first byte of streams.
+    /// Times to the first byte of streamed answers.
     pub streams: FirstByteTimes,
-    /// Times to the first byte of answers that come whole.
+    /// Times to the first byte of answers that are not streamed.
     pub wholes: FirstByteTimes,
-    /// Its last report.
+    /// The latest report of the engine.
     pub report: Option<EngineReport>,
-    /// When the report was asked for.
+    /// When the latest report was requested.
     pub report_asked_at: Millis,
-    /// Whether a report call is under way.
+    /// Whether a report request is in flight.
     pub report_under_way: bool,
-    /// Whether the last report call got no answer.
+    /// Whether the latest report request got no answer.
     pub silent: bool,
 }
 
 impl UpstreamView {
-    /// Takes note of the time to an answer's first byte.
+    /// Records the time to the first byte of an answer.
     pub fn note_first_byte(&mut self, streamed: bool, took_ms: Millis) {
         match streamed {
             true => self.streams.note(took_ms),
@@ -47,7 +48,7 @@
     }
 }
 
-/// The upstreams by name.
+/// The state of all upstreams, by name.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Routing {
     next_reports_at: Millis,
@@ -55,13 +56,14 @@
 }
 
 impl Routing {
-    /// Returns what is known of an upstream.
+    /// Returns the state of an upstream, if any is recorded.
     pub fn get(&self, upstream: &str) -> Option<&UpstreamView> {
         self.views.get(upstream)
     }
 
-    /// Chooses the engines to ask for their reports now: a bounded number in each interval, at least half of
-    /// it for engines without requests of this host, and of each kind those asked longest ago.
+    /// Chooses the engines to ask for their reports now: at most [`MAX_REPORT_ASKS`] in each
+    /// interval, half of them reserved for engines without requests from this host. Within each
+    /// group, the engines asked longest ago come first.
     pub fn due_reports<'a>(
         &mut self,
         now: Millis,
@@ -91,12 +93,12 @@
         in_use.into_iter().map(|(_, engine)| engine).collect()
     }
 
-    /// Returns what is known of an upstream, for change.
+    /// Returns the state of an upstream for modification, and creates it if there is none.
     pub fn view(&mut self, upstream: &Name) -> &mut UpstreamView {
         self.views.entry(upstream.clone()).or_default()
     }
 
-    /// Returns how long an upstream may take to its first byte.
+    /// Returns the timeout for the first byte of an upstream's answer.
     pub fn first_byte_bound(&self, upstream: &str, streamed: bool) -> Millis {
         let Some(view) = self.get(upstream) else {
             return GREATEST_BOUND_MS;
@@ -107,12 +109,13 @@
         }
     }
 
-    /// Forgets upstreams that are gone.
+    /// Removes upstreams that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.views.retain(|name, _| exists(name));
     }
 
-    /// Chooses the least loaded candidate that is not leaving or resting and has a free slot.
+    /// Chooses the candidate with the fewest requests of this host among those that are usable and
+    /// have a free slot. Each candidate is an upstream with its number of slots.
     pub fn choose<'a>(
         &self,
         now: Millis,
@@ -124,7 +127,7 @@
             .map(|(name, _)| name)
     }
 
-    /// Tells whether an upstream may get new work.
+    /// Returns whether an upstream may get new requests: it is not leaving and not in back-off.
     pub fn is_usable(&self, now: Millis, upstream: &str) -> bool {
         self.get(upstream)
             .is_none_or(|view| !view.leaving && view.resting_until <= now)
