--- a/src/retry/broken_runs.rs
+++ b/src/retry/broken_runs.rs
@@ -1,15 +1,17 @@
-//! Requests whose connection to an upstream ended while it ran them, until it is known whether the upstream crashed.
+//! Requests whose connection to an upstream ended while it ran them, kept until it is known whether
+//! the upstream crashed.
 
 use crate::prelude::*;
 use crate::retry::RequestDigest;
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
-/// How long after its connection ended a request counts as under way at the crash that was found meanwhile.
+/// How long after its connection ended a request counts as running at a crash that is detected in
+/// the meantime.
 const KEEP_MS: Millis = Millis(5_000);
-/// Most requests that are kept: all that one host has under way at a few engines.
+/// Maximum number of requests kept: all that one host has in flight at a few engines.
 const MAX_RUNS: usize = 512;
-/// Most crashed upstreams that are kept.
+/// Maximum number of crashed upstreams kept.
 const MAX_CRASHED: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -19,7 +21,7 @@
     digest: RequestDigest,
 }
 
-/// The requests and the upstreams that one host lost a moment ago.
+/// Requests and crashed upstreams that one host lost within the last `KEEP_MS`.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenRuns {
     runs: VecDeque<BrokenRun>,
@@ -27,7 +29,8 @@
 }
 
 impl BrokenRuns {
-    /// Takes note that a request's connection ended. Returns whether its upstream is known to have crashed.
+    /// Records that a request's connection ended. Returns whether its upstream is known to have
+    /// crashed.
     pub fn note(&mut self, now: Millis, upstream: &Lifetime, digest: RequestDigest) -> bool {
         self.expire(now);
         if self.has_crashed(upstream) {
@@ -44,7 +47,7 @@
         false
     }
 
-    /// Takes note that an upstream crashed. Returns the requests that were under way there.
+    /// Records that an upstream crashed. Returns the requests that were running there.
     pub fn note_crashed(&mut self, now: Millis, upstream: &Lifetime) -> Vec<RequestDigest> {
         self.expire(now);
         let (here, others) = std::mem::take(&mut self.runs)
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,52 +1,57 @@
 //! One host's share of a service's retry budget.
 //!
-//! Answers the pattern of a thousand hosts with a few requests in a window each: a share is a fraction of one repeated send then,
-//! and shares that are rounded down leave most of the budget unused, in a site of twice the size all of it. So each process rounds its
-//! share at a point of its own.
+//! Handles sites of a thousand hosts with a few requests each in a window: there, one host's share
+//! is a fraction of one retry. If every host rounded its share down, most of the budget would stay
+//! unused, and all of it in a site of twice the size. Each process therefore adds a random offset
+//! of its own before it rounds its share down.
 
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// The part of its share that a host uses: members may be counted differently at two hosts for a second.
+/// Fraction of its share that a host uses: for a second, two hosts may count different numbers of
+/// members.
 const USED_PART: f64 = 0.8;
 
-/// The part of its share of the slack that a process uses in the first window after its start: what the one before it on its
-/// host left over. Several restarts of one host within a window may exceed its share by this part each.
+/// Fraction of its share of the slack that a process uses in the first window after its start: what
+/// the previous process of its host is sure to have left. Each further restart of a host within a
+/// window may exceed the host's share by this fraction.
 const STARTING_PART: f64 = 1.0 - USED_PART;
 
-/// How many standard deviations of the sum of rounded shares are kept free.
+/// Safety margin for the sum of the randomly rounded shares, in standard deviations.
 const DEVIATIONS: f64 = 5.0;
 
-/// The rule that holds over all hosts: in any window, repeated sends stay under `ratio` times the requests of
-/// that window plus `slack`.
+/// The rule that holds over all hosts together: in any window, there are at most `ratio` times as
+/// many retries as requests in that window, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetRule {
-    /// Repeated sends for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeated sends that are allowed besides.
+    /// Retries allowed in a window in addition.
     pub slack: f64,
-    /// The window's length.
+    /// Length of the window.
     pub window_ms: Millis,
 }
 
-/// Counts the requests and repeated sends of one service at one host.
+/// Counts the requests and retries of one service on one host.
 ///
-/// The sum over hosts keeps the rule without messages: a host's own requests count only for itself, and
-/// the slack is divided by the members known. A process that started less than a window ago uses a small part of its share:
-/// the one before it on its host may have used the rest, and in a restart of all hosts the slack would count twice.
+/// The hosts together keep the rule without exchanging messages: a host's requests earn retries for
+/// that host only, and the slack is divided by the number of known members. A process that started
+/// less than a window ago uses a small fraction of its share, because the previous process of its
+/// host may have used the rest. Otherwise a restart of all hosts would grant the slack twice.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     rule: BudgetRule,
     slack_from: Millis,
-    /// What is added to the share before it is rounded down, from 0 to below 1.
+    /// Added to the share before it is rounded down, in [0, 1).
     rounding: f64,
     requests: VecDeque<Millis>,
     repeats: VecDeque<Millis>,
 }
 
 impl RetryBudget {
-    /// Makes an unused budget of a process that started at a time. `rounding` is drawn from 0 to below 1 and stays, so that the
-    /// rounded shares of all hosts are as much as their shares together.
+    /// Creates the unused budget of a process that started at `started_at`. `rounding` is a random
+    /// number in [0, 1), drawn once, so that the rounded shares of all hosts add up to the sum of
+    /// their shares.
     pub fn new(rule: BudgetRule, started_at: Millis, rounding: f64) -> Self {
         Self {
             rule,
@@ -63,8 +68,8 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one repeated send; false when the share is used up. `members` is the number of hosts that use
-    /// the budget; 0 counts as 1.
+    /// Takes one retry from the budget; returns false when the share is used up. `members` is the
+    /// number of hosts that use the budget; 0 counts as 1.
     pub fn take(&mut self, now: Millis, members: usize) -> bool {
         self.forget_old(now);
         let share = self.rule.slack / members.max(1) as f64;
@@ -85,13 +90,14 @@
         is_allowed
     }
 
-    /// Tells whether shares are so small that they are rounded at random, and what the rounded ones may be more than the shares
-    /// together, by chance, is less than what is left unused.
+    /// Returns whether shares are rounded at random: they must be small, and the sum of the rounded
+    /// shares must exceed the sum of the shares by less than what is left unused, with a margin of
+    /// [`DEVIATIONS`].
     fn rounds(&self, members: usize) -> bool {
         let members = members.max(1) as f64;
         let slack = self.rule.slack;
         let is_small = slack * USED_PART < members;
-        // Each rounding deviates by half a send at most.
+        // The standard deviation of one rounding is at most half a retry.
         let deviation = 0.5 * members.sqrt();
         is_small && deviation * DEVIATIONS <= slack * (1.0 - USED_PART)
     }
--- a/src/retry/crash_ledger.rs
+++ b/src/retry/crash_ledger.rs
@@ -1,7 +1,9 @@
-//! Which requests crash the upstreams that run them, by all that is known of crashes and of the requests under way at them.
+//! Decides which requests crash the upstreams that run them, from all known crashes and the
+//! requests that were running at each.
 //!
-//! A crash says little of one request: engines run dozens at once, and they crash for reasons of their own. Evidence from
-//! any number of hosts is merged, in any order and any number of times, to the same state.
+//! One crash says little about one request: engines run dozens of requests at once, and they also
+//! crash for other reasons. Evidence from any number of hosts is merged; the result depends neither
+//! on the order nor on repetition.
 
 use crate::prelude::*;
 use crate::rendezvous;
@@ -10,28 +12,33 @@
 use crate::upstreams::Lifetime;
 use std::cmp::Reverse;
 
-/// How many crashes show the cause, where no other request was under way at any of them.
+/// Crashes after which a request is the cause if no other request was running at any of them.
 const ALONE_CRASHES: usize = 3;
-/// How many show it, where others were: a request that hosts send on once and its caller repeats once is at four at most.
+/// Crashes after which a request is the cause if others were running too. A harmless request that
+/// the host retries once and its caller repeats once is at four crashes at most.
 const SHARED_CRASHES: usize = 4;
-/// How many are enough, whatever else was under way at all of them.
+/// Crashes after which a request is the cause even if the same other requests were running at all
+/// of them.
 pub const CERTAIN_CRASHES: usize = 5;
-/// How many are kept: those that hosts see before they have told each other.
+/// Maximum number of crashes kept for a request: those that hosts see before they have exchanged
+/// evidence.
 const MAX_CRASHES: usize = 8;
-/// How long a request stays in the ledger after its last crash: time enough to replace the engines' software.
+/// How long a request stays in the ledger after its last crash: time enough to replace the engines'
+/// software.
 pub const KEEP_MS: Millis = Millis(3_600_000);
-/// Most requests in the ledger; at a crash of a data centre most of those under way are dropped.
+/// Maximum number of requests in the ledger. When a data centre is lost, most of the requests that
+/// were running there are left out.
 const MAX_REQUESTS: usize = 256;
-/// Most requests in one message.
+/// Maximum number of requests in one message.
 pub const MAX_TOLD: usize = 32;
 
-/// Names one start of an upstream, which crashes once at most.
+/// Identifies one start of an upstream, which can crash only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CrashId(u64);
 
 impl CrashId {
-    /// Names the crash of a start of an upstream.
+    /// Returns the id of the crash that ends this start of an upstream.
     pub fn of(upstream: &Lifetime) -> Self {
         Self(rendezvous::score(
             upstream.id.as_bytes(),
@@ -40,19 +47,21 @@
     }
 }
 
-/// What is known of one request.
+/// Evidence on one request.
 #[derive(Clone, Debug)]
 struct Suspect {
-    /// The crashes, and whether other requests were under way too; of more than [`MAX_CRASHES`] those of the lowest names, so
-    /// that the order in which hosts hear of them makes no difference.
+    /// The crashes at which the request was running, each with whether other requests were running
+    /// too. If there are more than [`MAX_CRASHES`], those with the lowest ids are kept, so that the
+    /// result does not depend on the order in which a host learns of them.
     crashes: IndexMap<CrashId, bool>,
-    /// Whether an upstream ran it to its end: then it was never the cause.
+    /// Whether an upstream has completed the request. Then it is not the cause of any crash.
     is_cleared: bool,
     last_crash_at: Millis,
 }
 
 impl Suspect {
-    /// Adds a crash, or that other requests were at it too. Returns whether that is new.
+    /// Adds a crash, or marks a known one as shared with other requests. Returns whether anything
+    /// changed.
     fn add(&mut self, crash: CrashId, is_shared: bool) -> bool {
         if let Some(known) = self.crashes.get_mut(&crash) {
             return !std::mem::replace(known, *known | is_shared) && is_shared;
@@ -70,7 +79,8 @@
         self.crashes.len() < MAX_CRASHES || highest.is_some_and(|highest| crash < highest)
     }
 
-    /// Tells whether other hosts need to know of it: they may have seen another of its crashes, or that it ended well.
+    /// Returns whether other hosts need evidence on this request: they may have seen other crashes
+    /// of it, or have seen it complete.
     fn is_told(&self) -> bool {
         self.crashes.len() > 1
     }
@@ -87,25 +97,26 @@
         !self.crashes.values().any(|is_shared| *is_shared)
     }
 
-    /// Tells whether it was there at all crashes of another one.
+    /// Returns whether this request was running at every crash of another one, so that it may be
+    /// the cause of these.
     fn explains(&self, other: &Self) -> bool {
         let mut crashes = other.crashes.keys();
         !self.is_cleared && crashes.all(|crash| self.crashes.contains_key(crash))
     }
 }
 
-/// The requests that were under way at crashes.
+/// The requests that were running at crashes.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     suspects: IndexMap<RequestDigest, Suspect>,
-    /// Those of which other hosts are told, the worst first.
+    /// Requests on which evidence is sent to other hosts, those with the most crashes first.
     told: Vec<RequestDigest>,
-    /// Combines what is told.
+    /// Checksum over the evidence on the requests in `told`.
     state: u64,
 }
 
 impl CrashLedger {
-    /// Takes evidence. Returns whether it changed anything.
+    /// Merges evidence into the ledger. Returns whether anything changed.
     pub fn take(&mut self, now: Millis, evidence: &Evidence) -> bool {
         if evidence.age_ms >= KEEP_MS || self.knows(evidence) {
             return false;
@@ -129,7 +140,8 @@
         is_changed
     }
 
-    /// Tells whether evidence has nothing new; most of what hosts tell each other has not.
+    /// Returns whether the ledger already contains this evidence, as it does with most of what
+    /// hosts send to each other.
     fn knows(&self, evidence: &Evidence) -> bool {
         let Some(suspect) = self.suspects.get(&evidence.digest) else {
             return false;
@@ -149,7 +161,8 @@
         })
     }
 
-    /// Takes note at the other requests of a crash that they were not alone. Returns whether there are any.
+    /// Marks a crash as shared for all other requests that were running at it. Returns whether
+    /// there are any.
     fn note_company(&mut self, digest: &RequestDigest, crash: CrashId) -> bool {
         let mut has_company = false;
         for (other, suspect) in &mut self.suspects {
@@ -163,7 +176,8 @@
         has_company
     }
 
-    /// Makes room for a request: cleared ones go first, then those of the fewest crashes, then the oldest.
+    /// Makes room for one request. Completed requests are removed first, then those with the fewest
+    /// crashes, then the oldest.
     fn make_room(&mut self) {
         if self.suspects.len() < MAX_REQUESTS {
             return;
@@ -181,7 +195,7 @@
         }
     }
 
-    /// Forgets requests of which the last crash is long ago.
+    /// Removes requests whose last crash is older than [`KEEP_MS`].
     pub fn expire(&mut self, now: Millis) {
         let count = self.suspects.len();
         self.suspects
@@ -191,16 +205,18 @@
         }
     }
 
-    /// Tells whether a request is known to have been under way at a crash.
+    /// Returns whether a request is known to have been running at a crash.
     pub fn contains(&self, digest: &RequestDigest) -> bool {
         self.suspects.contains_key(digest)
     }
 
-    /// Returns until when a request is not to be sent, because it crashes the upstreams that run it.
+    /// Returns until when a request must not be sent, because it crashes the upstreams that run it;
+    /// `None` for all other requests.
     ///
-    /// One that was always alone is the cause sooner than one among others, and it is not while another one was there at
-    /// all its crashes too: hosts send requests of one model from a crashed engine to the next one together, so the innocent
-    /// ones follow the cause.
+    /// Fewer crashes suffice for a request that was always alone. A request is not the cause while
+    /// another one was running at all its crashes too: after a crash, hosts resend an engine's
+    /// requests together to the next engine that has the model, so harmless requests accompany the
+    /// cause.
     pub fn quarantined_until(&self, digest: &RequestDigest) -> Option<Millis> {
         let suspect = self.suspects.get(digest)?;
         let count = suspect.crashes.len();
@@ -210,36 +226,40 @@
         (is_cause && !suspect.is_cleared).then_some(suspect.last_crash_at + KEEP_MS)
     }
 
-    /// Tells whether so many requests were under way at crashes that a host does not hear of all of them.
+    /// Returns whether so many requests were running at crashes that other hosts do not get
+    /// evidence on all of them.
     fn is_crowded(&self) -> bool {
         self.told.len() >= MAX_TOLD
     }
 
-    /// Tells whether another request explains all crashes of a suspect.
+    /// Returns whether another request may be the cause of all crashes of a suspect.
     fn has_rival(&self, digest: &RequestDigest, suspect: &Suspect) -> bool {
         let mut others = self.suspects.iter().filter(|(other, _)| *other != digest);
         others.any(|(_, rival)| rival.explains(suspect))
     }
 
-    /// Returns the state of what [`Self::told`] returns: equal at hosts that know the same.
+    /// Returns a checksum over what [`Self::told`] returns. It is equal on hosts with the same
+    /// evidence.
     pub fn state(&self) -> u64 {
         self.state
     }
 
-    /// Returns what other hosts are told: of the requests that were under way at more than one crash, the worst first.
+    /// Returns the evidence to send to other hosts: on at most [`MAX_TOLD`] requests that were
+    /// running at more than one crash, those with the most crashes first.
     pub fn told(&self, now: Millis) -> Vec<Evidence> {
         let told = self.told.iter();
         told.filter_map(|digest| self.evidence(now, digest))
             .collect()
     }
 
-    /// Returns what is known of one request.
+    /// Returns the evidence on one request.
     pub fn evidence(&self, now: Millis, digest: &RequestDigest) -> Option<Evidence> {
         let suspect = self.suspects.get(digest)?;
         Some(evidence(now, digest, suspect))
     }
 
-    /// Works out what is told. Its order does not depend on times, which differ between hosts.
+    /// Recomputes which evidence is sent to other hosts. The order does not depend on times, which
+    /// differ between hosts.
     fn update_told(&mut self) {
         let suspects = self.suspects.iter();
         let mut told: Vec<_> = suspects.filter(|(_, suspect)| suspect.is_told()).collect();
--- a/src/retry/digest.rs
+++ b/src/retry/digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one, whichever id each bears and whichever host reads it.
+//! Digest by which a repeated request is recognised on any host, whatever request id it has.
 
 use crate::prelude::*;
 use crate::rendezvous;
@@ -6,21 +6,23 @@
 use serde::de::Error;
 use std::fmt;
 
-/// The bytes of a digest: two requests of a site share one by chance less often than hardware fails.
+/// Length of a digest: the chance that two requests of a site collide is lower than that of a
+/// hardware fault.
 const DIGEST_BYTES: usize = 16;
 
-/// The digest of a request's sender, method, host, path and body.
+/// Digest of a request's organisation, method, host, path with query, and body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// Returns a number that depends on the digest and another number.
+    /// Returns a hash of the digest and `number`.
     pub fn combine(&self, number: u64) -> u64 {
         rendezvous::score(&self.0, number)
     }
 
-    /// Digests a request of an organisation, or of anybody where callers show no key: they repeat a request from any
-    /// address. `target` is its path with the query.
+    /// Computes the digest of a request. `organisation` is `None` where callers present no key; the
+    /// address of the caller does not count, because callers repeat a request from any address.
+    /// `target` is the path with the query.
     pub fn of(
         organisation: Option<&str>,
         method: &str,
@@ -42,7 +44,7 @@
     }
 }
 
-/// Adds a part with its length, so that no two lists of parts are alike.
+/// Adds a part preceded by its length, so that different lists of parts never yield the same input.
 fn add(context: &mut Context, part: &[u8]) {
     context.update(&(part.len() as u64).to_le_bytes());
     context.update(part);
@@ -61,7 +63,7 @@
 }
 
 impl Serialize for RequestDigest {
-    /// Writes hexadecimal text where people read it, else the bytes.
+    /// Writes hexadecimal digits in human-readable formats, else the bytes.
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match serializer.is_human_readable() {
             true => serializer.collect_str(self),
--- a/src/retry/message.rs
+++ b/src/retry/message.rs
@@ -1,45 +1,46 @@
-//! What hosts tell each other of requests under which upstreams crashed.
+//! Messages between hosts about requests that were running when upstreams crashed.
 
 use crate::prelude::*;
 use crate::retry::RequestDigest;
 use crate::retry::crash_ledger::CrashId;
 
-/// What is known of one request.
+/// Evidence on one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The crashes at which it was under way.
+    /// The crashes at which it was running.
     pub crashes: Vec<Crash>,
-    /// Whether an upstream ran it to its end.
+    /// Whether an upstream has completed it.
     pub is_cleared: bool,
-    /// How long ago the last crash was.
+    /// Time since its last crash.
     pub age_ms: Millis,
 }
 
-/// A crash, for one of the requests that were under way at it.
+/// A crash, as evidence on one of the requests that were running at it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// Which start of an upstream crashed.
     pub id: CrashId,
-    /// Whether other requests are known to have been under way too.
+    /// Whether other requests are known to have been running too.
     pub is_shared: bool,
 }
 
-/// What a host tells the one above it.
+/// Report of a host to its parent, which is a relay or the orderer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// What the host has not told yet.
+    /// Evidence that the host has not reported yet.
     pub evidence: Vec<Evidence>,
-    /// The state of its ledger.
+    /// Checksum over the evidence that the host has, from `CrashLedger::state`.
     pub known: u64,
 }
 
-/// What a host is answered.
+/// Answer of a parent to a [`CrashReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNews {
-    /// The requests that were under way at more than one crash; nothing where the asker's ledger is in the same state.
+    /// Evidence on requests that were running at more than one crash; empty if the child's checksum
+    /// equals the parent's.
     pub evidence: Vec<Evidence>,
-    /// The state of the ledger.
+    /// Checksum over the evidence that the parent has, from `CrashLedger::state`.
     pub known: u64,
 }
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,12 +1,14 @@
-//! Requests that are sent again: how many, by a budget that all hosts of a site share, and which ones not, because they
-//! crash the upstreams that run them.
+//! Retries of requests: a budget that all hosts of a site share limits their number, and requests
+//! that crash the upstreams that run them are quarantined, which means that they are no longer
+//! sent.
 //!
 //! - [`budget`]: one host's share of a service's retry budget.
-//! - [`digest`]: which requests are the same one.
-//! - [`broken_runs`]: requests whose connection to an upstream ended, until it is known whether the upstream crashed.
-//! - [`crash_ledger`]: the decision which requests are the cause of crashes.
-//! - [`quarantine`]: one host's part in it.
-//! - [`message`]: what hosts tell each other of it.
+//! - [`digest`]: how a repeated request is recognised.
+//! - [`broken_runs`]: requests whose connection to an upstream ended, until it is known whether the
+//!   upstream crashed.
+//! - [`crash_ledger`]: the decision which requests cause crashes.
+//! - [`quarantine`]: one host's state, and its exchange of evidence with other hosts.
+//! - [`message`]: the messages of that exchange.
 
 pub mod broken_runs;
 pub mod budget;
@@ -25,11 +27,11 @@
 
 use crate::prelude::*;
 
-/// What one host knows of requests that are sent again.
+/// Retry budgets and quarantine of one host.
 #[derive(Debug, Default)]
 pub struct Retries {
     /// The retry budget of each service.
     pub budgets: IndexMap<Name, RetryBudget>,
-    /// The requests that are not sent again.
+    /// The requests that must not be sent, because they crash upstreams.
     pub quarantine: Quarantine,
 }
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -1,4 +1,7 @@
-//! One host's part in finding the requests that crash upstreams, and what it tells the others of them.
+//! One host's evidence on requests that crash upstreams, and its exchange with other hosts.
+//!
+//! Hosts form a tree: each reports new evidence to its parent (a relay, or the orderer at the root)
+//! and gets merged evidence in the answer.
 
 use crate::prelude::*;
 use crate::retry::RequestDigest;
@@ -8,28 +11,29 @@
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
-/// Most requests of which a host remembers that they were answered whole: those of about a minute.
+/// Maximum number of completed requests that a host remembers: those of about a minute.
 const MAX_COMPLETED: usize = 1_024;
-/// How long a host waits before it tells again all that the one above it seems not to know.
+/// Minimum interval at which a host resends all its evidence while its parent's checksum differs.
 const RESEND_MS: Millis = Millis(5_000);
-/// Most requests that outlast all processes: what fits a record of the lease.
+/// Maximum number of requests whose evidence survives a restart of all processes: what fits in a
+/// lease record.
 const MAX_LASTING: usize = 6;
 
-/// What one host knows of requests that crash upstreams.
+/// One host's evidence on requests that crash upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
     broken: BrokenRuns,
     completed: VecDeque<RequestDigest>,
     unreported: IndexSet<RequestDigest>,
-    /// What the message on its way says.
+    /// The evidence in the report in flight.
     sent: Vec<Evidence>,
     resent_at: Option<Millis>,
 }
 
 impl Quarantine {
-    /// Takes note that the connection of a request to an upstream that ran it ended. Returns whether the upstream is known
-    /// to have crashed; else it is to be found out.
+    /// Records that a connection to an upstream ended while it ran a request. Returns whether the
+    /// upstream is known to have crashed; if not, the caller should find out.
     pub fn note_broken(&mut self, now: Millis, upstream: &Lifetime, digest: RequestDigest) -> bool {
         let has_crashed = self.broken.note(now, upstream, digest);
         if has_crashed {
@@ -38,7 +42,7 @@
         has_crashed
     }
 
-    /// Takes note that an upstream crashed. Returns the requests of this host that were under way there.
+    /// Records that an upstream crashed. Returns the requests of this host that were running there.
     pub fn note_crashed(&mut self, now: Millis, upstream: &Lifetime) -> Vec<RequestDigest> {
         let digests = self.broken.note_crashed(now, upstream);
         for digest in &digests {
@@ -61,7 +65,7 @@
         self.clear_if_completed(now, digest);
     }
 
-    /// Takes note that an upstream ran a request to its end.
+    /// Records that an upstream completed a request.
     pub fn note_completed(&mut self, now: Millis, digest: RequestDigest) {
         if self.completed.len() >= MAX_COMPLETED {
             self.completed.pop_front();
@@ -82,20 +86,22 @@
         }
     }
 
-    /// Takes evidence that the host above this one does not have.
+    /// Merges evidence, and reports it to the parent if it is new.
     fn take_own(&mut self, now: Millis, evidence: &Evidence) {
         if self.ledger.take(now, evidence) {
             self.unreported.insert(evidence.digest);
         }
     }
 
-    /// Returns for how long a request is not to be sent, because it crashes the upstreams that run it.
+    /// Returns for how long a request must not be sent, because it crashes the upstreams that run
+    /// it; `None` if it may be sent.
     pub fn quarantined_ms(&self, now: Millis, digest: &RequestDigest) -> Option<Millis> {
         let until = self.ledger.quarantined_until(digest)?;
         (now < until).then(|| until - now)
     }
 
-    /// Returns what is to be told to the host above this one. It stays until [`Self::settle`] says that it arrived.
+    /// Returns the report for the parent. Its evidence counts as unreported until [`Self::settle`]
+    /// is called.
     pub fn report(&mut self, now: Millis) -> CrashReport {
         self.ledger.expire(now);
         let ledger = &self.ledger;
@@ -110,7 +116,8 @@
         }
     }
 
-    /// Takes note that the last report arrived. What changed since it was sent is reported with the next one.
+    /// Records that the parent received the last report. Evidence that has changed since stays
+    /// unreported.
     pub fn settle(&mut self, now: Millis) {
         for sent in std::mem::take(&mut self.sent) {
             let present = self.ledger.evidence(now, &sent.digest);
@@ -123,7 +130,7 @@
         }
     }
 
-    /// Takes what a host below this one tells.
+    /// Merges the report of a child.
     pub fn take_report(&mut self, now: Millis, report: &CrashReport) {
         for evidence in report.evidence.iter().take(MAX_TOLD) {
             self.take_own(now, evidence);
@@ -131,7 +138,7 @@
         }
     }
 
-    /// Returns what a host below this one is to know.
+    /// Returns the answer to a child whose checksum is `known`.
     pub fn news(&self, now: Millis, known: u64) -> CrashNews {
         let state = self.ledger.state();
         CrashNews {
@@ -143,7 +150,8 @@
         }
     }
 
-    /// Takes what the host above this one answers.
+    /// Applies the parent's answer to the last report. If the checksums then differ, all evidence
+    /// is reported again, at most once in `RESEND_MS`.
     pub fn take_news(&mut self, now: Millis, news: &CrashNews) {
         self.settle(now);
         self.take_told(now, &news.evidence);
@@ -155,7 +163,8 @@
         }
     }
 
-    /// Takes evidence from the host above this one, or from the record that an orderer left.
+    /// Merges evidence from the parent, or from the lease record of an earlier orderer. It is not
+    /// reported back.
     pub fn take_told(&mut self, now: Millis, evidence: &[Evidence]) {
         for evidence in evidence.iter().take(MAX_TOLD) {
             self.ledger.take(now, evidence);
@@ -169,7 +178,8 @@
         }
     }
 
-    /// Returns what is to outlast all processes.
+    /// Returns the evidence to store in the lease record, so that it survives a restart of all
+    /// processes.
     pub fn lasting(&self, now: Millis) -> Vec<Evidence> {
         let mut lasting = self.ledger.told(now);
         lasting.retain(|evidence| !evidence.is_cleared);
--- a/src/retry/tests/budget.rs
+++ b/src/retry/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The rule over all hosts, whatever each of them sees.
+//! Tests that the hosts together keep the rule, whatever requests each of them gets.
 
 use crate::prelude::*;
 use crate::retry::{BudgetRule, RetryBudget};
@@ -21,7 +21,7 @@
         for _ in 0..u.int_in_range(0..=400u16)? {
             now += Millis(u.int_in_range(0..=200u64)?);
             let host = u.choose_index(hosts)?;
-            // Each host restarts once a window at most.
+            // Each host restarts at most once in a window.
             if u.ratio(1, 20)? && now.since(started_at[host]) > RULE.window_ms {
                 budgets[host] = RetryBudget::new(RULE, now, rounding);
                 started_at[host] = now;
@@ -56,7 +56,8 @@
     assert!(budget.take(Millis(20_002), 1));
 }
 
-/// Guards against shares below one repeated send that are rounded down to none.
+/// Guards against an unused budget when each host's share is below one retry and is rounded down to
+/// 0.
 #[test]
 fn hosts_of_a_large_site_use_most_of_the_budget_and_no_more() {
     let rule = BudgetRule {
--- a/src/retry/tests/crash_ledger.rs
+++ b/src/retry/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests are held to be the cause of crashes.
+//! Tests of the decision which requests cause crashes.
 
 use super::{digest, engine};
 use crate::prelude::*;
@@ -63,7 +63,7 @@
     assert!(!is_quarantined(&ledger, "a"));
 }
 
-/// Requests that ran beside the cause at each engine were refused with it.
+/// Guards against refusing requests that were running beside the cause on each engine.
 #[test]
 fn a_request_that_follows_the_cause_from_engine_to_engine_is_innocent() {
     let cause = crash("cause", &[1, 2, 3, 4, 5]);
--- a/src/retry/tests/digest.rs
+++ b/src/retry/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same one.
+//! Tests of which requests have the same digest.
 
 use crate::retry::RequestDigest;
 
--- a/src/retry/tests/mod.rs
+++ b/src/retry/tests/mod.rs
@@ -9,7 +9,7 @@
 use crate::retry::RequestDigest;
 use crate::upstreams::Lifetime;
 
-/// Returns the digest of a request with a body.
+/// Returns the digest of a request with this body; all else is equal.
 fn digest(body: &str) -> RequestDigest {
     RequestDigest::of(Some("o"), "POST", "h", "/p", body.as_bytes())
 }
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -1,4 +1,5 @@
-//! A site of hosts before engines of one model: a request that crashes engines, others beside it, and faults.
+//! Model of a site: hosts send requests to engines of one model, one request crashes its engine
+//! each time, and hosts are killed, frozen and disconnected.
 
 use super::digest;
 use crate::prelude::*;
@@ -6,30 +7,31 @@
 use crate::retry::{Quarantine, RequestDigest};
 use crate::upstreams::Lifetime;
 
-/// How long a step is.
+/// Length of a simulated step.
 const STEP_MS: Millis = Millis(25);
-/// How often a host speaks with the one above it; at once when it has something new.
+/// Interval of a host's exchanges with its parent. New evidence is sent in the next step.
 const SYNC_MS: u64 = 250;
-/// How often an orderer writes what is to last.
+/// Interval at which the orderer stores evidence that must survive a restart of all hosts.
 const RENEW_MS: u64 = 800;
-/// How long a host that was cut off or restarted is not held to the bound.
+/// How long after a disturbance (restart, freeze, lost connection) a host's sends are not counted
+/// as late, and after the third crash those of all hosts.
 pub const CONTACT_MS: Millis = Millis(3_000);
-/// How long an engine runs a request that crashes it, at most.
+/// The longest time that an engine runs the cause before it crashes.
 const CRASH_MS: u64 = 150;
-/// How long an engine that crashed is away.
+/// How long an engine is unavailable after a crash.
 const AWAY_MS: Millis = Millis(2_000);
-/// Engines that hold the model; each has a few requests under way.
+/// Engines that hold the model; each has a few requests running.
 const ENGINES: usize = 5;
-/// Most engines on which one innocent request runs, the repeats of its caller included.
+/// Maximum number of engines that run one harmless request, including its caller's repeats.
 const ATTEMPTS: u32 = 4;
 
 pub const START: Millis = Millis(10_000_000);
 
 struct ModelHost {
     quarantine: Quarantine,
-    /// Hosts with different numbers here do not hear each other.
+    /// Partition of the network; hosts in different partitions cannot reach each other.
     side: usize,
-    /// When it was last killed, frozen or cut off.
+    /// When the host was last killed or disconnected, or its connection was last restored.
     disturbed_at: Option<Millis>,
     frozen_until: Millis,
     phase_ms: u64,
@@ -54,7 +56,7 @@
 pub struct Model {
     pub now: Millis,
     pub orderer: Option<usize>,
-    /// Sends of the cause by hosts in contact, later than the bound allows.
+    /// Sends of the cause by undisturbed hosts more than [`CONTACT_MS`] after its third crash.
     pub late_sends: usize,
     pub cause_crashes: usize,
     pub innocents_refused: usize,
@@ -72,7 +74,7 @@
 }
 
 impl Model {
-    /// Makes a site of so many hosts, of which the first ones relay.
+    /// Creates a site of `hosts` hosts, of which the first `relays` are relays.
     pub fn new(hosts: usize, relays: usize, seed: u64) -> Self {
         let host = |n: usize| ModelHost {
             quarantine: Quarantine::default(),
@@ -114,7 +116,8 @@
         }
     }
 
-    /// Plays some milliseconds, with the cause among the requests or without it.
+    /// Simulates `ms` milliseconds, with the crashing request among the requests if `with_cause` is
+    /// set.
     pub fn run(&mut self, ms: u64, with_cause: bool) {
         let until = self.now + Millis(ms);
         while self.now < until {
@@ -126,13 +129,13 @@
         }
     }
 
-    /// Cuts a host off from the others.
+    /// Disconnects a host from all others.
     pub fn cut(&mut self, host: usize) {
         self.hosts[host].side = host + 1;
         self.hosts[host].disturbed_at = Some(self.now);
     }
 
-    /// Lets all hosts hear each other again.
+    /// Restores all connections between hosts.
     pub fn heal(&mut self) {
         for host in &mut self.hosts {
             if host.side != 0 {
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Kills a host, which starts again.
+    /// Kills a host, which restarts at once.
     pub fn kill(&mut self, host: usize) {
         self.hosts[host].quarantine = Quarantine::default();
         self.hosts[host].disturbed_at = Some(self.now);
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Kills all hosts; what lasts is read as they start again.
+    /// Kills all hosts; each reads the stored evidence when it restarts.
     pub fn kill_all(&mut self) {
         for host in 0..self.hosts.len() {
             self.kill(host);
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Lets a host stand still.
+    /// Freezes a host for `ms` milliseconds.
     pub fn freeze(&mut self, host: usize, ms: u64) {
         self.hosts[host].frozen_until = self.now + Millis(ms);
         if self.orderer == Some(host) {
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Crashes an engine for a reason of its own.
+    /// Crashes an engine, whatever requests it runs.
     pub fn crash_engine(&mut self, engine: usize) {
         let crashed = &mut self.engines[engine];
         if self.now < crashed.away_until {
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Sends a request on from an engine that crashed, mostly by the same host.
+    /// Resends a request from a crashed engine, in most cases from the same host.
     fn send_on(&mut self, run: Run) {
         if run.attempts >= ATTEMPTS {
             return;
@@ -257,7 +260,8 @@
         }
     }
 
-    /// Returns the host that a host speaks with: its relay, the orderer, or the first of the others while nobody orders.
+    /// Returns the parent of a host: its relay, the orderer, or, while there is no orderer, the
+    /// first reachable of the other hosts.
     fn above(&self, n: usize) -> Option<usize> {
         let hears = |above: &usize| {
             self.hosts[n].side == self.hosts[*above].side && !self.is_frozen(*above)
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What one host finds out, tells and takes.
+//! Tests of what one host detects, reports and merges.
 
 use super::{digest, engine};
 use crate::prelude::*;
@@ -6,7 +6,7 @@
 
 const NOW: Millis = Millis(10_000_000);
 
-/// Lets a request be under way at engines when each of them crashes.
+/// Crashes each of these engines while the request with this body runs there.
 fn crash(host: &mut Quarantine, body: &str, engines: std::ops::Range<usize>) {
     for n in engines {
         assert!(!host.note_broken(NOW, &engine(n), digest(body)));
@@ -108,7 +108,8 @@
     assert!(orderer.news(NOW, report.known).evidence.is_empty());
 }
 
-/// A lookup that callers repeat all day runs at several services when a data centre is lost.
+/// Guards against quarantining a harmless lookup that callers repeat all day, so that it is running
+/// at several services when a data centre is lost.
 #[test]
 fn a_request_that_other_hosts_answered_before_is_innocent() {
     let mut host = Quarantine::default();
@@ -138,7 +139,8 @@
     assert!(next.quarantined_ms(NOW, &lasting[0].digest).is_some());
 }
 
-/// Bounds the bytes of the messages at a crash of a data centre: what a relay passes on for dozens of hosts.
+/// Guards against large messages when a data centre is lost: a relay passes on evidence for dozens
+/// of hosts.
 #[test]
 fn messages_of_a_crowd_at_many_crashes_stay_small() {
     let mut host = Quarantine::default();
--- a/src/retry/tests/site.rs
+++ b/src/retry/tests/site.rs
@@ -1,16 +1,18 @@
-//! Sites in which a request crashes engine after engine while hosts are killed, frozen, cut off, or nobody orders.
+//! Tests on simulated sites in which one request crashes engine after engine while hosts are
+//! killed, frozen or disconnected, or while there is no orderer.
 //!
-//! Answers the pattern of one request that callers repeat at any host, among others that run on the same engines and are
-//! sent on together when one of these is lost.
+//! The request is repeated by its callers at any host. Other requests run on the same engines and
+//! are resent together with it after a crash.
 
 use super::model::Model;
 
-/// How often the cause may be sent late by hosts in contact.
+/// Maximum number of late sends of the cause by undisturbed hosts.
 const MOST_LATE_SENDS: usize = 3;
-/// Hosts and relays of a small site and of a large one, and how many seeds are played.
+/// Hosts, relays and number of seeds, for a small site and a large one.
 const SITES: [(usize, usize, u64); 2] = [(9, 0, 30), (68, 8, 6)];
 
-/// Plays both sites for each seed, and checks that the cause is held back and nothing else.
+/// Simulates both sites for each seed, and checks that the cause is refused in time and that no
+/// other request is.
 fn check(play: impl Fn(&mut Model)) {
     check_seeds(|seeds| seeds, play);
 }
@@ -33,7 +35,7 @@
     assert!(model.innocents_served > 100, "{place}");
 }
 
-/// Repeats of one request went on to crash engines for as long as they came.
+/// Guards against repeats of one request that crash engines for as long as callers send them.
 #[test]
 fn a_request_that_crashes_engines_is_held_back_at_every_host() {
     check(|model| {
@@ -48,7 +50,7 @@
 
 #[test]
 fn engines_that_crash_for_other_reasons_make_no_request_a_suspect() {
-    // Hundreds of requests are under way at the crashes of one run.
+    // Hundreds of requests are running at the crashes of one simulation.
     check_seeds(
         |seeds| seeds / 5,
         |model| {
