--- a/src/rate_limit/levels.rs
+++ b/src/rate_limit/levels.rs
@@ -1,48 +1,49 @@
-//! The levels of buckets, as hosts pass them on.
+//! Levels of token buckets, as hosts send them to each other.
 
 use crate::prelude::*;
 use crate::rate_limit::limiter::Scope;
 use crate::rate_limit::token_bucket::Refill;
 
-/// A bucket that holds more than this part of its burst is left out: most use stays far below its limit.
+/// Buckets above this fraction of their burst are left out of messages: most use stays far below
+/// its limit.
 const FULL_PART: f64 = 0.75;
 
-/// One bucket.
+/// Level of one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Level {
-    /// What is left; negative when too much was used.
+    /// Tokens or requests left; negative when more was used than allowed.
     pub left: f64,
-    /// What is used a second.
+    /// Recent use per second.
     pub used_per_s: f64,
 }
 
-/// The levels for a host that reports its use.
+/// Levels that a parent sends to a child that reports its use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitsNews {
-    /// How long ago this was so.
+    /// Age of the levels.
     pub age_ms: Millis,
-    /// For which hosts the buckets are.
+    /// Which hosts the buckets cover.
     pub scope: Scope,
-    /// Which part of the limits those hosts have.
+    /// The fraction of each limit that these hosts have.
     pub share: f64,
     /// The buckets that are not nearly full.
     pub levels: Vec<(Name, Level)>,
 }
 
-/// The levels that another host sent last.
+/// The latest levels received from another host.
 #[derive(Clone, Debug)]
 pub struct KnownLevels {
-    /// When it was so.
+    /// When the levels were current.
     pub as_of: Millis,
-    /// For which hosts the buckets are.
+    /// Which hosts the buckets cover.
     pub scope: Scope,
-    /// Which part of the limits those hosts have.
+    /// The fraction of each limit that these hosts have.
     pub share: f64,
     levels: IndexMap<Name, Level>,
 }
 
 impl KnownLevels {
-    /// Takes news.
+    /// Stores levels received from another host.
     pub fn new(now: Millis, news: LimitsNews) -> Self {
         Self {
             as_of: now - news.age_ms,
@@ -52,8 +53,9 @@
         }
     }
 
-    /// Returns what was left of a bucket, less what all hosts use by now beyond what it gains. What it gains more than they
-    /// use is not counted before a newer message has it.
+    /// Returns what is left of a bucket now: what was left then, less the expected use since in
+    /// excess of the refill. Refill in excess of the use is not counted until newer levels include
+    /// it.
     pub fn left(&self, now: Millis, name: &str, refill: Refill) -> f64 {
         let Some(level) = self.levels.get(name) else {
             return refill.burst * FULL_PART;
@@ -62,18 +64,18 @@
         level.left - (level.used_per_s - refill.per_s).max(0.0) * age_s
     }
 
-    /// Returns the level of a name, unless it was left out.
+    /// Returns the level of a bucket, or `None` if it was left out of the message.
     pub fn level(&self, name: &str) -> Option<Level> {
         self.levels.get(name).copied()
     }
 
-    /// Returns the names whose level was not left out.
+    /// Returns the names of the buckets in the message.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.levels.keys()
     }
 }
 
-/// Tells whether other hosts need the level of a bucket.
+/// Returns whether a bucket is low enough to be included in messages.
 pub fn is_needed(left: f64, refill: Refill) -> bool {
     left < refill.burst * FULL_PART
 }
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -1,5 +1,5 @@
-//! Whether a request is within the limit that an organisation or an upstream has, as one host knows it. Either is told
-//! apart by its name alone.
+//! Decides on one host whether a request is within the limit of an organisation or of an upstream.
+//! Limits are identified by the name of either.
 
 use crate::desired::{LimitTable, RateLimit};
 use crate::prelude::*;
@@ -7,73 +7,76 @@
 use crate::rate_limit::token_bucket::{Refill, SLOTS, TokenBucket, slot_of};
 use crate::rate_limit::usage::{Unreported, Usage};
 
-/// The part of a limit's burst that hosts give out: what they learn of each other's use too late, they give out besides.
+/// Fraction of a limit's burst that the hosts use. The rest covers what they admit before they
+/// learn of each other's use.
 const BURST_PART: f64 = 0.7;
-/// The part of the tolerance of the site's limits that serves as burst: where a limit's own burst is smaller than one
-/// request, it lets one through after a pause.
+/// Fraction of the site's tolerance that is added to the burst. A limit whose own burst is smaller
+/// than one request can then still admit one after a pause.
 const TOLERANCE_PART: f64 = 0.4;
-/// How old the levels known from another host may be: some intervals at which hosts report.
+/// Maximum age of levels from another host: a few reporting intervals.
 const STALE_MS: Millis = Millis(1_200);
-/// How old they may be where little is left: such use is reported at once.
+/// Maximum age of such levels where little is left: use is then reported at once.
 const SCARCE_STALE_MS: Millis = Millis(400);
-/// How recent they must be where little is left, if another host has newer ones.
+/// Where little is left, a decision waits for newer levels if those known are at least this old.
 const RECENT_MS: Millis = Millis(60);
-/// How long a process that starts, or a new orderer, takes the hosts that it has not heard yet for present.
+/// How long after its start, or after it became the orderer, a host assumes that the hosts that it
+/// expects are present although it has not heard from them yet.
 const GATHER_MS: Millis = Millis(600);
-/// How long after a restart of all hosts they hear each other again.
+/// How long after a restart of all hosts it takes until they exchange levels again.
 const SETTLED_MS: Millis = Millis(1_200);
-/// The shortest time after which a refused caller comes back.
+/// The shortest time after which a refused caller may retry.
 const LEAST_RETRY_MS: Millis = Millis(100);
-/// The longest such time.
+/// The longest time after which a refused caller may retry.
 const MOST_RETRY_MS: Millis = Millis(10_000);
 
-/// For which hosts buckets are.
+/// Which hosts a bucket covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// For all hosts of the site.
+    /// All hosts of the site.
     Site,
-    /// For one host, or those that speak through it.
+    /// One host, with the hosts that report through it.
     Group,
 }
 
-/// Which hosts a host's buckets are for, as it knows the site now.
+/// Which hosts this host's buckets cover at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Whether this host adds up the use of the whole site.
+    /// `Site` on the orderer, which counts the use of the whole site; `Group` on all other hosts.
     pub scope: Scope,
-    /// How many hosts are heard of late, this one included.
+    /// Number of hosts that reported recently, including this one.
     pub heard: usize,
-    /// How many hosts are to speak with this one or through one that does, this one included.
+    /// Number of hosts that should report to this one, directly or through another, including this
+    /// one.
     pub expected: usize,
-    /// How many hosts of the site may admit requests; nothing where this one may not.
+    /// Number of hosts of the site that may admit requests; `None` if this host may not.
     pub members: Option<usize>,
 }
 
-/// Why a request is refused, and when it may come back.
+/// A refusal, and when the request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// When there is room again.
+    /// Time until there should be room again.
     pub retry_after_ms: Millis,
-    /// For which hosts it was decided.
+    /// Which hosts the deciding bucket covers.
     pub scope: Scope,
 }
 
-/// What was decided of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// Whether it is admitted.
+    /// Whether the request is admitted.
     pub admitted: Result<(), Refused>,
-    /// Whether little is left, so that use is to be reported at once.
+    /// Whether little is left of the limit, so that use should be reported at once.
     pub is_scarce: bool,
 }
 
-/// What is left of a limit at some hosts.
+/// What is left of a limit for the hosts in `scope`.
 struct Balance {
     left: f64,
     refill: Refill,
     scope: Scope,
-    /// Whether this host counted it, not another one.
+    /// Whether the level comes from this host's own bucket, not from another host.
     is_own: bool,
 }
 
@@ -83,22 +86,23 @@
     }
 }
 
-/// The buckets of all limits of one kind at one host.
+/// One host's buckets for all limits of one kind (organisations or upstreams).
 #[derive(Clone, Debug)]
 pub struct Limiter {
     tolerance: f64,
     place: Place,
     placed_at: Millis,
-    /// Of the hosts of this host's place.
+    /// Buckets for the hosts that this host covers.
     buckets: IndexMap<Name, TokenBucket>,
-    /// Nothing at the host that adds up for the site.
+    /// Use to report to the parent; empty on the orderer.
     unreported: Unreported,
-    /// From another host; none at the host that adds up for the site.
+    /// Latest levels from another host; none on the orderer.
     known: Option<KnownLevels>,
 }
 
 impl Limiter {
-    /// Makes the buckets of a host that starts. `tolerance` is what the site allows beyond a limit in its window.
+    /// Creates the limiter of a process that starts. `tolerance` is the use beyond a limit that the
+    /// site's settings permit in a window, in the unit of the limit.
     pub fn new(started_at: Millis, tolerance: f64) -> Self {
         Self {
             tolerance,
@@ -115,7 +119,8 @@
         }
     }
 
-    /// Takes note of this host's place. A new orderer goes on from the levels that it knows.
+    /// Updates which hosts this one covers. A host that becomes the orderer continues from the
+    /// levels that it knows.
     pub fn set_place(&mut self, now: Millis, place: Place, limits: &LimitTable) {
         if place.scope != self.place.scope {
             self.change_scope(now, place, limits);
@@ -136,7 +141,7 @@
         self.take_usage(now, &unreported, limits);
     }
 
-    /// Begins the buckets of a new orderer with the last levels of the one before.
+    /// Creates the buckets of a new orderer from the last levels of the previous one.
     fn begin_site_buckets(&mut self, now: Millis, limits: &LimitTable) {
         let is_kept = |known: &KnownLevels| {
             known.scope == Scope::Site && slot_of(now) < slot_of(known.as_of) + SLOTS
@@ -152,7 +157,8 @@
         }
     }
 
-    /// Admits a request, or says when to come back. `point` is even between 0 and 1.
+    /// Admits and counts a request of this cost, or returns when to retry. `point` is a uniform
+    /// random number between 0 and 1.
     ///
     /// # Errors
     ///
@@ -168,10 +174,12 @@
         let balance = self.balance(now, name, limit);
         let cost = cost as f64;
         let is_admitted = match balance.scope {
-            // The last request may use more than is left, and the next ones wait for that: were there to be room for a
-            // whole request, small ones would leave none for large ones.
+            // The last request may use more than is left; later ones wait until that is refilled.
+            // If a request had to fit into what is left, small requests would leave no room for
+            // large ones.
             Scope::Site => balance.left > 0.0,
-            // The part of a few hosts holds less than a request; each has the chance that their part of one gives.
+            // The share of a few hosts often holds less than one request, so a request is admitted
+            // with a probability of what is left divided by its cost.
             Scope::Group => point * cost < balance.left,
         };
         if is_admitted {
@@ -179,17 +187,18 @@
             return Ok(());
         }
         if balance.is_own && balance.scope == Scope::Group && balance.left > 0.0 {
-            // A chance that was not met is used up, so that on average no more is admitted than the bucket gains.
+            // What is left is also used up by a refusal, so that on average no more is admitted
+            // than the bucket is refilled.
             let refill = balance.refill;
             self.bucket(name, refill)
                 .add(now, 0, balance.left as i64, refill);
         }
         let wait_ms = match balance.scope {
             Scope::Site => -balance.left * 1_000.0 / balance.refill.per_s,
-            // Another host may know more than this one, unless all have just started.
+            // The parent may know that there is room, except shortly after a restart of all hosts.
             Scope::Group => (self.placed_at + SETTLED_MS).since(now).0 as f64,
         };
-        // Callers that are refused together come back one after the other.
+        // Spreads the retries of callers that are refused at the same time.
         let wait_ms = (wait_ms * (1.0 + point)).min(MOST_RETRY_MS.0 as f64);
         Err(Refused {
             retry_after_ms: LEAST_RETRY_MS.max(Millis(wait_ms as u64)),
@@ -197,7 +206,8 @@
         })
     }
 
-    /// Decides a request. `point` is even between 0 and 1.
+    /// Decides on a request, as [`Self::admit`] does, and returns whether little is left. `point`
+    /// is a uniform random number between 0 and 1.
     pub fn decide(
         &mut self,
         now: Millis,
@@ -212,24 +222,24 @@
         }
     }
 
-    /// Counts one more run of a request that was admitted.
+    /// Counts one more run of a request that has been admitted.
     pub fn note_run(&mut self, now: Millis, name: &Name, limit: &RateLimit, cost: u64) {
         self.note_use(now, name, limit, cost as i64);
     }
 
-    /// Gives back what a request used that did not run.
+    /// Returns the cost of a request that did not run.
     pub fn give_back(&mut self, now: Millis, name: &Name, limit: &RateLimit, cost: u64) {
         self.note_use(now, name, limit, -(cost as i64));
     }
 
-    /// Tells whether little is left, so that use is to be reported at once.
+    /// Returns whether less than half of the burst is left, so that use should be reported at once.
     pub fn is_scarce(&self, now: Millis, name: &Name, limit: &RateLimit) -> bool {
         let balance = self.balance(now, name, limit);
         balance.is_scarce()
     }
 
-    /// Tells whether a decision does well to wait for newer levels: little is left by those known, and another host has
-    /// newer ones.
+    /// Returns whether a decision should wait for newer levels: by those known little is left, and
+    /// they are not recent.
     pub fn wants_newer_levels(&self, now: Millis, name: &Name, limit: &RateLimit) -> bool {
         self.fresh_levels(now).is_some_and(|known| {
             let is_old = now.since(known.as_of) >= RECENT_MS;
@@ -241,7 +251,7 @@
         self.count(now, name, Some(limit), 0, amount);
     }
 
-    /// Takes the use that another host reports.
+    /// Counts the use that another host reports.
     pub fn take_usage(&mut self, now: Millis, usage: &[Usage], limits: &LimitTable) {
         for Usage { name, slots } in usage {
             let limit = limits.get(name);
@@ -252,7 +262,8 @@
         }
     }
 
-    /// Counts use of some slots ago, by a limit where this host knows one.
+    /// Counts use in a time slot some slots ago. Without a known limit it is only passed on to the
+    /// parent.
     fn count(
         &mut self,
         now: Millis,
@@ -271,12 +282,12 @@
         }
     }
 
-    /// Returns the use to report: that of this host and of those that report to it.
+    /// Returns the use to report to the parent: that of this host and of its children.
     pub fn report(&mut self, now: Millis) -> Vec<Usage> {
         self.unreported.report(now)
     }
 
-    /// Takes the answer to a report that was sent at a time.
+    /// Applies the answer to a report that was sent at `asked_at`.
     pub fn take_reply(&mut self, asked_at: Millis, news: Option<LimitsNews>) {
         self.settle();
         if let Some(news) = news {
@@ -284,12 +295,12 @@
         }
     }
 
-    /// Takes note that the last report was heard.
+    /// Records that the parent received the last report.
     pub fn settle(&mut self) {
         self.unreported.settle();
     }
 
-    /// Takes levels from the orderer or a relay.
+    /// Stores levels from the orderer or a relay.
     pub fn take_news(&mut self, now: Millis, news: LimitsNews) {
         if self.place.scope == Scope::Group {
             self.known = Some(KnownLevels::new(now, news));
@@ -324,7 +335,8 @@
         }
     }
 
-    /// Returns levels of more hosts than this one hears, less the use that is not in them yet.
+    /// Returns another host's levels for more hosts than this one covers, less the use that they do
+    /// not include yet.
     fn pass_on(&self, now: Millis, known: &KnownLevels, limits: &LimitTable) -> LimitsNews {
         let level = |name: &Name| {
             let limit = limits.get(name)?;
@@ -347,12 +359,13 @@
         }
     }
 
-    /// Forgets the buckets of those that have no limit any more.
+    /// Removes the buckets of names that no longer have a limit.
     pub fn keep_known(&mut self, limits: &LimitTable) {
         self.buckets.retain(|name, _| limits.get(name).is_some());
     }
 
-    /// Returns the bucket by which a request is decided.
+    /// Returns what is left of a limit, from another host's levels if they are fresh enough, else
+    /// from this host's own bucket.
     fn balance(&self, now: Millis, name: &Name, limit: &RateLimit) -> Balance {
         if let Some(known) = self.fresh_levels(now) {
             let balance = self.reported_balance(now, known, name, limit);
@@ -396,13 +409,15 @@
             .filter(|known| now.since(known.as_of) < STALE_MS)
     }
 
-    /// Returns the levels known of more hosts than those that report to this one.
+    /// Returns another host's levels if they are fresh and cover more hosts than report to this
+    /// one.
     fn wider_levels(&self, now: Millis) -> Option<&KnownLevels> {
         let known = self.fresh_levels(now)?;
         (known.scope == Scope::Site || known.share > self.share(now)).then_some(known)
     }
 
-    /// Returns the part of the limits that the hosts of this host's place have. What is silent has the rest.
+    /// Returns the fraction of each limit that the hosts covered by this one have. Hosts that are
+    /// not heard have the rest.
     fn share(&self, now: Millis) -> f64 {
         let Some(members) = self.place.members else {
             return 0.0;
@@ -421,9 +436,10 @@
         }
     }
 
-    /// Returns the bucket of a limit of which nothing was used since this host has its place. A new orderer begins with
-    /// empty ones, since relays gave out what was in theirs. A process that starts begins with full ones: where it
-    /// restarts, nothing was given out while it was down.
+    /// Returns the bucket of a limit that has not been used since this host's scope changed or its
+    /// process started. A new orderer begins with empty buckets, because relays have admitted what
+    /// was in theirs. A new process begins with full ones, because it admitted nothing while it was
+    /// down.
     fn unused(&self, refill: Refill) -> TokenBucket {
         let level = match self.place.scope {
             Scope::Site => 0.0,
--- a/src/rate_limit/mod.rs
+++ b/src/rate_limit/mod.rs
@@ -1,15 +1,17 @@
-//! Rate limits of organisations and of upstreams, over all hosts together.
+//! Rate limits of organisations and of upstreams, enforced over all hosts together.
 //!
-//! Every host admits requests by itself, from what it knows of the use of the whole site, and reports its use with the
-//! messages that go to the orderer anyway. So a request waits for no other host, none is needed to admit one, and what
-//! the hosts do not know of each other yet stays within the time between two messages. A host that hears nothing
-//! admits by its share of the limit, so that the sum over all hosts holds whatever is cut off from what.
+//! Every host decides by itself whether to admit a request, from what it knows of the use of the
+//! whole site, and reports its use in the messages that it sends to the orderer anyway. So no
+//! request waits for another host, and no other host has to be reachable to admit one. The use that
+//! hosts do not know of each other yet is bounded by the time between two messages. A host without
+//! recent messages admits its share of the limit, so that the sum over all hosts stays within the
+//! limit under any network partition.
 //!
-//! - [`token_bucket`]: the bucket of one limit, with use that is reported late.
-//! - [`usage`]: use that is not reported yet.
-//! - [`levels`]: the levels of buckets, as hosts pass them on.
-//! - [`limiter`]: the decision at one host.
-//! - [`upstream_limits`]: the limits that upstreams name in their answers.
+//! - [`token_bucket`]: the bucket of one limit, which accepts use that is reported late.
+//! - [`usage`]: use that has not been reported yet.
+//! - [`levels`]: bucket levels in messages between hosts.
+//! - [`limiter`]: the decision on one host.
+//! - [`upstream_limits`]: the limits that upstreams state in their answers.
 
 pub mod levels;
 pub mod limiter;
@@ -25,11 +27,11 @@
 pub use upstream_limits::{StatedLimit, UpstreamLimits, UpstreamLimitsNews, UpstreamLimitsReport};
 pub use usage::Usage;
 
-/// The limits that one host keeps together with the others.
+/// One host's part of the limits that all hosts enforce together.
 #[derive(Debug)]
 pub struct SharedLimits {
-    /// Of organisations.
+    /// Limits of organisations.
     pub organisations: Limiter,
-    /// Of upstreams.
+    /// Limits of upstreams.
     pub upstreams: UpstreamLimits,
 }
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! One host's decisions: what it admits alone, as the orderer, and by the levels that it knows.
+//! Tests of the decisions of one host: alone, as the orderer, and with levels from other hosts.
 
 use super::model::{START, TOLERANCE};
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
@@ -45,7 +45,7 @@
     for ms in (2_000..22_000).step_by(10) {
         all += admitted(&mut limiter, START + Millis(ms), 1);
     }
-    // Five a second for twenty seconds, and what the bucket held.
+    // Five a second for twenty seconds, plus the initial level of the bucket.
     assert!((90..=105).contains(&all), "{all}");
 }
 
--- a/src/rate_limit/tests/mod.rs
+++ b/src/rate_limit/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Tests of buckets with late use, of one host's decisions, and of whole sites with hot organisations, cuts and kills.
+//! Tests of token buckets with late use, of the decisions of one host, and of simulated sites under
+//! overload, network partitions and restarts.
 
 mod limiter;
 mod model;
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -1,4 +1,5 @@
-//! A site of limiters: hosts that speak through relays with an orderer, cuts between them, kills, and callers.
+//! Model of a site: hosts with limiters exchange use and levels through relays with the orderer,
+//! connections are cut, processes are killed, and callers send requests.
 
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
 use crate::prelude::*;
@@ -7,20 +8,21 @@
 use std::collections::VecDeque;
 use std::ops::RangeInclusive;
 
-/// How many hosts relay in a large site: the first ones.
+/// Number of relays in a large site; the first hosts are relays.
 const RELAYS: usize = 8;
-/// How long a step is.
+/// Length of a simulated step.
 const STEP_MS: Millis = Millis(25);
-/// How often a host speaks with the one above it.
+/// Interval of a host's exchanges with its parent.
 const SYNC_MS: u64 = 250;
-/// How long a silent host counts as heard.
+/// How long after its last message a host counts as present.
 const HEARD_MS: Millis = Millis(1_500);
-/// The window in which use is bounded, and what may be used beyond the limit in it.
+/// The window over which use is bounded, and the factor and amount by which use may exceed the
+/// limit in it.
 const WINDOW_MS: Millis = Millis(8_000);
 const OVER: f64 = 1.1;
 pub const TOLERANCE: f64 = 72_000.0;
 
-/// The same for the limit that an upstream names.
+/// The window for limits that upstreams state.
 const UPSTREAM_WINDOW_MS: Millis = Millis(4_000);
 
 pub const START: Millis = Millis(10_000_000);
@@ -28,23 +30,23 @@
 struct ModelHost {
     limiter: Limiter,
     relay: usize,
-    /// When each host that speaks with this one was heard last.
+    /// For each child, when it last sent a message and how many hosts report through it.
     heard: IndexMap<usize, (Millis, usize)>,
-    /// Hosts with different numbers here do not hear each other.
+    /// Partition of the network; hosts in different partitions cannot reach each other.
     side: u32,
     phase_ms: u64,
-    /// Whether it has use to report at once.
+    /// Whether the host has use to report at once.
     is_urgent: bool,
 }
 
-/// A site with one organisation of interest.
+/// A site with requests that count against one limit.
 pub struct Model {
     pub now: Millis,
     pub orderer: Option<usize>,
     pub admitted: f64,
     pub requests: u32,
     pub refused: u32,
-    /// Those of the larger half.
+    /// Requests that cost more than the mean, and how many of them were admitted.
     pub large_requests: u32,
     pub large_admitted: u32,
     hosts: Vec<ModelHost>,
@@ -52,7 +54,7 @@
     table: LimitTable,
     uses: VecDeque<(Millis, f64)>,
     used_in_window: f64,
-    /// The most that was used in a window.
+    /// The highest use in any window.
     most_used: f64,
     random: fastrand::Rng,
     next_at_ms: f64,
@@ -68,8 +70,8 @@
 }
 
 impl Model {
-    /// Makes a site of 68 hosts, eight of which relay, that has run for long, for an organisation whose requests have 1,000 to
-    /// 18,000 tokens.
+    /// Creates a site of 68 hosts, eight of them relays, that has run for some time, with an
+    /// organisation whose requests have 1,000 to 18,000 tokens.
     pub fn new(per_s: f64, seed: u64) -> Self {
         let limit = RateLimit {
             unit: LimitUnit::Tokens { uncounted: 200 },
@@ -85,7 +87,7 @@
         model
     }
 
-    /// Makes a site before an upstream that takes so many requests a second.
+    /// Creates a site with an upstream that states a limit of `per_s` requests per second.
     pub fn of_upstream(hosts: usize, per_s: f64, seed: u64) -> Self {
         let mut limits = UpstreamLimits::new(START);
         limits.note_answer(START, &name(), Some(per_s));
@@ -131,39 +133,40 @@
         }
     }
 
-    /// Checks that no window went over its bound.
+    /// Checks that use in no window exceeded the bound.
     pub fn check(&self, place: &str) {
         let (most, bound) = (self.most_used, self.bound);
         assert!(most <= bound, "{place}: {most} of {bound}");
     }
 
-    /// Returns what the limit allows a second.
+    /// Returns the limit per second.
     pub fn limit_per_s(&self) -> f64 {
         self.limit.per_s
     }
 
-    /// Cuts every so many-th host off from all others, those that are cut off from each other too.
+    /// Disconnects each host whose number is a multiple of `each` from all others.
     pub fn cut(&mut self, each: usize) {
         for (n, host) in self.hosts.iter_mut().enumerate() {
             host.side = if n % each == 0 { n as u32 + 1 } else { 0 };
         }
     }
 
-    /// Splits the site: every so many-th host hears only the others of these.
+    /// Splits the site into two partitions: the hosts whose number is a multiple of `each`, and the
+    /// rest.
     pub fn split(&mut self, each: usize) {
         for (n, host) in self.hosts.iter_mut().enumerate() {
             host.side = u32::from(n % each == 0);
         }
     }
 
-    /// Lets all hosts hear each other again.
+    /// Restores all connections between hosts.
     pub fn heal(&mut self) {
         for host in &mut self.hosts {
             host.side = 0;
         }
     }
 
-    /// Kills every process; nobody orders until [`Self::orderer`] is set.
+    /// Restarts every process; there is no orderer until [`Self::orderer`] is set.
     pub fn kill_all(&mut self) {
         let now = self.now;
         for host in &mut self.hosts {
@@ -173,7 +176,7 @@
         self.orderer = None;
     }
 
-    /// Plays some milliseconds in which callers ask so many times the limit.
+    /// Simulates `ms` milliseconds in which callers request `times` times the limit.
     pub fn run(&mut self, ms: u64, times: f64) {
         let until = self.now + Millis(ms);
         self.next_at_ms = self.now.0 as f64;
@@ -189,7 +192,7 @@
             let host = &model.hosts[n];
             host.is_urgent || (model.now.0 + host.phase_ms) % SYNC_MS < STEP_MS.0
         };
-        // A relay speaks after its hosts, so that urgent use goes up within a step.
+        // Children go before relays, so that urgent use reaches the orderer within one step.
         for n in (0..self.hosts.len()).rev() {
             if !due(self, n) {
                 continue;
@@ -243,7 +246,7 @@
             .set_place(self.now, place, &self.table);
     }
 
-    /// Lets callers ask at random hosts.
+    /// Sends requests of callers to random hosts.
     fn call(&mut self, times: f64) {
         if times <= 0.0 {
             return;
@@ -274,7 +277,8 @@
         }
     }
 
-    /// Lets a host whose request waits for newer levels speak with its relay, and that with the orderer.
+    /// Exchanges messages first between the relay and the orderer, then between the host and the
+    /// relay, if the host's request waits for newer levels.
     fn wait_for_newer_levels(&mut self, n: usize) {
         let wants = self.hosts[n]
             .limiter
@@ -288,8 +292,9 @@
         self.exchange(n, relay);
     }
 
-    /// Returns the host that a host speaks with: its relay, the next one where that is cut off, or the orderer; a relay that
-    /// hears no orderer speaks with the first relay that it hears.
+    /// Returns the parent of a host: its relay, the next relay if that is unreachable, else the
+    /// orderer. The parent of a relay is the orderer or, if that is unreachable, the first
+    /// reachable relay.
     fn above(&self, n: usize) -> Option<usize> {
         let hears = |above: &usize| self.hosts[n].side == self.hosts[*above].side;
         if self.orderer == Some(n) {
--- a/src/rate_limit/tests/site.rs
+++ b/src/rate_limit/tests/site.rs
@@ -1,20 +1,21 @@
-//! Sites in which an organisation asks far more than it may, while hosts are cut off, killed, or nobody orders.
+//! Tests on simulated sites in which an organisation requests far more than its limit while hosts
+//! are disconnected or restarted, or while there is no orderer.
 //!
-//! Answers the pattern of a limit that is a few requests a second over dozens of hosts: no host's share of it holds a
-//! single request, and what one host admits the others hear a moment later.
+//! The limit is a few requests a second over dozens of hosts: no host's share holds a whole
+//! request, and the other hosts learn late what one host has admitted.
 
 use super::model::Model;
 
-/// A limit of two long prompts a second over all hosts, and one of fifty.
+/// A limit of two long prompts a second over all hosts, and one of fifty, in tokens per second.
 const SMALL: f64 = 18_000.0;
 const LARGE: f64 = 450_000.0;
-/// Usual use is this part of the limit.
+/// Normal demand, as a fraction of the limit.
 const USUAL: f64 = 0.55;
-/// What a hot organisation asks, in limits.
+/// Demand of an overloading organisation, as a multiple of the limit.
 const HOT: f64 = 4.2;
 const SEEDS: std::ops::Range<u64> = 0..20;
 
-/// Plays a site for each size of limit and seed, and checks that no window exceeds its bound.
+/// Simulates a site for each limit and seed, and checks that no window exceeds its bound.
 fn check(play: impl Fn(&mut Model)) -> Vec<Model> {
     let mut models = Vec::new();
     for per_s in [SMALL, LARGE] {
--- a/src/rate_limit/tests/token_bucket.rs
+++ b/src/rate_limit/tests/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A bucket gives the same level whenever its use is reported.
+//! Tests that a bucket's level does not depend on when its use is reported.
 
 use crate::prelude::*;
 use crate::rate_limit::token_bucket::{Refill, SLOT_MS, SLOTS, TokenBucket};
@@ -32,7 +32,7 @@
         late.add(at(11), 11 - slot, 200, REFILL);
     }
     assert_eq!(in_time.level(at(11), REFILL), late.level(at(11), REFILL));
-    // Without the slots the use of three seconds at once would leave a debt of 1,900.
+    // Without slots, three seconds of use counted at once would leave a level of -1,900.
     assert!(late.level(at(11), REFILL) > 0.0);
 }
 
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -1,19 +1,20 @@
-//! Upstreams that name how many requests a second they take: what one host knows, and sites that ask for far more while
-//! hosts are cut off, killed, or nobody orders.
+//! Tests of upstreams that state a limit on requests per second, on one host and on simulated sites
+//! that get far more requests while hosts are disconnected or restarted, or while there is no
+//! orderer.
 //!
-//! Answers the pattern of an upstream in need that takes one request a second from dozens of hosts, each of which has
-//! several for it.
+//! The upstream is overloaded and takes as little as one request per second from dozens of hosts,
+//! each of which has several requests for it.
 
 use super::model::{Model, START};
 use crate::prelude::*;
 use crate::rate_limit::limiter::{Place, Scope};
 use crate::rate_limit::{StatedLimit, UpstreamLimits};
 
-/// Hosts of a small site and of a large one, and how many seeds are played.
+/// Hosts and number of seeds, for a small site and a large one.
 const SITES: [(usize, u64); 2] = [(9, 20), (68, 6)];
-/// Requests a second that the upstream takes.
+/// Requests per second that the upstream takes.
 const LIMITS: [f64; 3] = [1.0, 3.0, 20.0];
-/// How many requests come for each that it takes.
+/// Demand as a multiple of the limit.
 const HOT: f64 = 8.0;
 
 fn check(play: impl Fn(&mut Model)) -> Vec<Model> {
@@ -124,7 +125,7 @@
     let upstream: Name = "u".into();
     assert!(limits.note_answer(START, &upstream, Some(1.0)));
     assert!(admitted(&mut limits, START, 100) < 5);
-    // An answer that was under way when the limit was named.
+    // This answer was in flight when the limit was stated.
     assert!(!limits.note_answer(START + Millis(100), &upstream, None));
     assert!(limits.note_answer(START + Millis(2_000), &upstream, None));
     assert_eq!(admitted(&mut limits, START + Millis(2_000), 100), 100);
@@ -171,7 +172,7 @@
     assert!(limits.report(START).stated.len() <= 128);
 }
 
-/// Bounds the bytes of the messages where very many upstreams are in need.
+/// Guards against large messages when very many upstreams state limits.
 #[test]
 fn messages_of_many_limits_stay_small() {
     let mut limits = alone();
--- a/src/rate_limit/token_bucket.rs
+++ b/src/rate_limit/token_bucket.rs
@@ -1,21 +1,22 @@
-//! The bucket of one limit: how much is left when use is known late and by slots of time.
+//! Token bucket of one limit that accepts use reported late, by time slot.
 
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// The length of a slot. Use within a slot counts at its end.
+/// Length of a time slot. Use within a slot is counted at the end of the slot.
 pub const SLOT_MS: Millis = Millis(250);
-/// How many slots of use are kept: eight seconds, longer than a host that lost its orderer keeps use to itself.
+/// Number of slots kept: eight seconds, longer than a host that has lost the orderer keeps its use
+/// unreported.
 pub const SLOTS: u64 = 32;
-/// The slots over which the present use is averaged: a second.
+/// Number of slots over which recent use is averaged: one second.
 const RATE_SLOTS: usize = 4;
 
-/// How a bucket refills.
+/// Refill rate and capacity of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refill {
-    /// What it gains a second.
+    /// Refill per second.
     pub per_s: f64,
-    /// The most that it holds.
+    /// Capacity.
     pub burst: f64,
 }
 
@@ -25,24 +26,24 @@
     }
 }
 
-/// Returns the number of the slot of a point in time.
+/// Returns the number of the time slot that contains `now`.
 pub fn slot_of(now: Millis) -> u64 {
     now.0 / SLOT_MS.0
 }
 
-/// What is left of a bucket, from the use in the last slots. Use that is reported late counts in the slot in which it was,
-/// so what the bucket would have gained meanwhile is not lost.
+/// Level of a bucket, computed from the use in the latest slots. Use that is reported late counts
+/// in the slot in which it occurred, so the refill since then is not lost.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// What was left at the beginning of the first slot kept.
+    /// Level at the start of the first slot kept.
     level: f64,
     first_slot: u64,
-    /// Use by slot; negative where more was given back.
+    /// Use in each slot kept, oldest first; negative where more was returned than used.
     used: VecDeque<i64>,
 }
 
 impl TokenBucket {
-    /// Makes a bucket that holds so much now.
+    /// Creates a bucket with this level at `now`.
     pub fn new(now: Millis, level: f64) -> Self {
         Self {
             level,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Returns what is left; negative when too much was used.
+    /// Returns what is left; negative when more was used than allowed.
     pub fn level(&self, now: Millis, refill: Refill) -> f64 {
         let mut level = self.level.min(refill.burst);
         for (slot, used) in (self.first_slot..).zip(&self.used) {
@@ -62,7 +63,8 @@
         refill.after(level, now.since(known_until).0)
     }
 
-    /// Counts use of some slots ago. What was used before the first slot kept is in the level that the bucket began with.
+    /// Counts use in the slot `slots_ago` slots before the current one. Use before the first slot
+    /// kept is ignored: the initial level accounts for it.
     pub fn add(&mut self, now: Millis, slots_ago: u64, amount: i64, refill: Refill) {
         self.advance(now, refill);
         let slot = slot_of(now).saturating_sub(slots_ago);
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Returns the use a second, of late.
+    /// Returns the recent use per second.
     pub fn used_per_s(&self, now: Millis) -> f64 {
         let since = slot_of(now).saturating_sub(RATE_SLOTS as u64);
         let recent = (self.first_slot..).zip(&self.used);
@@ -82,7 +84,7 @@
         sum.max(0) as f64 * 1_000.0 / span_ms as f64
     }
 
-    /// Moves on to the slot of a point in time, and takes what lies further back than is kept into the level.
+    /// Appends slots up to the current one, and merges those beyond [`SLOTS`] into the level.
     fn advance(&mut self, now: Millis, refill: Refill) {
         let slot = slot_of(now);
         let end = self.first_slot + self.used.len() as u64;
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -1,48 +1,52 @@
-//! Limits of requests a second that upstreams name in their answers, kept by all hosts together.
+//! Limits on requests per second that upstreams state in their answers, enforced by all hosts
+//! together.
 //!
-//! Only the host that gets an answer reads the limit in it, so hosts tell each other what was named, beside the use. The
-//! newest statement holds. What is left is counted as it is for organisations.
+//! Only the host that gets an answer reads the limit in it, so hosts send the stated limits to each
+//! other along with the use. The newest statement applies. What is left is counted in the same way
+//! as for organisations.
 
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
 use crate::prelude::*;
 use crate::rate_limit::limiter::{Limiter, Place};
 use crate::rate_limit::{Decision, LimitsNews, Usage};
 
-/// Requests that an upstream gets besides after a pause: few, since it is in need.
+/// Burst of such a limit, in requests: small, because an upstream that states a limit is
+/// overloaded.
 const BURST: f64 = 2.0;
-/// How long a limit holds after it was last named: an upstream that gets little says little.
+/// How long a limit applies after it was last stated. An upstream with few requests sends few
+/// answers that could state it again.
 const KEEP_MS: Millis = Millis(60_000);
-/// How long after a limit was named an answer without one may still be an older one.
+/// How long after a limit was stated an answer without one may still be older than the statement.
 const OLD_ANSWER_MS: Millis = Millis(500);
-/// Most upstreams with a limit, in memory and in a message.
+/// Maximum number of upstreams with a limit, in memory and in a message.
 const MAX_STATED: usize = 128;
 
-/// A limit that an upstream named, or that it names none any more.
+/// A limit that an upstream stated, or that it no longer states one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatedLimit {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: Name,
-    /// The requests a second.
+    /// Requests per second; `None` if the upstream no longer states a limit.
     pub per_s: Option<f64>,
-    /// How long ago that was.
+    /// Time since the statement.
     pub age_ms: Millis,
 }
 
-/// What a host tells the one above it.
+/// Report of a host to its parent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamLimitsReport {
-    /// What upstreams named.
+    /// Statements of upstreams.
     pub stated: Vec<StatedLimit>,
-    /// Requests that upstreams with a limit got, as far as they were not reported.
+    /// Requests sent to upstreams with a limit that have not been reported yet.
     pub usage: Vec<Usage>,
 }
 
-/// What a host is answered.
+/// Answer of a parent to an [`UpstreamLimitsReport`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamLimitsNews {
-    /// What upstreams named.
+    /// Statements of upstreams.
     pub stated: Vec<StatedLimit>,
-    /// What is left.
+    /// What is left of the limits.
     pub levels: Option<LimitsNews>,
 }
 
@@ -52,17 +56,17 @@
     at: Millis,
 }
 
-/// The limits of upstreams as one host knows them.
+/// The limits of upstreams as known to one host.
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
     stated: IndexMap<Name, Stated>,
-    /// Of those that name one.
+    /// The upstreams that state a limit at present.
     limits: LimitTable,
     limiter: Limiter,
 }
 
 impl UpstreamLimits {
-    /// Makes the limits of a host that starts.
+    /// Creates the state of a process that starts.
     pub fn new(started_at: Millis) -> Self {
         Self {
             stated: IndexMap::new(),
@@ -71,12 +75,13 @@
         }
     }
 
-    /// Takes note of this host's place.
+    /// Updates which hosts this one covers.
     pub fn set_place(&mut self, now: Millis, place: Place) {
         self.limiter.set_place(now, place, &self.limits);
     }
 
-    /// Takes note of what an answer names. Returns whether it is another limit than before.
+    /// Records the limit that an answer states, or that it states none. Returns whether the limit
+    /// changed.
     pub fn note_answer(&mut self, now: Millis, upstream: &Name, per_s: Option<f64>) -> bool {
         let known = self.stated.get(upstream);
         let is_old = known.is_some_and(|known| now.since(known.at) < OLD_ANSWER_MS);
@@ -86,7 +91,7 @@
         self.state(upstream, Stated { per_s, at: now })
     }
 
-    /// Takes what other hosts were told. Returns the upstreams of which the limit is another one now.
+    /// Merges statements from other hosts. Returns those that changed a limit.
     pub fn take_stated(&mut self, now: Millis, told: &[StatedLimit]) -> Vec<StatedLimit> {
         let mut changed = Vec::new();
         for limit in told.iter().take(MAX_STATED) {
@@ -133,7 +138,7 @@
         self.limiter.keep_known(&self.limits);
     }
 
-    /// Returns what upstreams named, for another host.
+    /// Returns the statements, for a message to another host.
     pub fn stated(&self, now: Millis) -> Vec<StatedLimit> {
         let stated = self.stated.iter();
         stated
@@ -145,24 +150,25 @@
             .collect()
     }
 
-    /// Returns the limit that an upstream names.
+    /// Returns the limit of an upstream, if it states one.
     pub fn limit(&self, upstream: &str) -> Option<RateLimit> {
         self.limits.get(upstream)
     }
 
-    /// Decides a request to an upstream; nothing where that names no limit. `point` is even between 0 and 1.
+    /// Decides on a request to an upstream; `None` if the upstream states no limit. `point` is a
+    /// uniform random number between 0 and 1.
     pub fn decide(&mut self, now: Millis, upstream: &Name, point: f64) -> Option<Decision> {
         let limit = self.limit(upstream)?;
         Some(self.limiter.decide(now, upstream, &limit, 1, point))
     }
 
-    /// Tells whether a decision does well to wait for newer levels.
+    /// Returns whether a decision should wait for newer levels.
     pub fn wants_newer_levels(&self, now: Millis, upstream: &Name) -> bool {
         let limit = self.limit(upstream);
         limit.is_some_and(|limit| self.limiter.wants_newer_levels(now, upstream, &limit))
     }
 
-    /// Returns what is to be told to the host above this one.
+    /// Returns the report for the parent.
     pub fn report(&mut self, now: Millis) -> UpstreamLimitsReport {
         self.expire(now);
         UpstreamLimitsReport {
@@ -171,12 +177,12 @@
         }
     }
 
-    /// Takes the use that a host below this one reports.
+    /// Counts the use that a child reports.
     pub fn take_usage(&mut self, now: Millis, usage: &[Usage]) {
         self.limiter.take_usage(now, usage, &self.limits);
     }
 
-    /// Returns what a host below this one is to know.
+    /// Returns the answer to a child's report.
     pub fn news(&self, now: Millis) -> UpstreamLimitsNews {
         UpstreamLimitsNews {
             stated: self.stated(now),
@@ -184,7 +190,7 @@
         }
     }
 
-    /// Takes the answer to a report that was sent at a time.
+    /// Applies the levels in the answer to a report that was sent at `asked_at`.
     pub fn take_reply(&mut self, asked_at: Millis, levels: Option<LimitsNews>) {
         self.limiter.take_reply(asked_at, levels);
     }
--- a/src/rate_limit/usage.rs
+++ b/src/rate_limit/usage.rs
@@ -1,30 +1,30 @@
-//! Use that is not reported yet to the host which adds it up.
+//! Use that has not been reported yet to the host that sums it up.
 
 use crate::prelude::*;
 use crate::rate_limit::token_bucket::{SLOTS, slot_of};
 
-/// Most names of which a host keeps unreported use: far above the largest site planned for.
+/// Maximum number of names with unreported use on a host, far above the largest site planned for.
 const MAX_NAMES: usize = 4_096;
 
 /// Use of one limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The organisation or the upstream that has the limit.
+    /// The organisation or upstream that has the limit.
     pub name: Name,
-    /// How many slots ago, and how much; negative where more was given back.
+    /// Use by slot, each with the number of slots ago; negative where more was returned than used.
     pub slots: Vec<(u8, i64)>,
 }
 
-/// Use by name and slot, until it is reported.
+/// Unreported use by name and slot.
 #[derive(Clone, Debug, Default)]
 pub struct Unreported {
     by_name: IndexMap<Name, IndexMap<u64, i64>>,
-    /// What the message on its way says.
+    /// The report in flight, and the slot in which it was sent.
     sent: Option<(u64, Vec<Usage>)>,
 }
 
 impl Unreported {
-    /// Counts use of some slots ago.
+    /// Counts use in the slot `slots_ago` slots before the current one.
     pub fn add(&mut self, now: Millis, name: &Name, slots_ago: u64, amount: i64) {
         let is_known = self.by_name.contains_key(name);
         if !is_known && self.by_name.len() >= MAX_NAMES {
@@ -35,7 +35,7 @@
         *slots.entry(slot).or_default() += amount;
     }
 
-    /// Returns the sum of a name.
+    /// Returns the unreported use of a name.
     pub fn sum(&self, name: &str) -> i64 {
         let slots = self.by_name.get(name);
         slots.map_or(0, |slots| slots.values().sum())
@@ -46,8 +46,9 @@
         self.by_name.keys()
     }
 
-    /// Returns what is to be reported. It stays until [`Self::settle`] says that it arrived: what may have been lost is reported
-    /// again, so that use counts twice rather than not at all.
+    /// Returns the report for the parent. Its use counts as unreported until [`Self::settle`] is
+    /// called, so a report that may have been lost is repeated: use may count twice, but is never
+    /// missed.
     pub fn report(&mut self, now: Millis) -> Vec<Usage> {
         let present = slot_of(now);
         let oldest = present.saturating_sub(SLOTS - 1);
@@ -67,7 +68,7 @@
         report
     }
 
-    /// Takes note that the last report was heard.
+    /// Records that the parent received the last report.
     pub fn settle(&mut self) {
         let Some((present, report)) = self.sent.take() else {
             return;
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Forgets all.
+    /// Discards all unreported use.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
