--- a/src/admission/limits.rs
+++ b/src/admission/limits.rs
@@ -1,11 +1,11 @@
-//! The rows' limits on requests at once, as far as this host enforces them.
+//! Limits on the concurrent requests of a table row, enforced by each host for itself.
 
 use crate::prelude::*;
 use crate::table::message::{Row, RowKey};
 
 const RETRY_MS: Millis = Millis(1_000);
 
-/// What each row uses at this host.
+/// Running requests of each row on this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Limits {
     #[serde(skip)]
@@ -13,7 +13,7 @@
 }
 
 impl Limits {
-    /// Admits a request of a row, or says when to come back.
+    /// Admits a request of a row, or returns when to retry.
     ///
     /// # Errors
     ///
@@ -30,7 +30,7 @@
         Ok(())
     }
 
-    /// Takes the end of an admitted request.
+    /// Releases the place of an admitted request that has ended.
     pub fn end(&mut self, key: &RowKey) {
         if let Some(running) = self.running.get_mut(key) {
             *running = running.saturating_sub(1);
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes next, and which are refused at once.
+//! Queues, rate limits and concurrency limits of requests before they are sent to an upstream.
 
 pub mod limits;
 pub mod pace;
--- a/src/admission/pace.rs
+++ b/src/admission/pace.rs
@@ -1,23 +1,24 @@
-//! How fast requests leave a queue, to predict how long the ones behind will wait.
+//! Rate at which requests leave a queue, used to predict the wait of the requests behind them.
 
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// How many starts are remembered.
+/// Number of latest starts that are kept.
 pub const MAX_STARTS: usize = 64;
-/// How many starts a prediction needs.
+/// Minimum number of starts for a prediction.
 pub const LEAST_STARTS: usize = 16;
-/// How old the last start may be for a prediction.
+/// Maximum age of the latest start for a prediction.
 pub const MAX_AGE_MS: Millis = Millis(2_000);
 
-/// The latest starts from a queue that never ran empty meanwhile.
+/// The latest starts of requests from a queue since it was last empty. A request starts when it
+/// leaves the queue.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Pace {
     starts: VecDeque<Millis>,
 }
 
 impl Pace {
-    /// Takes note of a start.
+    /// Records a start.
     pub fn note_start(&mut self, now: Millis) {
         self.starts.push_back(now);
         if self.starts.len() > MAX_STARTS {
@@ -25,12 +26,13 @@
         }
     }
 
-    /// Begins anew, since the queue ran empty.
+    /// Discards all starts, because the queue is empty.
     pub fn reset(&mut self) {
         self.starts.clear();
     }
 
-    /// Returns the mean time between starts, or nothing while too little is known.
+    /// Returns the mean time between starts, or `None` when there are fewer than [`LEAST_STARTS`]
+    /// or the latest is older than [`MAX_AGE_MS`].
     pub fn interval_ms(&self, now: Millis) -> Option<Millis> {
         let (first, last) = (self.starts.front()?, self.starts.back()?);
         let known = self.starts.len() >= LEAST_STARTS && now.since(*last) <= MAX_AGE_MS;
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,49 +1,50 @@
-//! The waiting requests of each model or service, and the order in which they go.
+//! Queues of requests that wait for a model or service, and the order in which they are served.
 //!
-//! The most urgent class goes first; waiting moves a request up one class at a time, so that no class
-//! starves. Within a class the brands share by weight: start-time fair queueing, where each request
-//! starts when its brand's former one would have finished at the brand's share.
+//! The most urgent class is served first. Waiting moves a request up one class at a time, so that
+//! no class starves. Within a class, brands share by weight through start-time fair queueing: the
+//! virtual start time of a request is the virtual finish time of its brand's previous request.
 
 use crate::admission::pace::Pace;
 use crate::attempt::message::RequestId;
 use crate::prelude::*;
 use crate::table::message::Urgency;
 
-/// Most requests waiting for one model or service at one host.
+/// Maximum number of requests that wait for one model or service on one host.
 pub const MAX_WAITING: usize = 2_000;
-/// Most requests of one brand among them.
+/// Maximum number of requests of one brand in one queue.
 pub const MAX_WAITING_OF_BRAND: usize = 500;
 /// How long a request waits before it counts as one class more urgent.
 pub const AGEING_MS: Millis = Millis(10_000);
 
-/// What one request of a brand with weight 1 takes of its brand's share.
+/// Virtual time that one request of a brand with weight 1 takes.
 const REQUEST_COST: u64 = 1 << 20;
 
-/// A waiting request.
+/// A request in a queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Waiting {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The brand whose row it counts against.
+    /// Brand whose table row the request counts against.
     pub brand: Name,
-    /// The row's weight.
+    /// Weight of that row.
     pub weight: u32,
-    /// Its urgency.
+    /// Urgency class of the request.
     pub urgency: Urgency,
-    /// Since when it waits.
+    /// When the request was queued.
     pub since: Millis,
-    /// When it must be answered.
+    /// When the request must be answered.
     pub deadline_at: Millis,
-    /// Whether it went before and came back, so that its share is paid.
+    /// Whether the request was taken from the queue before and returned to it. It then is not
+    /// charged to its brand again.
     pub came_back: bool,
 }
 
-/// A waiting request that cannot be served by its deadline.
+/// A queued request that cannot be served before its deadline at the present rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hopeless {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// How long it would wait.
+    /// Predicted wait.
     pub wait_ms: Millis,
 }
 
@@ -56,20 +57,21 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Queue {
     entries: Vec<Entry>,
-    /// The start of the last request that went.
+    /// Virtual time of the queue: the largest virtual start time of a request that was served.
     now_at: u64,
-    /// When the last request of each brand finishes at the brand's share.
+    /// Virtual finish time of the last queued request of each brand.
     finish: IndexMap<Name, u64>,
     pace: Pace,
 }
 
-/// The queues by model or service.
+/// All queues, by model or service (the target).
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Queues {
     queues: IndexMap<Name, Queue>,
 }
 
-/// The order of service, least first.
+/// Sort key of a queued request: class, virtual start time, time of queueing. The lowest is served
+/// first.
 type Rank = (u64, u64, Millis);
 
 impl Entry {
@@ -142,17 +144,18 @@
     ///
     /// # Errors
     ///
-    /// Gives the request back when the queue, or its brand's part of it, is full.
+    /// Returns the request when the queue is full, or when its brand has its maximum number of
+    /// requests in it.
     pub fn push(&mut self, target: &Name, waiting: Waiting) -> Result<(), Waiting> {
         self.queues.entry(target.clone()).or_default().push(waiting)
     }
 
-    /// Takes the request that goes next.
+    /// Removes and returns the request to serve next.
     pub fn pop(&mut self, now: Millis, target: &str) -> Option<Waiting> {
         self.queues.get_mut(target)?.pop(now)
     }
 
-    /// Removes a request that is given up.
+    /// Removes a request that is no longer wanted.
     pub fn remove(&mut self, target: &str, request: RequestId) {
         if let Some(queue) = self.queues.get_mut(target) {
             queue
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Returns the requests that cannot be served by their deadlines at the present pace.
+    /// Returns the requests that cannot be served before their deadlines at the present rate.
     pub fn hopeless(&self, now: Millis) -> Vec<Hopeless> {
         self.queues
             .values()
@@ -169,7 +172,7 @@
             .collect()
     }
 
-    /// Returns how many requests wait for a target.
+    /// Returns the number of requests that wait for a target.
     pub fn waiting(&self, target: &str) -> usize {
         self.queues
             .get(target)
@@ -186,7 +189,7 @@
             .min()
     }
 
-    /// Returns the targets that are waited for.
+    /// Returns the targets that have waiting requests.
     pub fn targets(&self) -> Vec<Name> {
         self.queues
             .iter()
@@ -195,7 +198,7 @@
             .collect()
     }
 
-    /// Drops empty queues.
+    /// Removes empty queues.
     pub fn tidy(&mut self) {
         self.queues.retain(|_, queue| !queue.entries.is_empty());
     }
--- a/src/admission/slices.rs
+++ b/src/admission/slices.rs
@@ -1,27 +1,29 @@
-//! A row's requests a second over all hosts: its home grants slices that are valid for a short time.
+//! Limits on the requests per second of a table row over all hosts. One host, the row's home,
+//! grants slices of the limit to the others; a slice is valid for a short time.
 //!
-//! A slice granted at `g` is used within `g` and `g + SLICE_MS`, since the host that asked counts from
-//! before it asked. So the requests begun in any one second come from the slices of one second and
-//! [`SLICE_MS`], and that is the window in which the home grants no more than the limit.
+//! A slice granted at `g` is used between `g` and `g + SLICE_MS`, because the asking host counts
+//! its validity from before it asked. All requests that begin within one second therefore come from
+//! slices granted within one second plus [`SLICE_MS`], and the home grants no more than the limit
+//! in any window of that length.
 
 use crate::attempt::message::RequestId;
 use crate::prelude::*;
 use crate::table::message::RowKey;
 use std::collections::VecDeque;
 
-/// How long a slice is valid.
+/// How long a slice is valid, from when the host asked for it.
 pub const SLICE_MS: Millis = Millis(200);
-/// How long a host waits for its home before it asks again.
+/// How long a host waits for the home's answer before it asks again.
 pub const ASK_AGAIN_MS: Millis = Millis(300);
 
 const WINDOW_MS: Millis = Millis(1_000 + SLICE_MS.0);
 
-/// A home's answer.
+/// The home's answer to a host that asked for a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slice {
-    /// How many requests may begin.
+    /// Number of requests that may begin.
     pub granted: u32,
-    /// When to come back for more.
+    /// When a refused request may be retried.
     pub retry_after_ms: Millis,
 }
 
@@ -31,7 +33,7 @@
     count: u32,
 }
 
-/// The home's side: what was granted lately.
+/// State of the home: the slices that it granted within the window.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Granting {
     #[serde(skip)]
@@ -41,7 +43,7 @@
 }
 
 impl Granting {
-    /// Takes note of the present members, as one number that changes with them.
+    /// Updates the membership. `members` is a checksum that changes with the set of members.
     pub fn note_members(&mut self, now: Millis, members: u64) {
         if self.members != members {
             self.members = members;
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Tells whether no former home can still be granting, nor have a valid slice out.
+    /// Returns whether no previous home can still grant slices or have granted one that is still
+    /// valid. Until then, two homes together could exceed the limit.
     pub fn is_settled(&self, now: Millis, fresh_bound_ms: Millis) -> bool {
         now.since(self.members_changed_at) > fresh_bound_ms + SLICE_MS
     }
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Forgets rows without a recent slice.
+    /// Removes rows without a slice in the window.
     pub fn expire(&mut self, now: Millis) {
         self.rows.retain(|_, granted| {
             forget_old(now, granted);
@@ -88,14 +91,14 @@
     }
 }
 
-/// The asking side of one row.
+/// State of a host that asks for slices of one row.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Asking {
     asked_at: Option<Millis>,
     waiting: VecDeque<RequestId>,
 }
 
-/// The asking side: requests that wait for a slice.
+/// State of a host that asks for slices: the requests that wait for one, by row.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Metered {
     #[serde(skip)]
@@ -103,20 +106,20 @@
 }
 
 impl Metered {
-    /// Adds a request that waits.
+    /// Adds a request that waits for a slice.
     pub fn push(&mut self, row: &RowKey, request: RequestId) {
         let asking = self.rows.entry(row.clone()).or_default();
         asking.waiting.push_back(request);
     }
 
-    /// Removes a request that is given up.
+    /// Removes a request that is no longer wanted.
     pub fn remove(&mut self, row: &RowKey, request: RequestId) {
         if let Some(asking) = self.rows.get_mut(row) {
             asking.waiting.retain(|waiting| *waiting != request);
         }
     }
 
-    /// Returns the rows for which a slice is to be asked now, and how much of it.
+    /// Returns the rows for which to ask for a slice now, each with the number of waiting requests.
     pub fn due(&mut self, now: Millis) -> Vec<(RowKey, u32)> {
         self.rows.retain(|_, asking| !asking.waiting.is_empty());
         let mut due = Vec::new();
@@ -131,8 +134,9 @@
         due
     }
 
-    /// Takes an answer to what was asked at `asked_at`; returns who may begin, and who may not when the
-    /// limit is reached.
+    /// Applies the answer to a request for a slice that was sent at `asked_at` for `wanted`
+    /// requests. Returns the requests that may begin, and those that must be refused because the
+    /// limit is reached. An answer older than [`SLICE_MS`] decides nothing.
     pub fn on_slice(
         &mut self,
         now: Millis,
@@ -164,11 +168,11 @@
     }
 }
 
-/// What a slice means for the requests that waited for it.
+/// The decision on the requests that waited for a slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decided {
-    /// These may begin.
+    /// Requests that may begin.
     pub begin: Vec<RequestId>,
-    /// For these the limit is reached.
+    /// Requests refused because the limit is reached.
     pub refuse: Vec<RequestId>,
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the queues: shares by weight, urgency with ageing, bounds, and predicted waits.
+//! Tests of the queues: sharing by weight, urgency and ageing, limits of length, and predicted
+//! waits.
 
 mod limits;
 
--- a/src/admission/tests/limits.rs
+++ b/src/admission/tests/limits.rs
@@ -1,4 +1,4 @@
-//! No second sees more requests of a row begin, over all hosts, than the row allows.
+//! Tests that over all hosts no more requests of a row begin in any second than its limit allows.
 
 use crate::admission::slices::{Granting, SLICE_MS};
 use crate::attempt::message::RequestId;
@@ -86,7 +86,7 @@
         self.cluster.send(host, Event::RequestArrived { head });
     }
 
-    /// Notes the requests that got past the limit in this step.
+    /// Advances the cluster by one step, and records the requests that passed the limit in it.
     fn step(&mut self) {
         self.cluster.step();
         let now = self.cluster.now;
