--- a/src/routing/first_byte.rs
+++ b/src/routing/first_byte.rs
@@ -6,11 +6,11 @@
 /// Number of latest answers that are kept.
 pub const MAX_SAMPLES: usize = 64;
 /// Timeout as a multiple of the second longest time to first byte among the kept answers.
-pub const FACTOR: u64 = 4;
+pub const TIMEOUT_FACTOR: u64 = 4;
 /// The shortest timeout.
-pub const LEAST_BOUND_MS: Millis = Millis(1_000);
+pub const MIN_TIMEOUT_MS: Millis = Millis(1_000);
 /// The longest timeout; also used while no answer has been received.
-pub const GREATEST_BOUND_MS: Millis = Millis(10_000);
+pub const MAX_TIMEOUT_MS: Millis = Millis(10_000);
 
 /// Times to first byte of an upstream's latest answers, at most [`MAX_SAMPLES`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Returns the timeout: [`FACTOR`] times the second longest kept time, between
-    /// [`LEAST_BOUND_MS`] and [`GREATEST_BOUND_MS`].
-    pub fn bound_ms(&self) -> Millis {
+    /// Returns the timeout: [`TIMEOUT_FACTOR`] times the second longest kept time, between
+    /// [`MIN_TIMEOUT_MS`] and [`MAX_TIMEOUT_MS`].
+    pub fn timeout_ms(&self) -> Millis {
         let mut sorted: Vec<Millis> = self.samples.iter().copied().collect();
         sorted.sort_unstable_by(|a, b| b.cmp(a));
         let Some(high) = sorted.get(1).or(sorted.first()) else {
-            return GREATEST_BOUND_MS;
+            return MAX_TIMEOUT_MS;
         };
-        Millis(high.0.saturating_mul(FACTOR)).clamp(LEAST_BOUND_MS, GREATEST_BOUND_MS)
+        Millis(high.0.saturating_mul(TIMEOUT_FACTOR)).clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS)
     }
 }
--- a/src/routing/occupancy.rs
+++ b/src/routing/occupancy.rs
@@ -8,7 +8,7 @@
 
 /// Mean before the first answer has ended: within a factor of three of the observed means for
 /// answers of 30 to 280 tokens.
-const ASSUMED_MS: f64 = 1_000.0;
+const INITIAL_MEAN_MS: f64 = 1_000.0;
 /// Weight of the newest answer in the moving average: about the last fifty answers count, which one
 /// host sees within seconds.
 const NEWEST_WEIGHT: f64 = 0.04;
@@ -16,10 +16,10 @@
 /// How many slots must become free before an engine that was full gets requests again. If all hosts
 /// retried as soon as one slot was free, the first request would fill it and the others would be
 /// refused.
-const FREED_SLOTS: f64 = 6.0;
+const MIN_FREED_SLOTS: f64 = 6.0;
 /// The longest time for which an engine counts as full. Callers wait at least half a second for the
 /// first event.
-const FULL_MS_AT_MOST: Millis = Millis(500);
+const MAX_FULL_BACKOFF_MS: Millis = Millis(500);
 
 /// Mean time for which requests of a service occupy a slot, as a moving average. Before the first
 /// answer it is one second.
@@ -31,7 +31,7 @@
 impl Default for Occupancy {
     fn default() -> Self {
         Self {
-            mean_ms: ASSUMED_MS,
+            mean_ms: INITIAL_MEAN_MS,
         }
     }
 }
@@ -46,7 +46,7 @@
     /// until a few of its slots should be free.
     pub fn full_ms(&self, slots: u32) -> Millis {
         let slot_ms = self.mean_ms / f64::from(slots.max(1));
-        Millis((slot_ms * FREED_SLOTS) as u64).min(FULL_MS_AT_MOST)
+        Millis((slot_ms * MIN_FREED_SLOTS) as u64).min(MAX_FULL_BACKOFF_MS)
     }
 
     /// Returns how long one more request waits for a slot, in milliseconds, on an engine with
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -15,21 +15,21 @@
 
 /// Delay that one running request causes to another, in prompt tokens: each step of an engine
 /// serves all running requests, and a prompt is read in chunks between the steps.
-const RUNNING_TOKENS: f64 = 150.0;
+const RUNNING_COST_TOKENS: f64 = 150.0;
 /// Cost of a long prompt on a copy reserved for short ones, and of a short one on a copy for long
 /// ones, in prompt tokens: about the amount that makes the streams there late.
-const OFF_ROLE_TOKENS: f64 = 14_000.0;
+const WRONG_COPY_COST_TOKENS: f64 = 14_000.0;
 /// Prompt tokens that an engine reads in a millisecond. Converts waiting times to the unit of the
 /// other costs.
 pub const TOKENS_PER_MS: f64 = 38.0;
 /// Cost of an upstream that fails every request, in prompt tokens: more than any queue that is
 /// worth waiting in.
-const FAILING_TOKENS: f64 = 60_000.0;
+const FAILURE_COST_TOKENS: f64 = 60_000.0;
 /// Cost of an upstream of a plain service that fails every request, as a multiple of its slots.
-const FAILING_SLOTS: f64 = 4.0;
+const FAILURE_COST_SLOTS: f64 = 4.0;
 /// Cost of an upstream in another data centre, as a fraction of its slots. It only breaks ties,
 /// because a round trip of a few milliseconds is shorter than any queue.
-const FAR_SLOTS: f64 = 0.05;
+const REMOTE_COST_SLOTS: f64 = 0.05;
 
 /// Load that hosts have placed on one upstream. The choice of an upstream uses the sum over all
 /// other hosts.
@@ -85,7 +85,7 @@
 impl ModelCopies<'_> {
     /// Returns the engines that are reserved for the other kind of prompts (long or short) than
     /// this one.
-    fn kept_for_others<'a>(
+    fn reserved_for_other_kind<'a>(
         &self,
         holders: impl Iterator<Item = &'a Upstream> + Clone,
         prompt: PromptShape,
@@ -111,15 +111,15 @@
     prompt: PromptShape,
     receiver: &str,
 ) -> Option<&'a Upstream> {
-    let kept_for_others = model.kept_for_others(holders.clone(), prompt);
+    let reserved_for_other_kind = model.reserved_for_other_kind(holders.clone(), prompt);
     holders
-        .filter(|upstream| !kept_for_others.contains(&upstream.entry.id))
+        .filter(|upstream| !reserved_for_other_kind.contains(&upstream.entry.id))
         .filter(|upstream| &*upstream.entry.id != receiver)
         .max_by_key(|upstream| affinity(&upstream.entry.id, prompt.beginning))
 }
 
-/// Chooses the engine with the lowest predicted wait among those that hold the model. Waits are
-/// compared in prompt tokens.
+/// Chooses the engine with the lowest predicted wait among those that hold the model and are
+/// neither full nor in back-off; `None` if there is none. Waits are compared in prompt tokens.
 pub fn engine<'a>(
     now: Millis,
     model: &ModelCopies<'_>,
@@ -130,75 +130,76 @@
 ) -> Option<&'a Upstream> {
     let holders: Vec<_> = candidates.collect();
     let all = holders.iter().map(|(upstream, _)| *upstream);
-    let kept_for_others = model.kept_for_others(all, prompt);
+    let reserved_for_other_kind = model.reserved_for_other_kind(all, prompt);
     let mut candidates: Vec<_> = holders
         .iter()
         .copied()
-        .filter(|(upstream, _)| is_open(now, upstream) && now >= upstream.full_until)
+        .filter(|(upstream, _)| is_available(now, upstream) && now >= upstream.full_until)
         .collect();
-    let home = candidates
+    let preferred = candidates
         .iter()
-        .filter(|(upstream, _)| !kept_for_others.contains(&upstream.entry.id))
+        .filter(|(upstream, _)| !reserved_for_other_kind.contains(&upstream.entry.id))
         .max_by_key(|(upstream, _)| affinity(&upstream.entry.id, prompt.beginning))
         .map(|(upstream, _)| upstream.entry.id.clone());
     // The first of several engines with equal cost is chosen. With the same order on all hosts, all
     // of them would send to the same engine.
     random.shuffle(&mut candidates);
-    let cost = |(upstream, others): &(&Upstream, Work)| {
-        let prompt_tokens = upstream.prompt_tokens + others.prompt_tokens;
-        let under_way = others.under_way(upstream);
+    let cost = |(upstream, other_load): &(&Upstream, Work)| {
+        let prompt_tokens = upstream.prompt_tokens + other_load.prompt_tokens;
+        let under_way = other_load.under_way(upstream);
         let slot_wait_ms = occupancy.wait_ms(upstream.entry.slots, under_way);
-        let read_again = match Some(&upstream.entry.id) == home.as_ref() {
+        let prefix_cost = match Some(&upstream.entry.id) == preferred.as_ref() {
             true => 0.0,
             false => prompt.shared_tokens as f64 * model.reread_cost,
         };
-        let off_role = match kept_for_others.contains(&upstream.entry.id) {
-            true => OFF_ROLE_TOKENS,
+        let wrong_copy_cost = match reserved_for_other_kind.contains(&upstream.entry.id) {
+            true => WRONG_COPY_COST_TOKENS,
             false => 0.0,
         };
         prompt_tokens as f64
-            + read_again
-            + off_role
-            + f64::from(under_way) * RUNNING_TOKENS
+            + prefix_cost
+            + wrong_copy_cost
+            + f64::from(under_way) * RUNNING_COST_TOKENS
             + slot_wait_ms * TOKENS_PER_MS
-            + upstream.health.failure_share(now) * FAILING_TOKENS
+            + upstream.health.failure_share(now) * FAILURE_COST_TOKENS
     };
-    least(candidates, cost)
+    lowest_cost(candidates, cost)
 }
 
-/// Chooses an upstream of a plain service: the one with the lowest fraction of its slots in use;
-/// upstreams in `data_centre` win ties. `point` is a uniform random number between 0 and 1.
+/// Chooses an upstream of a plain service: the one with the lowest fraction of its slots in use
+/// among those that are not in back-off; upstreams in `data_centre` win ties. `random_unit` is a
+/// uniform random number between 0 and 1.
 pub fn service<'a>(
     now: Millis,
     candidates: impl Iterator<Item = &'a Upstream>,
     data_centre: &str,
-    point: f64,
+    random_unit: f64,
 ) -> Option<&'a Upstream> {
     let candidates: Vec<_> = candidates
-        .filter(|upstream| is_open(now, upstream))
+        .filter(|upstream| is_available(now, upstream))
         .map(|upstream| (upstream, Work::default()))
         .collect();
-    let mut nth = 0;
+    let mut index = 0;
     let cost = |(upstream, _): &(&Upstream, Work)| {
-        nth += 1;
+        index += 1;
         let used = f64::from(upstream.in_flight) / f64::from(upstream.entry.slots.max(1));
-        let far = match &*upstream.entry.data_centre == data_centre {
+        let remote_cost = match &*upstream.entry.data_centre == data_centre {
             true => 0.0,
-            false => FAR_SLOTS,
+            false => REMOTE_COST_SLOTS,
         };
         // Spreads the requests of hosts whose data centre has no upstream over the upstreams
         // elsewhere.
-        let spread = (point + f64::from(nth) * 0.618).fract() * FAR_SLOTS / 2.0;
-        used + far + spread + upstream.health.failure_share(now) * FAILING_SLOTS
+        let spread = (random_unit + f64::from(index) * 0.618).fract() * REMOTE_COST_SLOTS / 2.0;
+        used + remote_cost + spread + upstream.health.failure_share(now) * FAILURE_COST_SLOTS
     };
-    least(candidates, cost)
+    lowest_cost(candidates, cost)
 }
 
-fn is_open(now: Millis, upstream: &Upstream) -> bool {
+fn is_available(now: Millis, upstream: &Upstream) -> bool {
     !upstream.health.is_resting(now)
 }
 
-fn least<'a>(
+fn lowest_cost<'a>(
     candidates: Vec<(&'a Upstream, Work)>,
     mut cost: impl FnMut(&(&'a Upstream, Work)) -> f64,
 ) -> Option<&'a Upstream> {
--- a/src/routing/prefix.rs
+++ b/src/routing/prefix.rs
@@ -10,20 +10,20 @@
 
 /// Shorter prefixes are read again: that takes a dozen milliseconds, hardly more than the request
 /// to another engine.
-const LEAST_TOKENS: u64 = 500;
+const MIN_FETCHED_TOKENS: u64 = 500;
 /// The longest transfer, as a fraction of the reading time: links are shared, and transfers on one
 /// link queue.
-const MOST_SHARE: f64 = 0.25;
+const MAX_FETCH_RATIO: f64 = 0.25;
 
 /// Returns the time to fetch a prefix divided by the time to read it, or `None` if engines should
 /// read it. It is computed from the link speed and the state size per token in `spec`.
 /// `tokens_per_ms` is the reading speed of engines.
 pub fn fetch_share(spec: &EngineSpec, tokens_per_ms: f64, shared_tokens: u64) -> Option<f64> {
-    if spec.link_mbps <= 0.0 || spec.token_bytes <= 0.0 || shared_tokens < LEAST_TOKENS {
+    if spec.link_mbps <= 0.0 || spec.token_bytes <= 0.0 || shared_tokens < MIN_FETCHED_TOKENS {
         return None;
     }
     let bits = spec.token_bytes * 8.0;
     let fetch_ms = bits / (spec.link_mbps * 1_000.0);
-    let share = fetch_ms * tokens_per_ms;
-    (share <= MOST_SHARE).then_some(share)
+    let ratio = fetch_ms * tokens_per_ms;
+    (ratio <= MAX_FETCH_RATIO).then_some(ratio)
 }
--- a/src/routing/roles.rs
+++ b/src/routing/roles.rs
@@ -20,18 +20,18 @@
 /// Rates of long and of short prompts, in requests per second, from which a model's copies are
 /// separated. At lower rates streams are seldom late, and a copy reserved for one kind leaves slots
 /// of the other copies unused.
-const LONG_PER_S: f64 = 0.5;
-const SHORT_PER_S: f64 = 0.7;
+const MIN_LONG_PER_S: f64 = 0.5;
+const MIN_SHORT_PER_S: f64 = 0.7;
 
 /// Returns whether the rates of long and of short prompts are high enough to separate a model's
 /// copies.
 pub fn has_both_kinds(long_per_s: f64, short_per_s: f64) -> bool {
-    long_per_s >= LONG_PER_S && short_per_s >= SHORT_PER_S
+    long_per_s >= MIN_LONG_PER_S && short_per_s >= MIN_SHORT_PER_S
 }
 
 /// One of this many copies is reserved for short prompts, which make up about a tenth of the
 /// tokens.
-const COPIES_FOR_EACH_SHORT: usize = 3;
+const COPIES_PER_SHORT_COPY: usize = 3;
 
 /// Chooses the copies reserved for short prompts among the engines that hold a model. Every host
 /// chooses the same ones. A single copy serves both kinds, so the result is empty.
@@ -42,6 +42,6 @@
         return Vec::new();
     }
     ranked.sort_by_key(|id| affinity(id, digest));
-    ranked.truncate((ranked.len() / COPIES_FOR_EACH_SHORT).max(1));
+    ranked.truncate((ranked.len() / COPIES_PER_SHORT_COPY).max(1));
     ranked
 }
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -4,29 +4,29 @@
 
 use crate::membership::message::{UpstreamEntry, UpstreamRole};
 use crate::prelude::*;
-use crate::routing::first_byte::{FirstByteTimes, GREATEST_BOUND_MS, LEAST_BOUND_MS, MAX_SAMPLES};
-use crate::routing::upstreams::{MAX_REPORT_ASKS, REPORT_INTERVAL_MS, Routing};
+use crate::routing::first_byte::{FirstByteTimes, MAX_SAMPLES, MAX_TIMEOUT_MS, MIN_TIMEOUT_MS};
+use crate::routing::upstreams::{MAX_REPORT_REQUESTS, REPORT_INTERVAL_MS, Routing};
 
-fn learned(times_ms: impl Iterator<Item = u64>) -> Millis {
+fn timeout_after(times_ms: impl Iterator<Item = u64>) -> Millis {
     let mut times = FirstByteTimes::default();
     times_ms.for_each(|time_ms| times.note(Millis(time_ms)));
-    times.bound_ms()
+    times.timeout_ms()
 }
 
 #[test]
-fn the_first_byte_bound_follows_slow_answers_within_limits() {
-    assert_eq!(learned(std::iter::empty()), GREATEST_BOUND_MS);
-    assert_eq!(learned([5; 10].into_iter()), LEAST_BOUND_MS);
-    assert_eq!(learned([500; 10].into_iter()), Millis(2_000));
-    assert_eq!(learned([60_000; 10].into_iter()), GREATEST_BOUND_MS);
+fn first_byte_timeout_follows_slow_answers_within_limits() {
+    assert_eq!(timeout_after(std::iter::empty()), MAX_TIMEOUT_MS);
+    assert_eq!(timeout_after([5; 10].into_iter()), MIN_TIMEOUT_MS);
+    assert_eq!(timeout_after([500; 10].into_iter()), Millis(2_000));
+    assert_eq!(timeout_after([60_000; 10].into_iter()), MAX_TIMEOUT_MS);
 }
 
 #[test]
-fn one_slow_answer_does_not_set_the_bound_and_old_ones_are_forgotten() {
+fn one_slow_answer_does_not_set_the_timeout_and_old_answers_are_dropped() {
     let one_slow = [500, 500, 9_000].into_iter();
-    assert_eq!(learned(one_slow), Millis(2_000));
+    assert_eq!(timeout_after(one_slow), Millis(2_000));
     let old_slow = [9_000; 5].into_iter().chain([500; MAX_SAMPLES]);
-    assert_eq!(learned(old_slow), Millis(2_000));
+    assert_eq!(timeout_after(old_slow), Millis(2_000));
 }
 
 fn engines(count: usize) -> Vec<UpstreamEntry> {
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn reports_are_asked_for_at_the_same_rate_however_many_engines_there_are_and_from_all() {
-    let engines = engines(10 * MAX_REPORT_ASKS);
+fn report_request_rate_is_independent_of_engine_count_and_reaches_all_engines() {
+    let engines = engines(10 * MAX_REPORT_REQUESTS);
     let mut routing = Routing::default();
     let mut now = Millis(1_000_000);
     let mut asked = IndexSet::new();
     for _ in 0..10 {
         now += REPORT_INTERVAL_MS;
         let due = routing.due_reports(now, engines.iter());
-        assert_eq!(due.len(), MAX_REPORT_ASKS);
+        assert_eq!(due.len(), MAX_REPORT_REQUESTS);
         for engine in due {
             routing.view(&engine.name).report_asked_at = now;
             asked.insert(engine.name.clone());
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn an_engine_in_use_is_asked_in_each_interval() {
-    let engines = engines(10 * MAX_REPORT_ASKS);
+fn engine_in_use_is_asked_for_a_report_in_each_interval() {
+    let engines = engines(10 * MAX_REPORT_REQUESTS);
     let mut routing = Routing::default();
     let in_use = engines[7].name.clone();
     routing.view(&in_use).in_flight = 1;
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -61,7 +61,7 @@
         let prompt = short_prompt(request % 2);
         let occupancy = Occupancy::default();
         let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
-        let chosen = chosen.expect("an engine").entry.id.clone();
+        let chosen = chosen.expect("an engine is chosen").entry.id.clone();
         running[&chosen] += 1;
     }
     running.into_values().collect()
@@ -73,7 +73,7 @@
 /// with separated copies, a third of them got all requests until each had some ninety more than the
 /// others, at 24 slots an engine.
 #[test]
-fn copies_share_short_prompts_where_no_long_ones_come() {
+fn all_copies_share_short_prompts_when_there_are_no_long_ones() {
     let running = spread(4 * 20, false);
     assert!(
         running.iter().all(|running| *running <= SLOTS),
@@ -84,7 +84,7 @@
 /// With both kinds of prompts, the copy reserved for short prompts gets the short ones while its
 /// queue is no worse.
 #[test]
-fn copies_that_are_kept_apart_take_their_own_kind() {
+fn short_prompts_go_to_the_copy_reserved_for_them() {
     let running = spread(10, true);
     assert_eq!(running.iter().filter(|running| **running > 0).count(), 1);
 }
@@ -92,7 +92,7 @@
 /// An engine with all slots taken costs the wait until one is free, which follows from the answers
 /// that this host has seen.
 #[test]
-fn the_wait_for_a_slot_follows_how_long_answers_keep_one() {
+fn slot_wait_follows_observed_occupancy() {
     let mut occupancy = Occupancy::default();
     (0..500).for_each(|_| occupancy.note(Millis(2_400)));
     assert_eq!(occupancy.wait_ms(SLOTS, SLOTS - 1), 0.0);
@@ -105,9 +105,9 @@
 
 /// An engine that refused a request as full gets none until some of its slots should be free.
 #[test]
-fn an_engine_that_is_full_is_passed_over() {
+fn full_engine_gets_no_requests_until_slots_should_be_free() {
     let mut registry = engines(1);
-    let lifetime = registry.get("e0").expect("it is listed").lifetime();
+    let lifetime = registry.get("e0").expect("e0 is registered").lifetime();
     let full_ms = Occupancy::default().full_ms(SLOTS);
     if let Some(engine) = registry.get_lifetime_mut(&lifetime) {
         engine.full_until = NOW + full_ms;
@@ -138,7 +138,7 @@
 /// Guards against many hosts choosing the same engine when demand for a model starts on all of them
 /// at once and its copies are idle.
 #[test]
-fn hosts_that_see_equal_engines_do_not_all_choose_the_same() {
+fn hosts_spread_requests_over_equal_engines() {
     let registry = engines(4);
     let copies = ModelCopies {
         name: "m",
@@ -154,7 +154,7 @@
         };
         let occupancy = Occupancy::default();
         let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
-        chosen.expect("an engine").entry.id.clone()
+        chosen.expect("an engine is chosen").entry.id.clone()
     };
     let chosen: IndexSet<Name> = (0..40).map(choose).collect();
     assert_eq!(chosen.len(), 4);
@@ -164,7 +164,7 @@
 /// prefix of 6,300 tokens: where engines fetch it from each other, the preferred engine is not
 /// worth waiting for.
 #[test]
-fn a_beginning_that_can_be_fetched_does_not_draw_requests_to_its_home() {
+fn fetchable_prefix_does_not_queue_requests_at_its_preferred_engine() {
     let registry = engines(4);
     let busiest = |reread_cost| {
         let copies = ModelCopies {
@@ -189,7 +189,7 @@
             };
             let occupancy = Occupancy::default();
             let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
-            let id = chosen.expect("an engine").entry.id.clone();
+            let id = chosen.expect("an engine is chosen").entry.id.clone();
             *queued.entry(id).or_default() += 2_900;
         }
         queued.into_values().max().unwrap_or(0)
@@ -199,25 +199,29 @@
 }
 
 #[test]
-fn a_beginning_is_fetched_where_that_is_stated_to_be_much_faster_than_reading() {
+fn prefix_is_fetched_only_if_much_faster_than_reading() {
     let spec = |token_bytes, link_mbps| EngineSpec {
         token_bytes,
         link_mbps,
         ..EngineSpec::default()
     };
     let share = |spec: EngineSpec, tokens| fetch_share(&spec, 38.0, tokens);
-    let fast = share(spec(131_072.0, 1_100_000.0), 6_300).expect("it is fetched");
+    let fast = share(spec(131_072.0, 1_100_000.0), 6_300).expect("the prefix is fetched");
     assert!((0.03..0.05).contains(&fast), "{fast}");
-    assert_eq!(share(spec(131_072.0, 1_100_000.0), 170), None, "too short");
+    assert_eq!(
+        share(spec(131_072.0, 1_100_000.0), 170),
+        None,
+        "the prefix is too short"
+    );
     assert_eq!(
         share(spec(131_072.0, 100_000.0), 6_300),
         None,
-        "a slow link"
+        "the link is too slow"
     );
     assert_eq!(
         share(spec(131_072.0, 0.0), 6_300),
         None,
-        "no link is stated"
+        "no link speed is set"
     );
     assert_eq!(share(spec(0.0, 1_100_000.0), 6_300), None);
 }
@@ -225,7 +229,7 @@
 /// Guards against fetching from a copy without the prefix: a new copy of a model becomes the
 /// preferred engine of some prefixes that it has never read.
 #[test]
-fn a_new_copy_fetches_beginnings_from_the_copy_that_had_them() {
+fn new_copy_fetches_prefixes_from_the_previous_preferred_engine() {
     let registry = engines(4);
     let copies = ModelCopies {
         name: "m",
@@ -242,7 +246,7 @@
         source.map(|engine| engine.entry.id.clone())
     };
     for beginning in 0..100 {
-        let first = source(beginning, "", "").expect("an engine");
+        let first = source(beginning, "", "").expect("an engine has the prefix");
         let before = source(beginning, &first, "");
         assert_eq!(source(beginning, "", &first), before);
         assert_eq!(source(beginning, "", "another"), Some(first));
--- a/src/routing/upstreams.rs
+++ b/src/routing/upstreams.rs
@@ -3,7 +3,7 @@
 use crate::membership::message::UpstreamEntry;
 use crate::placement::message::EngineReport;
 use crate::prelude::*;
-use crate::routing::first_byte::{FirstByteTimes, GREATEST_BOUND_MS};
+use crate::routing::first_byte::{FirstByteTimes, MAX_TIMEOUT_MS};
 
 /// How long an upstream gets no requests after a failure.
 pub const FAILURE_REST_MS: Millis = Millis(500);
@@ -13,7 +13,7 @@
 pub const REPORT_INTERVAL_MS: Millis = Millis(500);
 /// Maximum number of engines asked for their report in one interval, independent of the number of
 /// engines.
-pub const MAX_REPORT_ASKS: usize = 8;
+pub const MAX_REPORT_REQUESTS: usize = 8;
 
 /// State of one upstream.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
         self.views.get(upstream)
     }
 
-    /// Chooses the engines to ask for their reports now: at most [`MAX_REPORT_ASKS`] in each
+    /// Chooses the engines to ask for their reports now: at most [`MAX_REPORT_REQUESTS`] in each
     /// interval, half of them reserved for engines without requests from this host. Within each
     /// group, the engines asked longest ago come first.
     pub fn due_reports<'a>(
@@ -86,9 +86,9 @@
         }
         idle.sort_by_key(|(asked_at, _)| *asked_at);
         in_use.sort_by_key(|(asked_at, _)| *asked_at);
-        let for_idle = idle.len().min(MAX_REPORT_ASKS / 2);
-        in_use.truncate(MAX_REPORT_ASKS - for_idle);
-        idle.truncate(MAX_REPORT_ASKS - in_use.len());
+        let for_idle = idle.len().min(MAX_REPORT_REQUESTS / 2);
+        in_use.truncate(MAX_REPORT_REQUESTS - for_idle);
+        idle.truncate(MAX_REPORT_REQUESTS - in_use.len());
         in_use.extend(idle);
         in_use.into_iter().map(|(_, engine)| engine).collect()
     }
@@ -101,11 +101,11 @@
     /// Returns the timeout for the first byte of an upstream's answer.
     pub fn first_byte_bound(&self, upstream: &str, streamed: bool) -> Millis {
         let Some(view) = self.get(upstream) else {
-            return GREATEST_BOUND_MS;
+            return MAX_TIMEOUT_MS;
         };
         match streamed {
-            true => view.streams.bound_ms(),
-            false => view.wholes.bound_ms(),
+            true => view.streams.timeout_ms(),
+            false => view.wholes.timeout_ms(),
         }
     }
 
