--- a/src/rate_limit/levels.rs
+++ b/src/rate_limit/levels.rs
@@ -6,7 +6,7 @@
 
 /// Buckets above this fraction of their burst are left out of messages: most use stays far below
 /// its limit.
-const FULL_PART: f64 = 0.75;
+const NEARLY_FULL_FRACTION: f64 = 0.75;
 
 /// Level of one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
     /// it.
     pub fn left(&self, now: Millis, name: &str, refill: Refill) -> f64 {
         let Some(level) = self.levels.get(name) else {
-            return refill.burst * FULL_PART;
+            return refill.burst * NEARLY_FULL_FRACTION;
         };
         let age_s = now.since(self.as_of).0 as f64 / 1_000.0;
         level.left - (level.used_per_s - refill.per_s).max(0.0) * age_s
@@ -76,6 +76,6 @@
 }
 
 /// Returns whether a bucket is low enough to be included in messages.
-pub fn is_needed(left: f64, refill: Refill) -> bool {
-    left < refill.burst * FULL_PART
+pub fn is_included(left: f64, refill: Refill) -> bool {
+    left < refill.burst * NEARLY_FULL_FRACTION
 }
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -3,31 +3,31 @@
 
 use crate::desired::{LimitTable, RateLimit};
 use crate::prelude::*;
-use crate::rate_limit::levels::{KnownLevels, Level, LimitsNews, is_needed};
+use crate::rate_limit::levels::{KnownLevels, Level, LimitsNews, is_included};
 use crate::rate_limit::token_bucket::{Refill, SLOTS, TokenBucket, slot_of};
-use crate::rate_limit::usage::{Unreported, Usage};
+use crate::rate_limit::usage::{UnreportedUsage, Usage};
 
 /// Fraction of a limit's burst that the hosts use. The rest covers what they admit before they
 /// learn of each other's use.
-const BURST_PART: f64 = 0.7;
+const BURST_FRACTION: f64 = 0.7;
 /// Fraction of the site's tolerance that is added to the burst. A limit whose own burst is smaller
 /// than one request can then still admit one after a pause.
-const TOLERANCE_PART: f64 = 0.4;
+const TOLERANCE_FRACTION: f64 = 0.4;
 /// Maximum age of levels from another host: a few reporting intervals.
-const STALE_MS: Millis = Millis(1_200);
+const MAX_LEVEL_AGE_MS: Millis = Millis(1_200);
 /// Maximum age of such levels where little is left: use is then reported at once.
-const SCARCE_STALE_MS: Millis = Millis(400);
+const MAX_SCARCE_LEVEL_AGE_MS: Millis = Millis(400);
 /// Where little is left, a decision waits for newer levels if those known are at least this old.
-const RECENT_MS: Millis = Millis(60);
+const MIN_REFRESH_AGE_MS: Millis = Millis(60);
 /// How long after its start, or after it became the orderer, a host assumes that the hosts that it
 /// expects are present although it has not heard from them yet.
-const GATHER_MS: Millis = Millis(600);
+const GATHER_GRACE_MS: Millis = Millis(600);
 /// How long after a restart of all hosts it takes until they exchange levels again.
-const SETTLED_MS: Millis = Millis(1_200);
+const RESTART_SETTLE_MS: Millis = Millis(1_200);
 /// The shortest time after which a refused caller may retry.
-const LEAST_RETRY_MS: Millis = Millis(100);
+const MIN_RETRY_AFTER_MS: Millis = Millis(100);
 /// The longest time after which a refused caller may retry.
-const MOST_RETRY_MS: Millis = Millis(10_000);
+const MAX_RETRY_AFTER_MS: Millis = Millis(10_000);
 
 /// Which hosts a bucket covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -91,11 +91,11 @@
 pub struct Limiter {
     tolerance: f64,
     place: Place,
-    placed_at: Millis,
+    covered_since: Millis,
     /// Buckets for the hosts that this host covers.
     buckets: IndexMap<Name, TokenBucket>,
     /// Use to report to the parent; empty on the orderer.
-    unreported: Unreported,
+    unreported: UnreportedUsage,
     /// Latest levels from another host; none on the orderer.
     known: Option<KnownLevels>,
 }
@@ -112,9 +112,9 @@
                 expected: 1,
                 members: None,
             },
-            placed_at: started_at,
+            covered_since: started_at,
             buckets: IndexMap::new(),
-            unreported: Unreported::default(),
+            unreported: UnreportedUsage::default(),
             known: None,
         }
     }
@@ -130,19 +130,19 @@
 
     fn change_scope(&mut self, now: Millis, place: Place, limits: &LimitTable) {
         self.buckets.clear();
-        self.placed_at = now;
+        self.covered_since = now;
         if place.scope == Scope::Group {
             return;
         }
         let unreported = self.unreported.report(now);
         self.unreported.clear();
         self.place = place;
-        self.begin_site_buckets(now, limits);
+        self.init_site_buckets(now, limits);
         self.take_usage(now, &unreported, limits);
     }
 
     /// Creates the buckets of a new orderer from the last levels of the previous one.
-    fn begin_site_buckets(&mut self, now: Millis, limits: &LimitTable) {
+    fn init_site_buckets(&mut self, now: Millis, limits: &LimitTable) {
         let is_kept = |known: &KnownLevels| {
             known.scope == Scope::Site && slot_of(now) < slot_of(known.as_of) + SLOTS
         };
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Admits and counts a request of this cost, or returns when to retry. `point` is a uniform
-    /// random number between 0 and 1.
+    /// Admits and counts a request of this cost, or returns when to retry. `random_unit` is a
+    /// uniform random number between 0 and 1.
     ///
     /// # Errors
     ///
@@ -169,7 +169,7 @@
         name: &Name,
         limit: &RateLimit,
         cost: u64,
-        point: f64,
+        random_unit: f64,
     ) -> Result<(), Refused> {
         let balance = self.balance(now, name, limit);
         let cost = cost as f64;
@@ -180,7 +180,7 @@
             Scope::Site => balance.left > 0.0,
             // The share of a few hosts often holds less than one request, so a request is admitted
             // with a probability of what is left divided by its cost.
-            Scope::Group => point * cost < balance.left,
+            Scope::Group => random_unit * cost < balance.left,
         };
         if is_admitted {
             self.note_use(now, name, limit, cost as i64);
@@ -196,28 +196,28 @@
         let wait_ms = match balance.scope {
             Scope::Site => -balance.left * 1_000.0 / balance.refill.per_s,
             // The parent may know that there is room, except shortly after a restart of all hosts.
-            Scope::Group => (self.placed_at + SETTLED_MS).since(now).0 as f64,
+            Scope::Group => (self.covered_since + RESTART_SETTLE_MS).since(now).0 as f64,
         };
         // Spreads the retries of callers that are refused at the same time.
-        let wait_ms = (wait_ms * (1.0 + point)).min(MOST_RETRY_MS.0 as f64);
+        let wait_ms = (wait_ms * (1.0 + random_unit)).min(MAX_RETRY_AFTER_MS.0 as f64);
         Err(Refused {
-            retry_after_ms: LEAST_RETRY_MS.max(Millis(wait_ms as u64)),
+            retry_after_ms: MIN_RETRY_AFTER_MS.max(Millis(wait_ms as u64)),
             scope: balance.scope,
         })
     }
 
-    /// Decides on a request, as [`Self::admit`] does, and returns whether little is left. `point`
-    /// is a uniform random number between 0 and 1.
+    /// Decides on a request, as [`Self::admit`] does, and returns whether little is left.
+    /// `random_unit` is a uniform random number between 0 and 1.
     pub fn decide(
         &mut self,
         now: Millis,
         name: &Name,
         limit: &RateLimit,
         cost: u64,
-        point: f64,
+        random_unit: f64,
     ) -> Decision {
         Decision {
-            admitted: self.admit(now, name, limit, cost, point),
+            admitted: self.admit(now, name, limit, cost, random_unit),
             is_scarce: self.is_scarce(now, name, limit),
         }
     }
@@ -242,13 +242,13 @@
     /// they are not recent.
     pub fn wants_newer_levels(&self, now: Millis, name: &Name, limit: &RateLimit) -> bool {
         self.fresh_levels(now).is_some_and(|known| {
-            let is_old = now.since(known.as_of) >= RECENT_MS;
+            let is_old = now.since(known.as_of) >= MIN_REFRESH_AGE_MS;
             is_old && self.reported_balance(now, known, name, limit).is_scarce()
         })
     }
 
     fn note_use(&mut self, now: Millis, name: &Name, limit: &RateLimit, amount: i64) {
-        self.count(now, name, Some(limit), 0, amount);
+        self.count_use(now, name, Some(limit), 0, amount);
     }
 
     /// Counts the use that another host reports.
@@ -257,14 +257,14 @@
             let limit = limits.get(name);
             for (slots_ago, amount) in slots {
                 let slots_ago = u64::from(*slots_ago);
-                self.count(now, name, limit.as_ref(), slots_ago, *amount);
+                self.count_use(now, name, limit.as_ref(), slots_ago, *amount);
             }
         }
     }
 
     /// Counts use in a time slot some slots ago. Without a known limit it is only passed on to the
     /// parent.
-    fn count(
+    fn count_use(
         &mut self,
         now: Millis,
         name: &Name,
@@ -289,15 +289,15 @@
 
     /// Applies the answer to a report that was sent at `asked_at`.
     pub fn take_reply(&mut self, asked_at: Millis, news: Option<LimitsNews>) {
-        self.settle();
+        self.confirm_report();
         if let Some(news) = news {
             self.take_news(asked_at, news);
         }
     }
 
     /// Records that the parent received the last report.
-    pub fn settle(&mut self) {
-        self.unreported.settle();
+    pub fn confirm_report(&mut self) {
+        self.unreported.confirm_report();
     }
 
     /// Stores levels from the orderer or a relay.
@@ -310,12 +310,12 @@
     /// Returns the levels for hosts that report to this one.
     pub fn news(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
         match self.wider_levels(now) {
-            Some(known) => self.pass_on(now, known, limits),
-            None => self.own_news(now, limits),
+            Some(known) => self.forward_levels(now, known, limits),
+            None => self.own_levels(now, limits),
         }
     }
 
-    fn own_news(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
+    fn own_levels(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
         let share = self.share(now);
         let level = |(name, bucket): (&Name, &TokenBucket)| {
             let limit = limits.get(name)?;
@@ -325,7 +325,7 @@
                 left,
                 used_per_s: bucket.used_per_s(now),
             };
-            is_needed(left, refill).then(|| (name.clone(), level))
+            is_included(left, refill).then(|| (name.clone(), level))
         };
         LimitsNews {
             age_ms: Millis::ZERO,
@@ -337,7 +337,7 @@
 
     /// Returns another host's levels for more hosts than this one covers, less the use that they do
     /// not include yet.
-    fn pass_on(&self, now: Millis, known: &KnownLevels, limits: &LimitTable) -> LimitsNews {
+    fn forward_levels(&self, now: Millis, known: &KnownLevels, limits: &LimitTable) -> LimitsNews {
         let level = |name: &Name| {
             let limit = limits.get(name)?;
             let refill = self.refill(&limit, known.share);
@@ -348,7 +348,7 @@
                 left,
                 used_per_s: level.map_or(0.0, |level| level.used_per_s),
             };
-            is_needed(left, refill).then(|| (name.clone(), level))
+            is_included(left, refill).then(|| (name.clone(), level))
         };
         let names: IndexSet<&Name> = known.names().chain(self.unreported.names()).collect();
         LimitsNews {
@@ -369,14 +369,14 @@
     fn balance(&self, now: Millis, name: &Name, limit: &RateLimit) -> Balance {
         if let Some(known) = self.fresh_levels(now) {
             let balance = self.reported_balance(now, known, name, limit);
-            if !balance.is_scarce() || now.since(known.as_of) < SCARCE_STALE_MS {
+            if !balance.is_scarce() || now.since(known.as_of) < MAX_SCARCE_LEVEL_AGE_MS {
                 return balance;
             }
         }
         let refill = self.refill(limit, self.share(now));
         let left = match self.buckets.get(name) {
             Some(bucket) => bucket.level(now, refill),
-            None => self.unused(refill).level(now, refill),
+            None => self.unused_bucket(refill).level(now, refill),
         };
         Balance {
             left,
@@ -406,7 +406,7 @@
     fn fresh_levels(&self, now: Millis) -> Option<&KnownLevels> {
         self.known
             .as_ref()
-            .filter(|known| now.since(known.as_of) < STALE_MS)
+            .filter(|known| now.since(known.as_of) < MAX_LEVEL_AGE_MS)
     }
 
     /// Returns another host's levels if they are fresh and cover more hosts than report to this
@@ -422,7 +422,7 @@
         let Some(members) = self.place.members else {
             return 0.0;
         };
-        let heard = match now < self.placed_at + GATHER_MS {
+        let heard = match now < self.covered_since + GATHER_GRACE_MS {
             true => self.place.heard.max(self.place.expected),
             false => self.place.heard,
         };
@@ -432,7 +432,7 @@
     fn refill(&self, limit: &RateLimit, share: f64) -> Refill {
         Refill {
             per_s: limit.per_s * share,
-            burst: (limit.burst * BURST_PART + self.tolerance * TOLERANCE_PART) * share,
+            burst: (limit.burst * BURST_FRACTION + self.tolerance * TOLERANCE_FRACTION) * share,
         }
     }
 
@@ -440,16 +440,18 @@
     /// process started. A new orderer begins with empty buckets, because relays have admitted what
     /// was in theirs. A new process begins with full ones, because it admitted nothing while it was
     /// down.
-    fn unused(&self, refill: Refill) -> TokenBucket {
+    fn unused_bucket(&self, refill: Refill) -> TokenBucket {
         let level = match self.place.scope {
             Scope::Site => 0.0,
             Scope::Group => refill.burst,
         };
-        TokenBucket::new(self.placed_at, level)
+        TokenBucket::new(self.covered_since, level)
     }
 
     fn bucket(&mut self, name: &Name, refill: Refill) -> &mut TokenBucket {
-        let unused = self.unused(refill);
-        self.buckets.entry(name.clone()).or_insert_with(|| unused)
+        let unused_bucket = self.unused_bucket(refill);
+        self.buckets
+            .entry(name.clone())
+            .or_insert_with(|| unused_bucket)
     }
 }
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn a_host_that_knows_no_other_admits_nothing() {
+fn host_without_a_member_count_admits_nothing() {
     let mut limiter = placed(Scope::Group, 1, None);
     assert_eq!(admitted(&mut limiter, START + Millis(60_000), 100), 0);
 }
 
 #[test]
-fn a_host_alone_admits_its_share() {
+fn isolated_host_admits_its_share() {
     let mut limiter = placed(Scope::Group, 1, Some(2));
     let mut all = 0;
     for ms in (2_000..22_000).step_by(10) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_orderer_of_a_whole_site_admits_the_limit_and_says_when_there_is_room() {
+fn orderer_admits_the_whole_limit_and_states_when_to_retry() {
     let mut limiter = placed(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_refused_caller_comes_back_when_restarted_hosts_hear_each_other_and_else_soon() {
+fn retry_time_covers_a_restart_of_all_hosts_and_is_short_otherwise() {
     let mut limiter = placed(Scope::Group, 1, Some(10_000));
     let mut refuse = |now| {
         limiter
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn silent_hosts_keep_their_part() {
+fn share_of_silent_hosts_is_not_used() {
     let mut limiter = placed(Scope::Site, 34, Some(68));
     assert_eq!(admitted(&mut limiter, START + Millis(60_000), 100), 4);
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn cost_of_a_request_that_did_not_run_is_returned() {
     let mut limiter = placed(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn use_is_reported_until_it_arrives() {
+fn use_is_reported_until_the_report_is_confirmed() {
     let mut host = placed(Scope::Group, 1, Some(68));
     let mut orderer = placed(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
@@ -102,13 +102,13 @@
     let lost = host.report(now);
     assert_eq!(host.report(now), lost);
     orderer.take_usage(now, &host.report(now), &table());
-    host.settle();
+    host.confirm_report();
     assert!(host.report(now).is_empty());
     assert_eq!(admitted(&mut orderer, now, 100), 4);
 }
 
 #[test]
-fn a_new_orderer_goes_on_from_the_levels_that_it_knows() {
+fn new_orderer_continues_from_the_levels_that_it_received() {
     let mut former = placed(Scope::Site, 68, Some(68));
     let mut next = placed(Scope::Group, 1, Some(68));
     let now = START + Millis(60_000);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_limit_smaller_than_one_request_is_served_after_a_pause() {
+fn limit_smaller_than_one_request_admits_one_after_a_pause() {
     let small = RateLimit {
         unit: LimitUnit::Tokens { uncounted: 200 },
         per_s: 1_000.0,
@@ -143,7 +143,7 @@
     let now = START + Millis(120_000);
     let admit = |limiter: &mut Limiter, now| limiter.admit(now, &"o".into(), &small, 60_000, 0.0);
     assert!(admit(&mut limiter, now).is_ok());
-    let refused = admit(&mut limiter, now).expect_err("the bucket is in debt");
+    let refused = admit(&mut limiter, now).expect_err("the level of the bucket is negative");
     assert!(admit(&mut limiter, now + Millis(1_000)).is_err());
     assert_eq!(refused.retry_after_ms, Millis(10_000));
 }
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -13,13 +13,13 @@
 /// Length of a simulated step.
 const STEP_MS: Millis = Millis(25);
 /// Interval of a host's exchanges with its parent.
-const SYNC_MS: u64 = 250;
+const SYNC_INTERVAL_MS: u64 = 250;
 /// How long after its last message a host counts as present.
-const HEARD_MS: Millis = Millis(1_500);
+const PRESENCE_MS: Millis = Millis(1_500);
 /// The window over which use is bounded, and the factor and amount by which use may exceed the
 /// limit in it.
 const WINDOW_MS: Millis = Millis(8_000);
-const OVER: f64 = 1.1;
+const EXCESS_FACTOR: f64 = 1.1;
 pub const TOLERANCE: f64 = 72_000.0;
 
 /// The window for limits that upstreams state.
@@ -33,7 +33,7 @@
     /// For each child, when it last sent a message and how many hosts report through it.
     heard: IndexMap<usize, (Millis, usize)>,
     /// Partition of the network; hosts in different partitions cannot reach each other.
-    side: u32,
+    partition_id: u32,
     phase_ms: u64,
     /// Whether the host has use to report at once.
     is_urgent: bool,
@@ -55,7 +55,7 @@
     uses: VecDeque<(Millis, f64)>,
     used_in_window: f64,
     /// The highest use in any window.
-    most_used: f64,
+    max_used: f64,
     random: fastrand::Rng,
     next_at_ms: f64,
     relays: usize,
@@ -82,7 +82,7 @@
         let mut model = Self::with(68, RELAYS, limit, TOLERANCE, seed);
         model.costs = 1_000..=18_000;
         model.window_ms = WINDOW_MS;
-        model.bound = (per_s * window_s + limit.burst) * OVER + TOLERANCE;
+        model.bound = (per_s * window_s + limit.burst) * EXCESS_FACTOR + TOLERANCE;
         model.run(12_000, 0.0);
         model
     }
@@ -91,7 +91,7 @@
     pub fn of_upstream(hosts: usize, per_s: f64, seed: u64) -> Self {
         let mut limits = UpstreamLimits::new(START);
         limits.note_answer(START, &name(), Some(per_s));
-        let limit = limits.limit(&name()).expect("it was named");
+        let limit = limits.limit(&name()).expect("the upstream stated a limit");
         let relays = if hosts > 24 { RELAYS } else { 0 };
         let mut model = Self::with(hosts, relays, limit, 0.0, seed);
         model.bound = per_s * 1.5 * UPSTREAM_WINDOW_MS.0 as f64 / 1_000.0 + 5.0;
@@ -105,8 +105,8 @@
             limiter: Limiter::new(START, tolerance),
             relay: n % relays.max(1),
             heard: IndexMap::new(),
-            side: 0,
-            phase_ms: (n as u64 * 37) % SYNC_MS,
+            partition_id: 0,
+            phase_ms: (n as u64 * 37) % SYNC_INTERVAL_MS,
             is_urgent: false,
         };
         Self {
@@ -122,7 +122,7 @@
             table,
             uses: VecDeque::new(),
             used_in_window: 0.0,
-            most_used: 0.0,
+            max_used: 0.0,
             random: fastrand::Rng::with_seed(seed),
             next_at_ms: 0.0,
             relays,
@@ -134,9 +134,9 @@
     }
 
     /// Checks that use in no window exceeded the bound.
-    pub fn check(&self, place: &str) {
-        let (most, bound) = (self.most_used, self.bound);
-        assert!(most <= bound, "{place}: {most} of {bound}");
+    pub fn check(&self, case: &str) {
+        let (most, bound) = (self.max_used, self.bound);
+        assert!(most <= bound, "{case}: used {most}, allowed {bound}");
     }
 
     /// Returns the limit per second.
@@ -145,9 +145,9 @@
     }
 
     /// Disconnects each host whose number is a multiple of `each` from all others.
-    pub fn cut(&mut self, each: usize) {
+    pub fn disconnect(&mut self, each: usize) {
         for (n, host) in self.hosts.iter_mut().enumerate() {
-            host.side = if n % each == 0 { n as u32 + 1 } else { 0 };
+            host.partition_id = if n % each == 0 { n as u32 + 1 } else { 0 };
         }
     }
 
@@ -155,14 +155,14 @@
     /// rest.
     pub fn split(&mut self, each: usize) {
         for (n, host) in self.hosts.iter_mut().enumerate() {
-            host.side = u32::from(n % each == 0);
+            host.partition_id = u32::from(n % each == 0);
         }
     }
 
     /// Restores all connections between hosts.
-    pub fn heal(&mut self) {
+    pub fn reconnect(&mut self) {
         for host in &mut self.hosts {
-            host.side = 0;
+            host.partition_id = 0;
         }
     }
 
@@ -182,7 +182,7 @@
         self.next_at_ms = self.now.0 as f64;
         while self.now < until {
             self.sync();
-            self.call(times);
+            self.send_requests(times);
             self.now += STEP_MS;
         }
     }
@@ -190,43 +190,43 @@
     fn sync(&mut self) {
         let due = |model: &Self, n: usize| {
             let host = &model.hosts[n];
-            host.is_urgent || (model.now.0 + host.phase_ms) % SYNC_MS < STEP_MS.0
+            host.is_urgent || (model.now.0 + host.phase_ms) % SYNC_INTERVAL_MS < STEP_MS.0
         };
         // Children go before relays, so that urgent use reaches the orderer within one step.
         for n in (0..self.hosts.len()).rev() {
             if !due(self, n) {
                 continue;
             }
-            let Some(above) = self.above(n) else { continue };
-            self.hosts[above].is_urgent |= self.hosts[n].is_urgent;
+            let Some(peer) = self.parent(n) else { continue };
+            self.hosts[peer].is_urgent |= self.hosts[n].is_urgent;
             self.hosts[n].is_urgent = false;
-            self.exchange(n, above);
+            self.exchange(n, peer);
         }
     }
 
-    fn exchange(&mut self, below: usize, above: usize) {
+    fn exchange(&mut self, child: usize, parent: usize) {
         let now = self.now;
-        self.place(below);
-        self.place(above);
-        let through = self.heard_by(below) - 1;
-        let usage = self.hosts[below].limiter.report(now);
+        self.update_place(child);
+        self.update_place(parent);
+        let through = self.heard_by(child) - 1;
+        let usage = self.hosts[child].limiter.report(now);
         let table = &self.table;
-        let host = &mut self.hosts[above];
-        host.heard.insert(below, (now, through));
+        let host = &mut self.hosts[parent];
+        host.heard.insert(child, (now, through));
         host.limiter.take_usage(now, &usage, table);
         let news = host.limiter.news(now, table);
-        let host = &mut self.hosts[below];
-        host.limiter.settle();
+        let host = &mut self.hosts[child];
+        host.limiter.confirm_report();
         host.limiter.take_news(now, news);
     }
 
     fn heard_by(&self, n: usize) -> usize {
         let heard = self.hosts[n].heard.values();
-        let recent = heard.filter(|(at, _)| self.now.since(*at) < HEARD_MS);
+        let recent = heard.filter(|(at, _)| self.now.since(*at) < PRESENCE_MS);
         1 + recent.map(|(_, through)| 1 + through).sum::<usize>()
     }
 
-    fn place(&mut self, n: usize) {
+    fn update_place(&mut self, n: usize) {
         let scope = match self.orderer == Some(n) {
             true => Scope::Site,
             false => Scope::Group,
@@ -247,7 +247,7 @@
     }
 
     /// Sends requests of callers to random hosts.
-    fn call(&mut self, times: f64) {
+    fn send_requests(&mut self, times: f64) {
         if times <= 0.0 {
             return;
         }
@@ -258,14 +258,14 @@
             let per_ms = self.limit.per_s * times / mean_cost as f64 / 1_000.0;
             self.next_at_ms += -self.random.f64().max(1e-9).ln() / per_ms;
             let host = self.random.usize(0..self.hosts.len());
-            self.place(host);
+            self.update_place(host);
             self.wait_for_newer_levels(host);
-            let point = self.random.f64();
+            let random_unit = self.random.f64();
             let is_large = cost > mean_cost;
             self.requests += 1;
             self.large_requests += u32::from(is_large);
             let limiter = &mut self.hosts[host].limiter;
-            let admitted = limiter.admit(self.now, &name(), &self.limit, cost, point);
+            let admitted = limiter.admit(self.now, &name(), &self.limit, cost, random_unit);
             let is_scarce = limiter.is_scarce(self.now, &name(), &self.limit);
             self.hosts[host].is_urgent |= is_scarce;
             if admitted.is_err() {
@@ -283,10 +283,10 @@
         let wants = self.hosts[n]
             .limiter
             .wants_newer_levels(self.now, &name(), &self.limit);
-        let Some(relay) = self.above(n).filter(|_| wants) else {
+        let Some(relay) = self.parent(n).filter(|_| wants) else {
             return;
         };
-        if let Some(orderer) = self.above(relay) {
+        if let Some(orderer) = self.parent(relay) {
             self.exchange(relay, orderer);
         }
         self.exchange(n, relay);
@@ -295,22 +295,23 @@
     /// Returns the parent of a host: its relay, the next relay if that is unreachable, else the
     /// orderer. The parent of a relay is the orderer or, if that is unreachable, the first
     /// reachable relay.
-    fn above(&self, n: usize) -> Option<usize> {
-        let hears = |above: &usize| self.hosts[n].side == self.hosts[*above].side;
+    fn parent(&self, n: usize) -> Option<usize> {
+        let can_reach =
+            |parent: &usize| self.hosts[n].partition_id == self.hosts[*parent].partition_id;
         if self.orderer == Some(n) {
             return None;
         }
-        let orderer = self.orderer.filter(hears);
+        let orderer = self.orderer.filter(can_reach);
         if self.relays == 0 {
             return orderer;
         }
         if n < self.relays {
-            let first = (0..self.relays).find(hears).filter(|first| *first != n);
+            let first = (0..self.relays).find(can_reach).filter(|first| *first != n);
             return orderer.or(first);
         }
         let relay = self.hosts[n].relay;
         let relays = [relay, (relay + 1) % self.relays];
-        relays.into_iter().find(hears).or(orderer)
+        relays.into_iter().find(can_reach).or(orderer)
     }
 
     fn note_use(&mut self, cost: f64) {
@@ -323,6 +324,6 @@
             self.uses.pop_front();
             self.used_in_window -= cost;
         }
-        self.most_used = self.most_used.max(self.used_in_window);
+        self.max_used = self.max_used.max(self.used_in_window);
     }
 }
--- a/src/rate_limit/tests/site.rs
+++ b/src/rate_limit/tests/site.rs
@@ -10,18 +10,18 @@
 const SMALL: f64 = 18_000.0;
 const LARGE: f64 = 450_000.0;
 /// Normal demand, as a fraction of the limit.
-const USUAL: f64 = 0.55;
+const NORMAL: f64 = 0.55;
 /// Demand of an overloading organisation, as a multiple of the limit.
-const HOT: f64 = 4.2;
+const OVERLOAD: f64 = 4.2;
 const SEEDS: std::ops::Range<u64> = 0..20;
 
 /// Simulates a site for each limit and seed, and checks that no window exceeds its bound.
-fn check(play: impl Fn(&mut Model)) -> Vec<Model> {
+fn check(simulate: impl Fn(&mut Model)) -> Vec<Model> {
     let mut models = Vec::new();
     for per_s in [SMALL, LARGE] {
         for seed in SEEDS {
             let mut model = Model::new(per_s, seed);
-            play(&mut model);
+            simulate(&mut model);
             model.check(&format!("{per_s} a second, seed {seed}"));
             models.push(model);
         }
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn usual_use_is_admitted() {
-    let models = check(|model| model.run(30_000, USUAL));
+fn normal_demand_is_admitted() {
+    let models = check(|model| model.run(30_000, NORMAL));
     for (name, models) in [("small", &models[..20]), ("large", &models[20..])] {
         let served = served(models);
         assert!(served > 0.97, "{name}: {served}");
@@ -46,21 +46,21 @@
 }
 
 #[test]
-fn a_hot_organisation_gets_its_limit_and_no_more() {
+fn overloading_organisation_gets_its_limit_and_no_more() {
     let models = check(|model| {
-        model.run(8_000, USUAL);
-        model.run(20_000, HOT);
+        model.run(8_000, NORMAL);
+        model.run(20_000, OVERLOAD);
     });
     for model in models {
-        let allowed = model.limit_per_s() * (8.0 * USUAL + 20.0);
+        let allowed = model.limit_per_s() * (8.0 * NORMAL + 20.0);
         let admitted = model.admitted / allowed;
         assert!(admitted > 0.9, "{admitted}");
     }
 }
 
 #[test]
-fn a_hot_organisation_has_its_large_requests_served_as_often_as_its_small_ones() {
-    let models = check(|model| model.run(20_000, HOT));
+fn overloading_organisation_gets_large_requests_admitted_as_often_as_small_ones() {
+    let models = check(|model| model.run(20_000, OVERLOAD));
     let sum = |count: fn(&Model) -> u32| f64::from(models.iter().map(count).sum::<u32>());
     let all = sum(|model| model.requests - model.refused) / sum(|model| model.requests);
     let large = sum(|model| model.large_admitted) / sum(|model| model.large_requests);
@@ -68,103 +68,103 @@
 }
 
 #[test]
-fn hosts_that_are_cut_off_keep_the_bound() {
+fn disconnected_hosts_keep_the_bound() {
     check(|model| {
-        model.run(8_000, USUAL);
-        model.cut(3);
-        model.run(12_000, HOT);
-        model.heal();
-        model.run(8_000, HOT);
+        model.run(8_000, NORMAL);
+        model.disconnect(3);
+        model.run(12_000, OVERLOAD);
+        model.reconnect();
+        model.run(8_000, OVERLOAD);
     });
 }
 
 #[test]
-fn two_parts_of_a_site_that_each_add_up_keep_the_bound() {
+fn partitions_that_count_separately_keep_the_bound() {
     check(|model| {
-        model.run(8_000, USUAL);
+        model.run(8_000, NORMAL);
         model.split(3);
-        model.run(1_200, USUAL);
-        model.run(800, HOT);
+        model.run(1_200, NORMAL);
+        model.run(800, OVERLOAD);
         model.orderer = None;
-        model.run(2_000, HOT);
+        model.run(2_000, OVERLOAD);
         model.orderer = Some(61);
-        model.run(8_000, HOT);
-        model.heal();
-        model.run(8_000, HOT);
+        model.run(8_000, OVERLOAD);
+        model.reconnect();
+        model.run(8_000, OVERLOAD);
     });
 }
 
 #[test]
-fn an_organisation_that_is_hot_before_a_cut_keeps_the_bound() {
+fn overload_before_a_partition_keeps_the_bound() {
     check(|model| {
-        model.run(12_000, HOT);
-        model.cut(2);
-        model.run(12_000, HOT);
+        model.run(12_000, OVERLOAD);
+        model.disconnect(2);
+        model.run(12_000, OVERLOAD);
     });
 }
 
 #[test]
-fn while_nobody_orders_the_bound_holds_and_usual_use_is_mostly_admitted() {
+fn without_an_orderer_the_bound_holds_and_most_normal_demand_is_admitted() {
     check(|model| {
-        model.run(8_000, USUAL);
+        model.run(8_000, NORMAL);
         model.orderer = None;
-        model.run(6_000, HOT);
+        model.run(6_000, OVERLOAD);
         model.orderer = Some(3);
-        model.run(8_000, HOT);
+        model.run(8_000, OVERLOAD);
     });
     let models = check(|model| {
-        model.run(2_000, USUAL);
+        model.run(2_000, NORMAL);
         model.orderer = None;
-        model.run(6_000, USUAL);
+        model.run(6_000, NORMAL);
         model.orderer = Some(3);
-        model.run(4_000, USUAL);
+        model.run(4_000, NORMAL);
     });
     assert!(served(&models[20..]) > 0.9, "{}", served(&models[20..]));
     assert!(served(&models[..20]) > 0.6, "{}", served(&models[..20]));
 }
 
 #[test]
-fn after_all_were_killed_nothing_is_given_out_twice() {
+fn restart_of_all_hosts_admits_nothing_twice() {
     check(|model| {
-        model.run(8_000, HOT);
+        model.run(8_000, OVERLOAD);
         model.kill_all();
-        model.run(5_000, HOT);
+        model.run(5_000, OVERLOAD);
         model.orderer = Some(2);
-        model.run(8_000, HOT);
+        model.run(8_000, OVERLOAD);
     });
 }
 
 #[test]
-fn after_all_were_killed_usual_use_is_mostly_admitted() {
+fn restart_of_all_hosts_admits_most_normal_demand() {
     let models = check(|model| {
-        model.run(2_000, USUAL);
+        model.run(2_000, NORMAL);
         model.kill_all();
-        model.run(5_000, USUAL);
+        model.run(5_000, NORMAL);
         model.orderer = Some(2);
-        model.run(3_000, USUAL);
+        model.run(3_000, NORMAL);
     });
     assert!(served(&models[20..]) > 0.9, "{}", served(&models[20..]));
     assert!(served(&models[..20]) > 0.6, "{}", served(&models[..20]));
 }
 
 #[test]
-fn any_sequence_of_cuts_kills_and_lost_orderers_keeps_the_bound() {
+fn any_sequence_of_faults_keeps_the_bound() {
     for per_s in [SMALL, LARGE] {
         for seed in 100..130 {
             let mut random = fastrand::Rng::with_seed(seed);
             let mut model = Model::new(per_s, seed);
             for _ in 0..8 {
                 match random.u32(0..7) {
-                    0 => model.cut(random.usize(2..6)),
+                    0 => model.disconnect(random.usize(2..6)),
                     6 => model.split(random.usize(2..6)),
-                    1 => model.heal(),
+                    1 => model.reconnect(),
                     2 => model.orderer = None,
                     3 => model.kill_all(),
                     _ => model.orderer = Some(random.usize(0..68)),
                 }
                 model.run(
                     random.u64(500..6_000),
-                    [USUAL, 1.0, HOT][random.usize(0..3)],
+                    [NORMAL, 1.0, OVERLOAD][random.usize(0..3)],
                 );
             }
             model.check(&format!("{per_s} a second, seed {seed}"));
--- a/src/rate_limit/tests/token_bucket.rs
+++ b/src/rate_limit/tests/token_bucket.rs
@@ -16,13 +16,13 @@
 
 #[test]
 fn a_bucket_refills_up_to_its_burst() {
-    let meter = TokenBucket::new(START, -1_000.0);
-    assert_eq!(meter.level(at(4), REFILL), 0.0);
-    assert_eq!(meter.level(at(400), REFILL), 500.0);
+    let bucket = TokenBucket::new(START, -1_000.0);
+    assert_eq!(bucket.level(at(4), REFILL), 0.0);
+    assert_eq!(bucket.level(at(400), REFILL), 500.0);
 }
 
 #[test]
-fn use_that_is_reported_late_costs_what_it_would_have_cost_in_time() {
+fn late_report_costs_the_same_as_a_timely_one() {
     let mut in_time = TokenBucket::new(START, 500.0);
     let mut late = in_time.clone();
     for slot in 0..12 {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn moving_on_changes_no_level() {
+fn advancing_changes_no_level() {
     arbtest(|u| {
         let mut moved = TokenBucket::new(START, 500.0);
         let mut now = START;
@@ -77,12 +77,12 @@
 }
 
 #[test]
-fn present_use_is_that_of_the_last_second() {
-    let mut meter = TokenBucket::new(START, 500.0);
+fn recent_use_is_averaged_over_one_second() {
+    let mut bucket = TokenBucket::new(START, 500.0);
     for slot in 0..20 {
-        meter.add(at(slot), 0, 250, REFILL);
+        bucket.add(at(slot), 0, 250, REFILL);
     }
-    let present = meter.used_per_s(at(20));
+    let present = bucket.used_per_s(at(20));
     assert!((present - 1_000.0).abs() < 1.0, "{present}");
-    assert_eq!(meter.used_per_s(at(40)), 0.0);
+    assert_eq!(bucket.used_per_s(at(40)), 0.0);
 }
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -15,9 +15,9 @@
 /// Requests per second that the upstream takes.
 const LIMITS: [f64; 3] = [1.0, 3.0, 20.0];
 /// Demand as a multiple of the limit.
-const HOT: f64 = 8.0;
+const OVERLOAD: f64 = 8.0;
 
-fn check(play: impl Fn(&mut Model)) -> Vec<Model> {
+fn check(simulate: impl Fn(&mut Model)) -> Vec<Model> {
     let mut models = Vec::new();
     for (hosts, seeds) in SITES {
         for (per_s, seed) in LIMITS
@@ -25,7 +25,7 @@
             .flat_map(|per_s| (0..seeds).map(move |seed| (per_s, seed)))
         {
             let mut model = Model::of_upstream(hosts, *per_s, seed);
-            play(&mut model);
+            simulate(&mut model);
             model.check(&format!("{hosts} hosts, {per_s} a second, seed {seed}"));
             models.push(model);
         }
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn an_upstream_gets_what_it_takes_and_little_more() {
-    for model in check(|model| model.run(20_000, HOT)) {
+fn upstream_gets_its_limit_and_little_more() {
+    for model in check(|model| model.run(20_000, OVERLOAD)) {
         let share = model.admitted / (model.limit_per_s() * 20.0);
         assert!((0.5..1.5).contains(&share), "{share}");
     }
@@ -50,35 +50,35 @@
 }
 
 #[test]
-fn hosts_that_are_cut_off_keep_the_limit() {
+fn disconnected_hosts_keep_the_limit() {
     check(|model| {
-        model.run(6_000, HOT);
-        model.cut(3);
-        model.run(8_000, HOT);
-        model.heal();
-        model.run(6_000, HOT);
+        model.run(6_000, OVERLOAD);
+        model.disconnect(3);
+        model.run(8_000, OVERLOAD);
+        model.reconnect();
+        model.run(6_000, OVERLOAD);
     });
 }
 
 #[test]
-fn while_nobody_orders_the_limit_holds() {
+fn limit_holds_without_an_orderer() {
     check(|model| {
-        model.run(6_000, HOT);
+        model.run(6_000, OVERLOAD);
         model.orderer = None;
-        model.run(8_000, HOT);
+        model.run(8_000, OVERLOAD);
         model.orderer = Some(3);
-        model.run(6_000, HOT);
+        model.run(6_000, OVERLOAD);
     });
 }
 
 #[test]
-fn after_all_were_killed_the_limit_holds() {
+fn limit_holds_after_all_hosts_restart() {
     check(|model| {
-        model.run(6_000, HOT);
+        model.run(6_000, OVERLOAD);
         model.kill_all();
-        model.run(5_000, HOT);
+        model.run(5_000, OVERLOAD);
         model.orderer = Some(2);
-        model.run(6_000, HOT);
+        model.run(6_000, OVERLOAD);
     });
 }
 
@@ -113,14 +113,14 @@
 }
 
 #[test]
-fn an_upstream_that_names_no_limit_gets_every_request() {
+fn upstream_without_a_stated_limit_gets_every_request() {
     let mut limits = alone();
     assert!(!limits.note_answer(START, &"u".into(), None));
     assert_eq!(admitted(&mut limits, START, 100), 100);
 }
 
 #[test]
-fn a_limit_ends_when_answers_name_none() {
+fn limit_ends_when_answers_state_none() {
     let mut limits = alone();
     let upstream: Name = "u".into();
     assert!(limits.note_answer(START, &upstream, Some(1.0)));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn the_newest_statement_holds_whichever_host_got_it() {
+fn newest_statement_applies_whichever_host_received_it() {
     let mut limits = alone();
     let now = START + Millis(10_000);
     assert_eq!(
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_limit_that_is_named_no_more_is_forgotten() {
+fn limit_expires_when_it_is_no_longer_stated() {
     let mut limits = alone();
     limits.note_answer(START, &"u".into(), Some(1.0));
     let later = START + Millis(60_000);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_report_of_very_many_limits_is_cut() {
+fn number_of_limits_in_a_report_is_bounded() {
     let mut limits = alone();
     let told: Vec<StatedLimit> = (0..10_000)
         .map(|n| StatedLimit {
@@ -190,8 +190,8 @@
             limits.decide(START, &upstream, 0.0);
         }
     }
-    let report = postcard::to_stdvec(&limits.report(START)).expect("bytes");
-    let news = postcard::to_stdvec(&limits.news(START)).expect("bytes");
+    let report = postcard::to_stdvec(&limits.report(START)).expect("the message serialises");
+    let news = postcard::to_stdvec(&limits.news(START)).expect("the message serialises");
     println!("report {} B, news {} B", report.len(), news.len());
     assert!(report.len() <= 8_000 && news.len() <= 8_000);
 }
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -12,14 +12,14 @@
 
 /// Burst of such a limit, in requests: small, because an upstream that states a limit is
 /// overloaded.
-const BURST: f64 = 2.0;
+const BURST_REQUESTS: f64 = 2.0;
 /// How long a limit applies after it was last stated. An upstream with few requests sends few
 /// answers that could state it again.
-const KEEP_MS: Millis = Millis(60_000);
+const LIMIT_TTL_MS: Millis = Millis(60_000);
 /// How long after a limit was stated an answer without one may still be older than the statement.
-const OLD_ANSWER_MS: Millis = Millis(500);
+const LATE_ANSWER_MS: Millis = Millis(500);
 /// Maximum number of upstreams with a limit, in memory and in a message.
-const MAX_STATED: usize = 128;
+const MAX_UPSTREAMS: usize = 128;
 
 /// A limit that an upstream stated, or that it no longer states one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stated {
+struct Statement {
     per_s: Option<f64>,
     at: Millis,
 }
@@ -59,7 +59,7 @@
 /// The limits of upstreams as known to one host.
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
-    stated: IndexMap<Name, Stated>,
+    stated: IndexMap<Name, Statement>,
     /// The upstreams that state a limit at present.
     limits: LimitTable,
     limiter: Limiter,
@@ -84,33 +84,36 @@
     /// changed.
     pub fn note_answer(&mut self, now: Millis, upstream: &Name, per_s: Option<f64>) -> bool {
         let known = self.stated.get(upstream);
-        let is_old = known.is_some_and(|known| now.since(known.at) < OLD_ANSWER_MS);
+        let is_old = known.is_some_and(|known| now.since(known.at) < LATE_ANSWER_MS);
         if per_s.is_none() && (known.is_none() || is_old) {
             return false;
         }
-        self.state(upstream, Stated { per_s, at: now })
+        self.apply_statement(upstream, Statement { per_s, at: now })
     }
 
     /// Merges statements from other hosts. Returns those that changed a limit.
-    pub fn take_stated(&mut self, now: Millis, told: &[StatedLimit]) -> Vec<StatedLimit> {
+    pub fn take_stated(&mut self, now: Millis, received: &[StatedLimit]) -> Vec<StatedLimit> {
         let mut changed = Vec::new();
-        for limit in told.iter().take(MAX_STATED) {
-            let stated = Stated {
+        for limit in received.iter().take(MAX_UPSTREAMS) {
+            let stated = Statement {
                 per_s: limit.per_s.filter(|per_s| per_s.is_finite()),
                 at: now - limit.age_ms,
             };
             let known = self.stated.get(&limit.upstream);
             let is_newer = known.is_none_or(|known| stated.at > known.at);
-            if limit.age_ms < KEEP_MS && is_newer && self.state(&limit.upstream, stated) {
+            if limit.age_ms < LIMIT_TTL_MS
+                && is_newer
+                && self.apply_statement(&limit.upstream, stated)
+            {
                 changed.push(limit.clone());
             }
         }
         changed
     }
 
-    fn state(&mut self, upstream: &Name, stated: Stated) -> bool {
+    fn apply_statement(&mut self, upstream: &Name, stated: Statement) -> bool {
         let is_known = self.stated.contains_key(upstream);
-        if !is_known && self.stated.len() >= MAX_STATED {
+        if !is_known && self.stated.len() >= MAX_UPSTREAMS {
             return false;
         }
         let former = self.stated.insert(upstream.clone(), stated);
@@ -119,7 +122,7 @@
             let limit = stated.per_s.map(|per_s| RateLimit {
                 unit: LimitUnit::Requests,
                 per_s,
-                burst: BURST,
+                burst: BURST_REQUESTS,
             });
             self.limits.set(upstream, limit);
         }
@@ -129,7 +132,7 @@
     fn expire(&mut self, now: Millis) {
         let Self { stated, limits, .. } = self;
         stated.retain(|upstream, stated| {
-            let is_kept = now.since(stated.at) < KEEP_MS;
+            let is_kept = now.since(stated.at) < LIMIT_TTL_MS;
             if !is_kept {
                 limits.set(upstream, None);
             }
@@ -155,11 +158,11 @@
         self.limits.get(upstream)
     }
 
-    /// Decides on a request to an upstream; `None` if the upstream states no limit. `point` is a
-    /// uniform random number between 0 and 1.
-    pub fn decide(&mut self, now: Millis, upstream: &Name, point: f64) -> Option<Decision> {
+    /// Decides on a request to an upstream; `None` if the upstream states no limit. `random_unit`
+    /// is a uniform random number between 0 and 1.
+    pub fn decide(&mut self, now: Millis, upstream: &Name, random_unit: f64) -> Option<Decision> {
         let limit = self.limit(upstream)?;
-        Some(self.limiter.decide(now, upstream, &limit, 1, point))
+        Some(self.limiter.decide(now, upstream, &limit, 1, random_unit))
     }
 
     /// Returns whether a decision should wait for newer levels.
--- a/src/rate_limit/usage.rs
+++ b/src/rate_limit/usage.rs
@@ -17,13 +17,13 @@
 
 /// Unreported use by name and slot.
 #[derive(Clone, Debug, Default)]
-pub struct Unreported {
+pub struct UnreportedUsage {
     by_name: IndexMap<Name, IndexMap<u64, i64>>,
     /// The report in flight, and the slot in which it was sent.
     sent: Option<(u64, Vec<Usage>)>,
 }
 
-impl Unreported {
+impl UnreportedUsage {
     /// Counts use in the slot `slots_ago` slots before the current one.
     pub fn add(&mut self, now: Millis, name: &Name, slots_ago: u64, amount: i64) {
         let is_known = self.by_name.contains_key(name);
@@ -46,9 +46,9 @@
         self.by_name.keys()
     }
 
-    /// Returns the report for the parent. Its use counts as unreported until [`Self::settle`] is
-    /// called, so a report that may have been lost is repeated: use may count twice, but is never
-    /// missed.
+    /// Returns the report for the parent. Its use counts as unreported until
+    /// [`Self::confirm_report`] is called, so a report that may have been lost is repeated: use may
+    /// count twice, but is never missed.
     pub fn report(&mut self, now: Millis) -> Vec<Usage> {
         let present = slot_of(now);
         let oldest = present.saturating_sub(SLOTS - 1);
@@ -69,7 +69,7 @@
     }
 
     /// Records that the parent received the last report.
-    pub fn settle(&mut self) {
+    pub fn confirm_report(&mut self) {
         let Some((present, report)) = self.sent.take() else {
             return;
         };
