--- a/src/admission/limits.rs
+++ b/src/admission/limits.rs
@@ -1,4 +1,5 @@
-//! Limits on the concurrent requests of a table row, enforced by each host for itself.
+//! Limits on the concurrent requests of a table row (a brand's entry for a model or service),
+//! enforced by each host for itself.
 
 use crate::prelude::*;
 use crate::table::message::{Row, RowKey};
--- a/src/admission/pace.rs
+++ b/src/admission/pace.rs
@@ -6,7 +6,7 @@
 /// Number of latest starts that are kept.
 pub const MAX_STARTS: usize = 64;
 /// Minimum number of starts for a prediction.
-pub const LEAST_STARTS: usize = 16;
+pub const MIN_STARTS: usize = 16;
 /// Maximum age of the latest start for a prediction.
 pub const MAX_AGE_MS: Millis = Millis(2_000);
 
@@ -31,11 +31,11 @@
         self.starts.clear();
     }
 
-    /// Returns the mean time between starts, or `None` when there are fewer than [`LEAST_STARTS`]
+    /// Returns the mean time between starts, or `None` when there are fewer than [`MIN_STARTS`]
     /// or the latest is older than [`MAX_AGE_MS`].
     pub fn interval_ms(&self, now: Millis) -> Option<Millis> {
         let (first, last) = (self.starts.front()?, self.starts.back()?);
-        let known = self.starts.len() >= LEAST_STARTS && now.since(*last) <= MAX_AGE_MS;
+        let known = self.starts.len() >= MIN_STARTS && now.since(*last) <= MAX_AGE_MS;
         let intervals = self.starts.len() as u64 - 1;
         known.then(|| Millis(last.since(*first).0 / intervals))
     }
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -2,7 +2,8 @@
 //!
 //! The most urgent class is served first. Waiting moves a request up one class at a time, so that
 //! no class starves. Within a class, brands share by weight through start-time fair queueing: the
-//! virtual start time of a request is the virtual finish time of its brand's previous request.
+//! virtual start time of a request is the virtual finish time of its brand's previous request, or
+//! the present virtual time of the queue if that is later.
 
 use crate::admission::pace::Pace;
 use crate::attempt::message::RequestId;
--- a/src/admission/slices.rs
+++ b/src/admission/slices.rs
@@ -1,5 +1,6 @@
-//! Limits on the requests per second of a table row over all hosts. One host, the row's home,
-//! grants slices of the limit to the others; a slice is valid for a short time.
+//! Limits on the requests per second of a table row (a brand's entry for a model or service) over
+//! all hosts. One host, the row's home, grants slices of the limit to all hosts; a slice is valid
+//! for a short time.
 //!
 //! A slice granted at `g` is used between `g` and `g + SLICE_MS`, because the asking host counts
 //! its validity from before it asked. All requests that begin within one second therefore come from
@@ -14,7 +15,7 @@
 /// How long a slice is valid, from when the host asked for it.
 pub const SLICE_MS: Millis = Millis(200);
 /// How long a host waits for the home's answer before it asks again.
-pub const ASK_AGAIN_MS: Millis = Millis(300);
+pub const REQUEST_RETRY_MS: Millis = Millis(300);
 
 const WINDOW_MS: Millis = Millis(1_000 + SLICE_MS.0);
 
@@ -28,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Granted {
+struct GrantedSlice {
     at: Millis,
     count: u32,
 }
@@ -37,7 +38,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Granting {
     #[serde(skip)]
-    rows: IndexMap<RowKey, VecDeque<Granted>>,
+    rows: IndexMap<RowKey, VecDeque<GrantedSlice>>,
     members: u64,
     members_changed_at: Millis,
 }
@@ -52,7 +53,8 @@
     }
 
     /// Returns whether no previous home can still grant slices or have granted one that is still
-    /// valid. Until then, two homes together could exceed the limit.
+    /// valid. Until then, two homes together could exceed the limit. `fresh_bound_ms` is how long a
+    /// host may act on an outdated list of members.
     pub fn is_settled(&self, now: Millis, fresh_bound_ms: Millis) -> bool {
         now.since(self.members_changed_at) > fresh_bound_ms + SLICE_MS
     }
@@ -60,11 +62,11 @@
     /// Grants up to `wanted` requests of a row.
     pub fn grant(&mut self, now: Millis, row: &RowKey, limit: u32, wanted: u32) -> Slice {
         let granted = self.rows.entry(row.clone()).or_default();
-        forget_old(now, granted);
+        remove_expired(now, granted);
         let used: u32 = granted.iter().map(|slice| slice.count).sum();
         let count = wanted.min(limit.saturating_sub(used));
         if count > 0 {
-            granted.push_back(Granted { at: now, count });
+            granted.push_back(GrantedSlice { at: now, count });
         }
         let oldest_at = granted.front().map_or(now, |slice| slice.at);
         Slice {
@@ -76,13 +78,13 @@
     /// Removes rows without a slice in the window.
     pub fn expire(&mut self, now: Millis) {
         self.rows.retain(|_, granted| {
-            forget_old(now, granted);
+            remove_expired(now, granted);
             !granted.is_empty()
         });
     }
 }
 
-fn forget_old(now: Millis, granted: &mut VecDeque<Granted>) {
+fn remove_expired(now: Millis, granted: &mut VecDeque<GrantedSlice>) {
     while granted
         .front()
         .is_some_and(|slice| now.since(slice.at) > WINDOW_MS)
@@ -93,7 +95,7 @@
 
 /// State of a host that asks for slices of one row.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Asking {
+struct RowRequests {
     asked_at: Option<Millis>,
     waiting: VecDeque<RequestId>,
 }
@@ -102,34 +104,34 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Metered {
     #[serde(skip)]
-    rows: IndexMap<RowKey, Asking>,
+    rows: IndexMap<RowKey, RowRequests>,
 }
 
 impl Metered {
     /// Adds a request that waits for a slice.
     pub fn push(&mut self, row: &RowKey, request: RequestId) {
-        let asking = self.rows.entry(row.clone()).or_default();
-        asking.waiting.push_back(request);
+        let requests = self.rows.entry(row.clone()).or_default();
+        requests.waiting.push_back(request);
     }
 
     /// Removes a request that is no longer wanted.
     pub fn remove(&mut self, row: &RowKey, request: RequestId) {
-        if let Some(asking) = self.rows.get_mut(row) {
-            asking.waiting.retain(|waiting| *waiting != request);
+        if let Some(requests) = self.rows.get_mut(row) {
+            requests.waiting.retain(|waiting| *waiting != request);
         }
     }
 
     /// Returns the rows for which to ask for a slice now, each with the number of waiting requests.
     pub fn due(&mut self, now: Millis) -> Vec<(RowKey, u32)> {
-        self.rows.retain(|_, asking| !asking.waiting.is_empty());
+        self.rows.retain(|_, requests| !requests.waiting.is_empty());
         let mut due = Vec::new();
-        for (row, asking) in &mut self.rows {
-            let asked = asking.asked_at;
-            if asked.is_some_and(|at| now.since(at) <= ASK_AGAIN_MS) {
+        for (row, requests) in &mut self.rows {
+            let asked = requests.asked_at;
+            if asked.is_some_and(|at| now.since(at) <= REQUEST_RETRY_MS) {
                 continue;
             }
-            asking.asked_at = Some(now);
-            due.push((row.clone(), asking.waiting.len() as u32));
+            requests.asked_at = Some(now);
+            due.push((row.clone(), requests.waiting.len() as u32));
         }
         due
     }
@@ -144,33 +146,33 @@
         asked_at: Millis,
         slice: Slice,
         wanted: u32,
-    ) -> Decided {
-        let Some(asking) = self.rows.get_mut(row) else {
-            return Decided::default();
+    ) -> AdmissionDecision {
+        let Some(requests) = self.rows.get_mut(row) else {
+            return AdmissionDecision::default();
         };
-        if asking.asked_at == Some(asked_at) {
-            asking.asked_at = None;
+        if requests.asked_at == Some(asked_at) {
+            requests.asked_at = None;
         }
         if now.since(asked_at) > SLICE_MS {
-            return Decided::default();
+            return AdmissionDecision::default();
         }
-        let mut decided = Decided::default();
-        for place in 0..wanted {
-            let Some(request) = asking.waiting.pop_front() else {
+        let mut decision = AdmissionDecision::default();
+        for index in 0..wanted {
+            let Some(request) = requests.waiting.pop_front() else {
                 break;
             };
-            match place < slice.granted {
-                true => decided.begin.push(request),
-                false => decided.refuse.push(request),
+            match index < slice.granted {
+                true => decision.begin.push(request),
+                false => decision.refuse.push(request),
             }
         }
-        decided
+        decision
     }
 }
 
 /// The decision on the requests that waited for a slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Decided {
+pub struct AdmissionDecision {
     /// Requests that may begin.
     pub begin: Vec<RequestId>,
     /// Requests refused because the limit is reached.
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -3,7 +3,7 @@
 
 mod limits;
 
-use crate::admission::pace::LEAST_STARTS;
+use crate::admission::pace::MIN_STARTS;
 use crate::admission::queue::{AGEING_MS, MAX_WAITING_OF_BRAND, Queues, Waiting};
 use crate::attempt::message::RequestId;
 use crate::prelude::*;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_idle_brand_saves_nothing_up() {
+fn idle_brand_accumulates_no_credit() {
     let mut queues = Queues::default();
     for number in 0..50 {
         let entry = waiting(number, "north", 1, Urgency::Normal);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_request_that_came_back_goes_next_and_pays_once() {
+fn requeued_request_goes_next_and_is_charged_once() {
     let mut queues = Queues::default();
     for number in 0..4 {
         let entry = waiting(number, "north", 1, Urgency::Normal);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn who_cannot_be_served_in_time_is_known_once_the_pace_is() {
+fn predicted_timeouts_are_known_once_the_rate_is() {
     const INTERVAL_MS: Millis = Millis(100);
     let mut queues = Queues::default();
     for number in 0..100 {
@@ -140,7 +140,7 @@
         queues.push(&target(), entry).unwrap();
     }
     let mut now = NOW;
-    for _ in 0..LEAST_STARTS {
+    for _ in 0..MIN_STARTS {
         assert!(queues.hopeless(now).is_empty());
         pop(&mut queues, now);
         now += INTERVAL_MS;
--- a/src/admission/tests/limits.rs
+++ b/src/admission/tests/limits.rs
@@ -15,7 +15,7 @@
 const LIMIT: u32 = 5;
 const SECOND_MS: Millis = Millis(1_000);
 
-fn check_seconds(mut begun_at: Vec<Millis>) {
+fn check_each_second(mut begun_at: Vec<Millis>) {
     begun_at.sort_unstable();
     for first in &begun_at {
         let within = |at: &&Millis| **at >= *first && at.since(*first) < SECOND_MS;
@@ -46,12 +46,12 @@
                 begun_at.push(now + Millis(u.int_in_range(0..=SLICE_MS.0)?));
             }
         }
-        check_seconds(begun_at);
+        check_each_second(begun_at);
         Ok(())
     });
 }
 
-struct World {
+struct LimitedCluster {
     cluster: Cluster,
     next_id: u64,
     seen: IndexSet<u64>,
@@ -59,13 +59,13 @@
     refused: usize,
 }
 
-impl World {
+impl LimitedCluster {
     fn new(hosts: usize) -> Self {
         let mut cluster = Cluster::new(hosts);
         cluster.upstreams.push(service_entry());
         let row = format!(r#"{{"requests_per_s": {LIMIT}}}"#);
         let call = cluster.edit(0, table_edit(&row));
-        cluster.run_until("the table", |cluster| {
+        cluster.run_until("the table edit is in force", |cluster| {
             let answer = cluster.edits.get(&call);
             matches!(answer, Some(Ok(EditAnswer::InForce { .. })))
         });
@@ -109,7 +109,7 @@
     }
 }
 
-fn disturb(u: &mut Unstructured<'_>, cluster: &mut Cluster) -> Result<()> {
+fn inject_fault(u: &mut Unstructured<'_>, cluster: &mut Cluster) -> Result<()> {
     let host = u.choose_index(cluster.hosts.len())?;
     let other = u.choose_index(cluster.hosts.len())?;
     match u.int_in_range(0..=6u8)? {
@@ -123,18 +123,18 @@
 }
 
 #[test]
-fn hosts_that_freeze_leave_and_are_cut_off_stay_within_the_limit() {
+fn limit_holds_when_hosts_freeze_leave_or_are_disconnected() {
     check_seeds(60, 4096, |u| {
-        let mut world = World::new(u.int_in_range(2..=4usize)?);
+        let mut limited = LimitedCluster::new(u.int_in_range(2..=4usize)?);
         for _ in 0..30 {
-            disturb(u, &mut world.cluster)?;
+            inject_fault(u, &mut limited.cluster)?;
             for _ in 0..u.int_in_range(1..=100u8)? {
-                let host = u.choose_index(world.cluster.hosts.len())?;
-                world.arrive(host);
-                world.step();
+                let host = u.choose_index(limited.cluster.hosts.len())?;
+                limited.arrive(host);
+                limited.step();
             }
         }
-        check_seconds(world.begun_at);
+        check_each_second(limited.begun_at);
         Ok(())
     });
 }
@@ -142,14 +142,14 @@
 #[test]
 fn a_row_gets_most_of_its_limit_over_several_hosts() {
     const SECONDS: usize = 20;
-    let mut world = World::new(3);
-    let end = world.cluster.now + Millis(SECOND_MS.0 * SECONDS as u64);
-    while world.cluster.now < end {
-        world.arrive(world.next_id as usize % 3);
-        world.step();
+    let mut limited = LimitedCluster::new(3);
+    let end = limited.cluster.now + Millis(SECOND_MS.0 * SECONDS as u64);
+    while limited.cluster.now < end {
+        limited.arrive(limited.next_id as usize % 3);
+        limited.step();
     }
-    let begun = world.begun_at.len();
-    check_seconds(world.begun_at);
+    let begun = limited.begun_at.len();
+    check_each_second(limited.begun_at);
     assert!(begun * 10 >= SECONDS * LIMIT as usize * 7, "{begun} begun");
-    assert!(world.refused > 0);
+    assert!(limited.refused > 0);
 }
