--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -11,7 +11,7 @@
 use crate::group::parents::{Parent, STALE_MS};
 use crate::ordering::message::{OrdererNews, PeerCall, PeerReply, SyncAsk, SyncReply, Totals};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use smol::Timer;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -263,10 +263,10 @@
 }
 
 /// Returns this host's own work at each upstream.
-fn own_work<P: Platform>(host: &Host<P>) -> IndexMap<Name, Work> {
+fn own_work<P: Platform>(host: &Host<P>) -> IndexMap<Name, UpstreamLoad> {
     let upstreams = host.upstreams.borrow();
     let work = upstreams.busy().map(|upstream| {
-        let work = Work {
+        let work = UpstreamLoad {
             prompt_tokens: upstream.prompt_tokens,
             long_prompts: upstream.long_prompts,
             running: upstream.in_flight,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -17,7 +17,7 @@
 use crate::retry::crash_ledger::CrashId;
 use crate::retry::message::{Crash, Evidence};
 use crate::retry::{CrashReport, RequestDigest};
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::test_support::member;
 use crate::upstreams::Lifetime;
 
@@ -27,10 +27,10 @@
     sync_ask(ASKER)
 }
 
-fn work(running: u32) -> Vec<(Name, Work)> {
-    let work = Work {
+fn work(running: u32) -> Vec<(Name, UpstreamLoad)> {
+    let work = UpstreamLoad {
         running,
-        ..Work::default()
+        ..UpstreamLoad::default()
     };
     vec![("e".into(), work)]
 }
--- a/src/ordering/book.rs
+++ b/src/ordering/book.rs
@@ -4,7 +4,7 @@
 use crate::ordering::demand::AskCount;
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::routing::roles::has_both_kinds;
 
 /// How fast a rate forgets: busy models change every few seconds.
@@ -130,8 +130,8 @@
     }
 
     /// Returns the work at each engine of all hosts but one.
-    pub fn work_of_others(&self, host: u64) -> Vec<(Name, Work)> {
-        let mut all: IndexMap<Name, Work> = IndexMap::new();
+    pub fn work_of_others(&self, host: u64) -> Vec<(Name, UpstreamLoad)> {
+        let mut all: IndexMap<Name, UpstreamLoad> = IndexMap::new();
         self.hosts.add_work(Some(host), &mut all);
         all.into_iter().collect()
     }
--- a/src/ordering/gather.rs
+++ b/src/ordering/gather.rs
@@ -4,7 +4,7 @@
 use crate::ordering::demand::{AskCount, MAX_ASKS};
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 
 /// The demand and the work of the hosts of one relay.
 #[derive(Clone, Debug, Default)]
@@ -51,7 +51,7 @@
     }
 
     /// Adds the work of all hosts but one.
-    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, UpstreamLoad>) {
         self.hosts.add_work(but, sum);
     }
 }
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -3,7 +3,7 @@
 use crate::entry::platform::ModelAsk;
 use crate::ordering::demand::AskCount;
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 
 /// How long a silent host's counts are used: six of the intervals at which hosts speak.
 const HOST_MS: Millis = Millis(1_500);
@@ -18,7 +18,7 @@
     /// What its callers asked since its last message, and what waits or runs.
     pub demand: Vec<(ModelAsk, AskCount)>,
     /// Its own work at each engine.
-    pub work: Vec<(Name, Work)>,
+    pub work: Vec<(Name, UpstreamLoad)>,
 }
 
 /// What is kept of a host's message.
@@ -28,7 +28,7 @@
     through: u32,
     /// Requests that wait or run, by what they ask for.
     present: Vec<(ModelAsk, AskCount)>,
-    work: IndexMap<Name, Work>,
+    work: IndexMap<Name, UpstreamLoad>,
 }
 
 /// The last messages by the incarnation of the host.
@@ -74,7 +74,7 @@
     }
 
     /// Adds the work of all hosts but one.
-    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+    pub fn add_work(&self, but: Option<u64>, sum: &mut IndexMap<Name, UpstreamLoad>) {
         let others = self.hosts.iter().filter(|(host, _)| Some(**host) != but);
         for (upstream, work) in others.flat_map(|(_, report)| &report.work) {
             *sum.entry(upstream.clone()).or_default() += *work;
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -13,7 +13,7 @@
 use crate::prelude::*;
 use crate::rate_limit::{LimitsNews, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
 use crate::retry::{CrashNews, CrashReport};
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::HeldModel;
 
 /// What an engine is told to do.
@@ -94,7 +94,7 @@
     /// What its callers asked since the last message.
     pub demand: Vec<(ModelAsk, AskCount)>,
     /// Its own work at each engine.
-    pub work: Vec<(Name, Work)>,
+    pub work: Vec<(Name, UpstreamLoad)>,
     /// From where it wants rows of the list of upstreams.
     pub upstreams_from: Option<Offset>,
     /// How many other hosts speak through it.
@@ -130,7 +130,7 @@
     /// What the engines hold, as far as it changed since the asker's version.
     pub engines: EnginesNews,
     /// The other hosts' work at each engine.
-    pub work: Vec<(Name, Work)>,
+    pub work: Vec<(Name, UpstreamLoad)>,
     /// How long until models are expected to be ready.
     pub ready_in_ms: Vec<(ModelAsk, Millis)>,
     /// The models whose copies are kept apart for long and for short prompts.
--- a/src/ordering/tests/gather.rs
+++ b/src/ordering/tests/gather.rs
@@ -5,7 +5,7 @@
 use crate::ordering::gather::Gather;
 use crate::ordering::host_reports::HostReport;
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::test_support::seeded;
 use arbtest::arbitrary::{Result, Unstructured};
 
@@ -82,9 +82,9 @@
 fn a_host_is_told_the_work_of_the_others_only_and_a_silent_one_counts_no_more() {
     let mut relay = Gather::default();
     let work = |running| {
-        let work = Work {
+        let work = UpstreamLoad {
             running,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         HostReport {
             work: vec![(Name::from("e"), work)],
@@ -96,7 +96,7 @@
     let running = |relay: &Gather, but| {
         let mut sum = IndexMap::new();
         relay.add_work(but, &mut sum);
-        sum.get("e").map_or(0, |work: &Work| work.running)
+        sum.get("e").map_or(0, |work: &UpstreamLoad| work.running)
     };
     assert_eq!(running(&relay, None), 7);
     assert_eq!(running(&relay, Some(1)), 4);
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -31,9 +31,9 @@
         ..waiting(0)
     };
     let work = |engine: &str| {
-        let work = Work {
+        let work = UpstreamLoad {
             running: 3,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         (Name::from(engine), work)
     };
@@ -85,9 +85,9 @@
     };
     // Every engine runs something for the model that is fading.
     let work = |n: usize| {
-        let work = Work {
+        let work = UpstreamLoad {
             running: 1,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         (Name::from(format!("e{n}")), work)
     };
@@ -111,9 +111,9 @@
         ..waiting(0)
     };
     let work = |n: usize, running| {
-        let work = Work {
+        let work = UpstreamLoad {
             running,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         (Name::from(format!("e{n}")), work)
     };
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -18,7 +18,7 @@
 use crate::ordering::message::{Action, EngineReport, OrderAnswer};
 use crate::ordering::planner::{Planned, Planner, load_time};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::HeldModel;
 
 const NOW: Millis = Millis(1_000_000);
@@ -92,7 +92,7 @@
         host: u64,
         at: Millis,
         demand: Vec<(ModelAsk, AskCount)>,
-        work: Vec<(Name, Work)>,
+        work: Vec<(Name, UpstreamLoad)>,
     ) {
         let report = HostReport {
             demand,
--- a/src/ordering/view.rs
+++ b/src/ordering/view.rs
@@ -3,7 +3,7 @@
 use crate::entry::platform::ModelAsk;
 use crate::ordering::published::{EnginesNews, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::Lifetime;
 
 /// How long an engine is passed over for a model that it said it lacks: about the age of what hosts know.
@@ -22,7 +22,7 @@
     /// How often it answered.
     pub answers: u64,
     engines: PublishedEngines,
-    work: IndexMap<Name, Work>,
+    work: IndexMap<Name, UpstreamLoad>,
     ready_at: IndexMap<ModelAsk, Millis>,
     separate: IndexSet<Name>,
     lacking: IndexMap<(Name, ModelAsk), Lacking>,
@@ -57,7 +57,7 @@
     }
 
     /// Takes the other hosts' work at each engine.
-    pub fn take_work(&mut self, work: Vec<(Name, Work)>) {
+    pub fn take_work(&mut self, work: Vec<(Name, UpstreamLoad)>) {
         self.work = work.into_iter().collect();
     }
 
@@ -117,12 +117,12 @@
     }
 
     /// Returns the other hosts' work at an engine.
-    pub fn work(&self, upstream: &str) -> Work {
+    pub fn work(&self, upstream: &str) -> UpstreamLoad {
         self.work.get(upstream).copied().unwrap_or_default()
     }
 
     /// Adds the other hosts' work, as the orderer said it.
-    pub fn add_work(&self, sum: &mut IndexMap<Name, Work>) {
+    pub fn add_work(&self, sum: &mut IndexMap<Name, UpstreamLoad>) {
         for (upstream, work) in &self.work {
             *sum.entry(upstream.clone()).or_default() += *work;
         }
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -34,7 +34,7 @@
 /// Load that hosts have placed on one upstream. The choice of an upstream uses the sum over all
 /// other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Work {
+pub struct UpstreamLoad {
     /// Prompt tokens of requests that have not had their first event.
     pub prompt_tokens: u64,
     /// Number of these requests that have long prompts.
@@ -43,7 +43,7 @@
     pub running: u32,
 }
 
-impl std::ops::AddAssign for Work {
+impl std::ops::AddAssign for UpstreamLoad {
     fn add_assign(&mut self, other: Self) {
         self.prompt_tokens += other.prompt_tokens;
         self.long_prompts += other.long_prompts;
@@ -51,7 +51,7 @@
     }
 }
 
-impl Work {
+impl UpstreamLoad {
     /// Returns the number of requests in flight at an upstream from all hosts: `self`, which holds
     /// those of the other hosts, plus this host's own.
     pub fn under_way(&self, upstream: &Upstream) -> u32 {
@@ -123,7 +123,7 @@
 pub fn engine<'a>(
     now: Millis,
     model: &ModelCopies<'_>,
-    candidates: impl Iterator<Item = (&'a Upstream, Work)>,
+    candidates: impl Iterator<Item = (&'a Upstream, UpstreamLoad)>,
     prompt: PromptShape,
     occupancy: Occupancy,
     random: &mut fastrand::Rng,
@@ -144,7 +144,7 @@
     // The first of several engines with equal cost is chosen. With the same order on all hosts, all
     // of them would send to the same engine.
     random.shuffle(&mut candidates);
-    let cost = |(upstream, other_load): &(&Upstream, Work)| {
+    let cost = |(upstream, other_load): &(&Upstream, UpstreamLoad)| {
         let prompt_tokens = upstream.prompt_tokens + other_load.prompt_tokens;
         let under_way = other_load.under_way(upstream);
         let slot_wait_ms = occupancy.wait_ms(upstream.entry.slots, under_way);
@@ -177,10 +177,10 @@
 ) -> Option<&'a Upstream> {
     let candidates: Vec<_> = candidates
         .filter(|upstream| is_available(now, upstream))
-        .map(|upstream| (upstream, Work::default()))
+        .map(|upstream| (upstream, UpstreamLoad::default()))
         .collect();
     let mut index = 0;
-    let cost = |(upstream, _): &(&Upstream, Work)| {
+    let cost = |(upstream, _): &(&Upstream, UpstreamLoad)| {
         index += 1;
         let used = f64::from(upstream.in_flight) / f64::from(upstream.entry.slots.max(1));
         let remote_cost = match &*upstream.entry.data_centre == data_centre {
@@ -200,8 +200,8 @@
 }
 
 fn lowest_cost<'a>(
-    candidates: Vec<(&'a Upstream, Work)>,
-    mut cost: impl FnMut(&(&'a Upstream, Work)) -> f64,
+    candidates: Vec<(&'a Upstream, UpstreamLoad)>,
+    mut cost: impl FnMut(&(&'a Upstream, UpstreamLoad)) -> f64,
 ) -> Option<&'a Upstream> {
     let costs = candidates.into_iter().map(|candidate| {
         let cost = cost(&candidate);
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -3,7 +3,7 @@
 use crate::desired::EngineSpec;
 use crate::prelude::*;
 use crate::routing::occupancy::Occupancy;
-use crate::routing::pick::{self, ModelCopies, PromptShape, Work};
+use crate::routing::pick::{self, ModelCopies, PromptShape, UpstreamLoad};
 use crate::routing::prefix::fetch_share;
 use crate::upstreams::{Registry, UpstreamEntry};
 
@@ -46,9 +46,9 @@
     let mut random = fastrand::Rng::with_seed(7);
     for request in 0..requests {
         let with_work = registry.iter().map(|upstream| {
-            let work = Work {
+            let work = UpstreamLoad {
                 running: running[&upstream.entry.id],
-                ..Work::default()
+                ..UpstreamLoad::default()
             };
             (upstream, work)
         });
@@ -118,7 +118,9 @@
         reread_cost: 1.0,
     };
     let choose = |now| {
-        let with_work = registry.iter().map(|upstream| (upstream, Work::default()));
+        let with_work = registry
+            .iter()
+            .map(|upstream| (upstream, UpstreamLoad::default()));
         let occupancy = Occupancy::default();
         let mut random = fastrand::Rng::with_seed(1);
         pick::engine(
@@ -146,7 +148,9 @@
         reread_cost: 1.0,
     };
     let choose = |host| {
-        let with_work = registry.iter().map(|upstream| (upstream, Work::default()));
+        let with_work = registry
+            .iter()
+            .map(|upstream| (upstream, UpstreamLoad::default()));
         let mut random = fastrand::Rng::with_seed(host);
         let prompt = PromptShape {
             shared_tokens: 0,
@@ -176,9 +180,9 @@
         let mut random = fastrand::Rng::with_seed(3);
         for _ in 0..4 {
             let with_work = registry.iter().map(|upstream| {
-                let work = Work {
+                let work = UpstreamLoad {
                     prompt_tokens: queued.get(&upstream.entry.id).copied().unwrap_or(0),
-                    ..Work::default()
+                    ..UpstreamLoad::default()
                 };
                 (upstream, work)
             });
