--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -134,7 +134,7 @@
         digested.extend_from_slice(&part.id.to_le_bytes());
     }
     PromptShape {
-        beginning: rapidhash_v3(&digested),
+        prefix_digest: rapidhash_v3(&digested),
         shared_tokens: shared.iter().map(|part| part.tokens).sum(),
         tokens: facts.prompt_tokens,
     }
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PromptShape {
     /// Digest of the model, the adapter and the shared prefix of the prompt.
-    pub beginning: u64,
+    pub prefix_digest: u64,
     /// Tokens of the shared prefix.
     pub shared_tokens: u64,
     /// Tokens of the whole prompt.
@@ -115,7 +115,7 @@
     holders
         .filter(|upstream| !reserved_for_other_kind.contains(&upstream.entry.id))
         .filter(|upstream| &*upstream.entry.id != receiver)
-        .max_by_key(|upstream| affinity(&upstream.entry.id, prompt.beginning))
+        .max_by_key(|upstream| affinity(&upstream.entry.id, prompt.prefix_digest))
 }
 
 /// Chooses the engine with the lowest predicted wait among those that hold the model and are
@@ -139,7 +139,7 @@
     let preferred = candidates
         .iter()
         .filter(|(upstream, _)| !reserved_for_other_kind.contains(&upstream.entry.id))
-        .max_by_key(|(upstream, _)| affinity(&upstream.entry.id, prompt.beginning))
+        .max_by_key(|(upstream, _)| affinity(&upstream.entry.id, prompt.prefix_digest))
         .map(|(upstream, _)| upstream.entry.id.clone());
     // The first of several engines with equal cost is chosen. With the same order on all hosts, all
     // of them would send to the same engine.
@@ -214,6 +214,6 @@
 
 /// Returns the rendezvous score of an upstream for a prefix. When an upstream is added or removed,
 /// only the prefixes that it is preferred for change their preferred upstream.
-pub fn affinity(id: &str, beginning: u64) -> u64 {
-    rendezvous::score(id.as_bytes(), beginning)
+pub fn affinity(id: &str, prefix_digest: u64) -> u64 {
+    rendezvous::score(id.as_bytes(), prefix_digest)
 }
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -27,9 +27,9 @@
     registry
 }
 
-fn short_prompt(beginning: u64) -> PromptShape {
+fn short_prompt(prefix_digest: u64) -> PromptShape {
     PromptShape {
-        beginning,
+        prefix_digest,
         shared_tokens: 170,
         tokens: 700,
     }
@@ -187,7 +187,7 @@
                 (upstream, work)
             });
             let prompt = PromptShape {
-                beginning: 1,
+                prefix_digest: 1,
                 shared_tokens: 6_300,
                 tokens: 9_200,
             };
@@ -240,19 +240,19 @@
         are_separate: false,
         reread_cost: 0.04,
     };
-    let source = |beginning, without: &str, receiver: &str| {
+    let source = |prefix_digest, without: &str, receiver: &str| {
         let holders: Vec<_> = registry
             .iter()
             .filter(|engine| &*engine.entry.id != without)
             .collect();
-        let prompt = short_prompt(beginning);
+        let prompt = short_prompt(prefix_digest);
         let source = pick::prefix_source(&copies, holders.into_iter(), prompt, receiver);
         source.map(|engine| engine.entry.id.clone())
     };
-    for beginning in 0..100 {
-        let first = source(beginning, "", "").expect("an engine has the prefix");
-        let before = source(beginning, &first, "");
-        assert_eq!(source(beginning, "", &first), before);
-        assert_eq!(source(beginning, "", "another"), Some(first));
+    for prefix_digest in 0..100 {
+        let first = source(prefix_digest, "", "").expect("an engine has the prefix");
+        let before = source(prefix_digest, &first, "");
+        assert_eq!(source(prefix_digest, "", &first), before);
+        assert_eq!(source(prefix_digest, "", "another"), Some(first));
     }
 }
