--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -47,7 +47,7 @@
 fn model_copies<'a>(view: &View, model: &'a ModelAsk, fetch_share: Option<f64>) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
-        are_separate: view.is_separate(&model.model),
+        separates_prompt_lengths: view.is_separate(&model.model),
         reread_cost: fetch_share.unwrap_or(1.0),
     }
 }
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -76,7 +76,7 @@
     /// Name of the model.
     pub name: &'a str,
     /// Whether long and short prompts go to separate copies of the model.
-    pub are_separate: bool,
+    pub separates_prompt_lengths: bool,
     /// Cost of a shared prefix that an engine has not cached, as a fraction of the cost of reading
     /// it; below 1 where the engine fetches the prefix from another engine.
     pub reread_cost: f64,
@@ -90,7 +90,7 @@
         holders: impl Iterator<Item = &'a Upstream> + Clone,
         prompt: PromptShape,
     ) -> IndexSet<&'a Name> {
-        if !self.are_separate {
+        if !self.separates_prompt_lengths {
             return IndexSet::new();
         }
         let ids = || holders.clone().map(|upstream| &upstream.entry.id);
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -37,7 +37,7 @@
 
 /// Sends requests one after the other, each to the engine that is chosen for it, and returns the
 /// number of requests for each engine. None of them ends.
-fn spread(requests: u64, are_separate: bool) -> Vec<u32> {
+fn spread(requests: u64, separates_prompt_lengths: bool) -> Vec<u32> {
     let registry = engines(4);
     let mut running: IndexMap<Name, u32> = registry
         .iter()
@@ -54,7 +54,7 @@
         });
         let copies = ModelCopies {
             name: "m",
-            are_separate,
+            separates_prompt_lengths,
             reread_cost: 1.0,
         };
         // The prompts share two prefixes, each of which has a preferred engine.
@@ -114,7 +114,7 @@
     }
     let copies = ModelCopies {
         name: "m",
-        are_separate: false,
+        separates_prompt_lengths: false,
         reread_cost: 1.0,
     };
     let choose = |now| {
@@ -144,7 +144,7 @@
     let registry = engines(4);
     let copies = ModelCopies {
         name: "m",
-        are_separate: false,
+        separates_prompt_lengths: false,
         reread_cost: 1.0,
     };
     let choose = |host| {
@@ -173,7 +173,7 @@
     let busiest = |reread_cost| {
         let copies = ModelCopies {
             name: "m",
-            are_separate: false,
+            separates_prompt_lengths: false,
             reread_cost,
         };
         let mut queued: IndexMap<Name, u64> = IndexMap::new();
@@ -237,7 +237,7 @@
     let registry = engines(4);
     let copies = ModelCopies {
         name: "m",
-        are_separate: false,
+        separates_prompt_lengths: false,
         reread_cost: 0.04,
     };
     let source = |prefix_digest, without: &str, receiver: &str| {
