--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -48,7 +48,7 @@
     ModelCopies {
         name: &model.model,
         separates_prompt_lengths: view.is_separate(&model.model),
-        reread_cost: fetch_share.unwrap_or(1.0),
+        prefix_miss_cost: fetch_share.unwrap_or(1.0),
     }
 }
 
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -79,7 +79,7 @@
     pub separates_prompt_lengths: bool,
     /// Cost of a shared prefix that an engine has not cached, as a fraction of the cost of reading
     /// it; below 1 where the engine fetches the prefix from another engine.
-    pub reread_cost: f64,
+    pub prefix_miss_cost: f64,
 }
 
 impl ModelCopies<'_> {
@@ -150,7 +150,7 @@
         let slot_wait_ms = occupancy.wait_ms(upstream.entry.slots, under_way);
         let prefix_cost = match Some(&upstream.entry.id) == preferred.as_ref() {
             true => 0.0,
-            false => prompt.shared_tokens as f64 * model.reread_cost,
+            false => prompt.shared_tokens as f64 * model.prefix_miss_cost,
         };
         let wrong_copy_cost = match reserved_for_other_kind.contains(&upstream.entry.id) {
             true => WRONG_COPY_COST_TOKENS,
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -55,7 +55,7 @@
         let copies = ModelCopies {
             name: "m",
             separates_prompt_lengths,
-            reread_cost: 1.0,
+            prefix_miss_cost: 1.0,
         };
         // The prompts share two prefixes, each of which has a preferred engine.
         let prompt = short_prompt(request % 2);
@@ -115,7 +115,7 @@
     let copies = ModelCopies {
         name: "m",
         separates_prompt_lengths: false,
-        reread_cost: 1.0,
+        prefix_miss_cost: 1.0,
     };
     let choose = |now| {
         let with_work = registry
@@ -145,7 +145,7 @@
     let copies = ModelCopies {
         name: "m",
         separates_prompt_lengths: false,
-        reread_cost: 1.0,
+        prefix_miss_cost: 1.0,
     };
     let choose = |host| {
         let with_work = registry
@@ -170,11 +170,11 @@
 #[test]
 fn fetchable_prefix_does_not_queue_requests_at_its_preferred_engine() {
     let registry = engines(4);
-    let busiest = |reread_cost| {
+    let busiest = |prefix_miss_cost| {
         let copies = ModelCopies {
             name: "m",
             separates_prompt_lengths: false,
-            reread_cost,
+            prefix_miss_cost,
         };
         let mut queued: IndexMap<Name, u64> = IndexMap::new();
         let mut random = fastrand::Rng::with_seed(3);
@@ -238,7 +238,7 @@
     let copies = ModelCopies {
         name: "m",
         separates_prompt_lengths: false,
-        reread_cost: 0.04,
+        prefix_miss_cost: 0.04,
     };
     let source = |prefix_digest, without: &str, receiver: &str| {
         let holders: Vec<_> = registry
