--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -21,7 +21,7 @@
 const WRONG_COPY_COST_TOKENS: f64 = 14_000.0;
 /// Prompt tokens that an engine reads in a millisecond. Converts waiting times to the unit of the
 /// other costs.
-pub const TOKENS_PER_MS: f64 = 38.0;
+pub const PREFILL_TOKENS_PER_MS: f64 = 38.0;
 /// Cost of an upstream that fails every request, in prompt tokens: more than any queue that is
 /// worth waiting in.
 const FAILURE_COST_TOKENS: f64 = 60_000.0;
@@ -160,7 +160,7 @@
             + prefix_cost
             + wrong_copy_cost
             + f64::from(under_way) * RUNNING_COST_TOKENS
-            + slot_wait_ms * TOKENS_PER_MS
+            + slot_wait_ms * PREFILL_TOKENS_PER_MS
             + upstream.health.failure_share(now) * FAILURE_COST_TOKENS
     };
     lowest_cost(candidates, cost)
