--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -57,7 +57,7 @@
     let routes = host.routes.borrow();
     let service = routes.as_ref()?.services.get(&ask.service)?;
     let shared_tokens = prompt_shape(&ask.facts).shared_tokens;
-    prefix::fetch_share(
+    prefix::prefix_fetch_ratio(
         service.engine.as_ref()?,
         pick::PREFILL_TOKENS_PER_MS,
         shared_tokens,
--- a/src/routing/prefix.rs
+++ b/src/routing/prefix.rs
@@ -18,7 +18,11 @@
 /// Returns the time to fetch a prefix divided by the time to read it, or `None` if engines should
 /// read it. It is computed from the link speed and the state size per token in `spec`.
 /// `tokens_per_ms` is the reading speed of engines.
-pub fn fetch_share(spec: &EngineSpec, tokens_per_ms: f64, shared_tokens: u64) -> Option<f64> {
+pub fn prefix_fetch_ratio(
+    spec: &EngineSpec,
+    tokens_per_ms: f64,
+    shared_tokens: u64,
+) -> Option<f64> {
     if spec.link_mbps <= 0.0 || spec.token_bytes <= 0.0 || shared_tokens < MIN_FETCHED_TOKENS {
         return None;
     }
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 use crate::routing::occupancy::Occupancy;
 use crate::routing::pick::{self, ModelCopies, PromptShape, UpstreamLoad};
-use crate::routing::prefix::fetch_share;
+use crate::routing::prefix::prefix_fetch_ratio;
 use crate::upstreams::{Registry, UpstreamEntry};
 
 const SLOTS: u32 = 24;
@@ -209,7 +209,7 @@
         link_mbps,
         ..EngineSpec::default()
     };
-    let share = |spec: EngineSpec, tokens| fetch_share(&spec, 38.0, tokens);
+    let share = |spec: EngineSpec, tokens| prefix_fetch_ratio(&spec, 38.0, tokens);
     let fast = share(spec(131_072.0, 1_100_000.0), 6_300).expect("the prefix is fetched");
     assert!((0.03..0.05).contains(&fast), "{fast}");
     assert_eq!(
