--- a/src/ordering/book.rs
+++ b/src/ordering/book.rs
@@ -5,7 +5,7 @@
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
 use crate::routing::pick::UpstreamLoad;
-use crate::routing::roles::has_both_kinds;
+use crate::routing::roles::needs_separate_copies;
 
 /// How fast a rate forgets: busy models change every few seconds.
 const HALF_LIFE_MS: f64 = 5_000.0;
@@ -185,6 +185,6 @@
 impl ModelDemand {
     /// Tells whether the model is asked with long and with short prompts.
     pub fn has_both_kinds(&self) -> bool {
-        has_both_kinds(self.long_per_s, self.per_s - self.long_per_s)
+        needs_separate_copies(self.long_per_s, self.per_s - self.long_per_s)
     }
 }
--- a/src/routing/roles.rs
+++ b/src/routing/roles.rs
@@ -25,7 +25,7 @@
 
 /// Returns whether the rates of long and of short prompts are high enough to separate a model's
 /// copies.
-pub fn has_both_kinds(long_per_s: f64, short_per_s: f64) -> bool {
+pub fn needs_separate_copies(long_per_s: f64, short_per_s: f64) -> bool {
     long_per_s >= MIN_LONG_PER_S && short_per_s >= MIN_SHORT_PER_S
 }
 
