--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -8,7 +8,7 @@
 use crate::ordering::message::Action;
 use crate::ordering::planner::{Planned, Planner};
 use crate::prelude::*;
-use crate::routing::roles::short_copies;
+use crate::routing::roles::short_prompt_copies;
 
 /// Adapters that are brought ahead at once, over all engines: half of what the smallest weight store fetches at full
 /// speed, so that those that callers wait for are not slowed.
@@ -75,7 +75,7 @@
         };
         let holding = || holders().filter(|engine| engine.is_free(self.now));
         let for_short = match separate.contains(&ask.model) {
-            true => short_copies(&ask.model, holders().map(|engine| &engine.id)),
+            true => short_prompt_copies(&ask.model, holders().map(|engine| &engine.id)),
             false => Vec::new(),
         };
         let with_place = holding()
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -10,7 +10,7 @@
 use crate::prelude::*;
 use crate::rendezvous;
 use crate::routing::occupancy::Occupancy;
-use crate::routing::roles::{is_long, short_copies};
+use crate::routing::roles::{is_long, short_prompt_copies};
 use crate::upstreams::Upstream;
 
 /// Delay that one running request causes to another, in prompt tokens: each step of an engine
@@ -94,7 +94,7 @@
             return IndexSet::new();
         }
         let ids = || holders.clone().map(|upstream| &upstream.entry.id);
-        let short = short_copies(self.name, ids());
+        let short = short_prompt_copies(self.name, ids());
         let is_long = is_long(prompt.tokens);
         ids()
             .filter(|id| !short.is_empty() && short.contains(id) == is_long)
--- a/src/routing/roles.rs
+++ b/src/routing/roles.rs
@@ -35,7 +35,10 @@
 
 /// Chooses the copies reserved for short prompts among the engines that hold a model. Every host
 /// chooses the same ones. A single copy serves both kinds, so the result is empty.
-pub fn short_copies<'a>(model: &str, holders: impl Iterator<Item = &'a Name>) -> Vec<&'a Name> {
+pub fn short_prompt_copies<'a>(
+    model: &str,
+    holders: impl Iterator<Item = &'a Name>,
+) -> Vec<&'a Name> {
     let digest = rapidhash::v3::rapidhash_v3(model.as_bytes());
     let mut ranked: Vec<&Name> = holders.collect();
     if ranked.len() < 2 {
