--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -300,7 +300,7 @@
 fn note_full<P: Platform>(host: &Host<P>, ask: &Ask, upstream: &Lifetime, now: Millis) {
     let occupancy = host.occupancy(&ask.service);
     if let Some(view) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
-        view.full_until = now + occupancy.full_ms(view.entry.slots);
+        view.full_until = now + occupancy.full_backoff_ms(view.entry.slots);
     }
 }
 
--- a/src/routing/occupancy.rs
+++ b/src/routing/occupancy.rs
@@ -44,7 +44,7 @@
 
     /// Returns how long an engine that refused a request because it is full gets no more requests:
     /// until a few of its slots should be free.
-    pub fn full_ms(&self, slots: u32) -> Millis {
+    pub fn full_backoff_ms(&self, slots: u32) -> Millis {
         let slot_ms = self.mean_ms / f64::from(slots.max(1));
         Millis((slot_ms * MIN_FREED_SLOTS) as u64).min(MAX_FULL_BACKOFF_MS)
     }
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -108,9 +108,9 @@
 fn full_engine_gets_no_requests_until_slots_should_be_free() {
     let mut registry = engines(1);
     let lifetime = registry.get("e0").expect("e0 is registered").lifetime();
-    let full_ms = Occupancy::default().full_ms(SLOTS);
+    let full_backoff_ms = Occupancy::default().full_backoff_ms(SLOTS);
     if let Some(engine) = registry.get_lifetime_mut(&lifetime) {
-        engine.full_until = NOW + full_ms;
+        engine.full_until = NOW + full_backoff_ms;
     }
     let copies = ModelCopies {
         name: "m",
@@ -134,7 +134,7 @@
         .is_some()
     };
     assert!(!choose(NOW));
-    assert!(choose(NOW + full_ms));
+    assert!(choose(NOW + full_backoff_ms));
 }
 
 /// Guards against many hosts choosing the same engine when demand for a model starts on all of them
