--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -136,7 +136,7 @@
             first_byte_ms,
             urgency: request.urgency,
         };
-        self.routing.view(&chosen.name).in_flight += 1;
+        self.routing.view_mut(&chosen.name).in_flight += 1;
         fx.push(Effect::Begin { attempt });
     }
 
@@ -151,7 +151,7 @@
         if request.attempts == number {
             let streamed = request.head.streamed;
             self.routing
-                .view(upstream)
+                .view_mut(upstream)
                 .note_first_byte(streamed, first_byte_ms);
         }
     }
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -289,7 +289,7 @@
                 if !entry.leaving {
                     self.leaving.clear(&entry.name, now);
                 }
-                self.routing.view(&entry.name).leaving = entry.leaving;
+                self.routing.view_mut(&entry.name).leaving = entry.leaving;
             }
             _ => {}
         }
--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -33,7 +33,7 @@
         let upstreams = self.shared.placement.upstreams.values();
         let engines = upstreams.filter(|upstream| upstream.role == UpstreamRole::Engine);
         for engine in self.routing.due_reports(now, engines) {
-            let view = self.routing.view(&engine.name);
+            let view = self.routing.view_mut(&engine.name);
             view.report_under_way = true;
             view.report_asked_at = now;
             fx.push(Effect::AskEngine {
@@ -52,7 +52,7 @@
         _asked_at: Millis,
         report: Option<EngineReport>,
     ) {
-        let view = self.routing.view(upstream);
+        let view = self.routing.view_mut(upstream);
         view.report_under_way = false;
         let was_silent = std::mem::replace(&mut view.silent, report.is_none());
         let Some(report) = report else {
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -238,18 +238,18 @@
             }
             AttemptOutcome::CallerGone | AttemptOutcome::Broken(_) => self.finish(now, id),
             AttemptOutcome::NotRun(why) => {
-                self.routing.view(&upstream).resting_until = now + FAILURE_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + FAILURE_REST_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Busy(why) => {
-                self.routing.view(&upstream).resting_until = now + BUSY_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + BUSY_REST_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Silent(why) => {
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Unknown(why) => {
-                self.routing.view(&upstream).resting_until = now + FAILURE_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + FAILURE_REST_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
         }
@@ -314,7 +314,7 @@
             return;
         };
         if let Phase::Running { upstream } = &request.phase {
-            let view = self.routing.view(upstream);
+            let view = self.routing.view_mut(upstream);
             view.in_flight = view.in_flight.saturating_sub(1);
         }
     }
--- a/src/daemon/upstream_flow.rs
+++ b/src/daemon/upstream_flow.rs
@@ -15,7 +15,7 @@
         if self.leaving.mark(upstream, said_at) {
             LogEvent::UpstreamLeaving.write(&format!("upstream={upstream}"));
         }
-        self.routing.view(upstream).leaving = true;
+        self.routing.view_mut(upstream).leaving = true;
     }
 
     /// Takes a peer's hints.
@@ -31,7 +31,7 @@
     /// Ends the marks that are over.
     pub fn tick_leaving(&mut self, now: Millis) {
         for upstream in self.leaving.expire(now) {
-            self.routing.view(&upstream).leaving = false;
+            self.routing.view_mut(&upstream).leaving = false;
         }
     }
 
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -54,7 +54,7 @@
         let due = routing.due_reports(now, engines.iter());
         assert_eq!(due.len(), MAX_REPORT_REQUESTS);
         for engine in due {
-            routing.view(&engine.name).report_asked_at = now;
+            routing.view_mut(&engine.name).report_asked_at = now;
             asked.insert(engine.name.clone());
         }
         assert!(routing.due_reports(now, engines.iter()).is_empty());
@@ -67,14 +67,14 @@
     let engines = engines(10 * MAX_REPORT_REQUESTS);
     let mut routing = Routing::default();
     let in_use = engines[7].name.clone();
-    routing.view(&in_use).in_flight = 1;
+    routing.view_mut(&in_use).in_flight = 1;
     let mut now = Millis(1_000_000);
     for _ in 0..10 {
         now += REPORT_INTERVAL_MS;
         let due = routing.due_reports(now, engines.iter());
         assert!(due.iter().any(|engine| engine.name == in_use));
         for engine in due {
-            routing.view(&engine.name).report_asked_at = now;
+            routing.view_mut(&engine.name).report_asked_at = now;
         }
     }
 }
--- a/src/routing/upstreams.rs
+++ b/src/routing/upstreams.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns the state of an upstream for modification, and creates it if there is none.
-    pub fn view(&mut self, upstream: &Name) -> &mut UpstreamView {
+    pub fn view_mut(&mut self, upstream: &Name) -> &mut UpstreamView {
         self.views.entry(upstream.clone()).or_default()
     }
 
