--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -164,7 +164,7 @@
         }
         let bound_ms = self
             .routing
-            .first_byte_bound(upstream, request.head.streamed);
+            .first_byte_timeout(upstream, request.head.streamed);
         let patience = 1 << request.failures.min(MAX_FAILURES);
         Millis(bound_ms.0 * patience).min(to_deadline_ms)
     }
--- a/src/routing/upstreams.rs
+++ b/src/routing/upstreams.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the timeout for the first byte of an upstream's answer.
-    pub fn first_byte_bound(&self, upstream: &str, streamed: bool) -> Millis {
+    pub fn first_byte_timeout(&self, upstream: &str, streamed: bool) -> Millis {
         let Some(view) = self.get(upstream) else {
             return MAX_TIMEOUT_MS;
         };
