--- a/src/routing/upstreams.rs
+++ b/src/routing/upstreams.rs
@@ -6,7 +6,7 @@
 use crate::routing::first_byte::{FirstByteTimes, MAX_TIMEOUT_MS};
 
 /// How long an upstream gets no requests after a failure.
-pub const FAILURE_REST_MS: Millis = Millis(500);
+pub const FAILURE_BACKOFF_MS: Millis = Millis(500);
 /// How long an upstream gets no requests after it refused one as busy.
 pub const BUSY_REST_MS: Millis = Millis(50);
 /// Interval at which engines are asked for their reports.
