--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -7,7 +7,7 @@
 use crate::error::Ran;
 use crate::idempotency::message::OperationKey;
 use crate::prelude::*;
-use crate::routing::upstreams::{BUSY_REST_MS, FAILURE_BACKOFF_MS};
+use crate::routing::upstreams::{BUSY_BACKOFF_MS, FAILURE_BACKOFF_MS};
 use crate::shared_log::fold::Applied;
 use crate::table::message::RowKey;
 
@@ -242,7 +242,7 @@
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Busy(why) => {
-                self.routing.view_mut(&upstream).resting_until = now + BUSY_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + BUSY_BACKOFF_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Silent(why) => {
--- a/src/routing/upstreams.rs
+++ b/src/routing/upstreams.rs
@@ -8,7 +8,7 @@
 /// How long an upstream gets no requests after a failure.
 pub const FAILURE_BACKOFF_MS: Millis = Millis(500);
 /// How long an upstream gets no requests after it refused one as busy.
-pub const BUSY_REST_MS: Millis = Millis(50);
+pub const BUSY_BACKOFF_MS: Millis = Millis(50);
 /// Interval at which engines are asked for their reports.
 pub const REPORT_INTERVAL_MS: Millis = Millis(500);
 /// Maximum number of engines asked for their report in one interval, independent of the number of
