--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -3,7 +3,7 @@
 pub mod limits;
 pub mod pace;
 pub mod queue;
-pub mod slices;
+pub mod quota;
 
 #[cfg(test)]
 mod tests;
--- a/src/admission/tests/limits.rs
+++ b/src/admission/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Tests that over all hosts no more requests of a row begin in any second than its limit allows.
 
-use crate::admission::slices::{Granting, SLICE_MS};
+use crate::admission::quota::{Granting, SLICE_MS};
 use crate::attempt::message::RequestId;
 use crate::attempt::requests::Phase;
 use crate::daemon::event::Event;
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -1,6 +1,6 @@
 //! Joins the rows' limits over all hosts to membership: who grants, and who asks.
 
-use crate::admission::slices::Slice;
+use crate::admission::quota::Slice;
 use crate::attempt::message::RequestId;
 use crate::attempt::requests::Phase;
 use crate::daemon::node::Node;
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::limits::Limits;
 use crate::admission::queue::Queues;
-use crate::admission::slices::{Granting, Metered};
+use crate::admission::quota::{Granting, Metered};
 use crate::attempt::requests::Requests;
 use crate::daemon::event::Event;
 use crate::idempotency::finished::FinishedOperations;
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -1,6 +1,6 @@
 //! What is said about hosts and upstreams, on the log and between hosts.
 
-use crate::admission::slices::Slice;
+use crate::admission::quota::Slice;
 use crate::clock::Millis;
 use crate::idempotency::message::{OperationKey, OperationState};
 use crate::membership::leaving::LeavingHint;
