--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -21,7 +21,7 @@
 
 /// The home's answer to a host that asked for a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Slice {
+pub struct QuotaGrant {
     /// Number of requests that may begin.
     pub granted: u32,
     /// When a refused request may be retried.
@@ -60,7 +60,7 @@
     }
 
     /// Grants up to `wanted` requests of a row.
-    pub fn grant(&mut self, now: Millis, row: &RowKey, limit: u32, wanted: u32) -> Slice {
+    pub fn grant(&mut self, now: Millis, row: &RowKey, limit: u32, wanted: u32) -> QuotaGrant {
         let granted = self.rows.entry(row.clone()).or_default();
         remove_expired(now, granted);
         let used: u32 = granted.iter().map(|slice| slice.count).sum();
@@ -69,7 +69,7 @@
             granted.push_back(GrantedSlice { at: now, count });
         }
         let oldest_at = granted.front().map_or(now, |slice| slice.at);
-        Slice {
+        QuotaGrant {
             granted: count,
             retry_after_ms: WINDOW_MS - now.since(oldest_at),
         }
@@ -144,7 +144,7 @@
         now: Millis,
         row: &RowKey,
         asked_at: Millis,
-        slice: Slice,
+        slice: QuotaGrant,
         wanted: u32,
     ) -> AdmissionDecision {
         let Some(requests) = self.rows.get_mut(row) else {
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -1,6 +1,6 @@
 //! Joins the rows' limits over all hosts to membership: who grants, and who asks.
 
-use crate::admission::quota::Slice;
+use crate::admission::quota::QuotaGrant;
 use crate::attempt::message::RequestId;
 use crate::attempt::requests::Phase;
 use crate::daemon::node::Node;
@@ -70,20 +70,20 @@
     }
 
     /// Grants a slice of a row's limit, if this host is the row's home.
-    pub fn grant_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> Slice {
+    pub fn grant_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
         self.note_members(now);
         let is_home = self.home_of_row(row) == Some(self.config.me);
         let settled = self.granting.is_settled(now, self.config.fresh_bound_ms);
         let limit = self.shared.table.row(row).map(|row| row.requests_per_s);
         match limit {
-            Some(None) => Slice {
+            Some(None) => QuotaGrant {
                 granted: wanted,
                 retry_after_ms: RETRY_MS,
             },
             Some(Some(limit)) if is_home && settled && self.is_fresh(now) => {
                 self.granting.grant(now, row, limit, wanted)
             }
-            Some(Some(_)) | None => Slice {
+            Some(Some(_)) | None => QuotaGrant {
                 granted: 0,
                 retry_after_ms: RETRY_MS,
             },
@@ -96,7 +96,7 @@
         now: Millis,
         row: &RowKey,
         asked_at: Millis,
-        slice: Slice,
+        slice: QuotaGrant,
         wanted: u32,
         fx: &mut Effects,
     ) {
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -1,6 +1,6 @@
 //! What is said about hosts and upstreams, on the log and between hosts.
 
-use crate::admission::quota::Slice;
+use crate::admission::quota::QuotaGrant;
 use crate::clock::Millis;
 use crate::idempotency::message::{OperationKey, OperationState};
 use crate::membership::leaving::LeavingHint;
@@ -122,7 +122,7 @@
         /// The row.
         row: RowKey,
         /// The slice.
-        slice: Slice,
+        slice: QuotaGrant,
         /// How many requests were asked for.
         wanted: u32,
     },
