--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -36,14 +36,14 @@
 
 /// State of the home: the slices that it granted within the window.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Granting {
+pub struct QuotaGranter {
     #[serde(skip)]
     rows: IndexMap<RowKey, VecDeque<GrantedSlice>>,
     members: u64,
     members_changed_at: Millis,
 }
 
-impl Granting {
+impl QuotaGranter {
     /// Updates the membership. `members` is a checksum that changes with the set of members.
     pub fn note_members(&mut self, now: Millis, members: u64) {
         if self.members != members {
--- a/src/admission/tests/limits.rs
+++ b/src/admission/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Tests that over all hosts no more requests of a row begin in any second than its limit allows.
 
-use crate::admission::quota::{Granting, SLICE_MS};
+use crate::admission::quota::{QuotaGranter, SLICE_MS};
 use crate::attempt::message::RequestId;
 use crate::attempt::requests::Phase;
 use crate::daemon::event::Event;
@@ -34,7 +34,7 @@
             brand: "north".into(),
             model: "booking".into(),
         };
-        let mut granting = Granting::default();
+        let mut granting = QuotaGranter::default();
         let mut now = Millis(1_000_000);
         let mut begun_at = Vec::new();
         for _ in 0..200 {
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::limits::Limits;
 use crate::admission::queue::Queues;
-use crate::admission::quota::{Granting, Metered};
+use crate::admission::quota::{Metered, QuotaGranter};
 use crate::attempt::requests::Requests;
 use crate::daemon::event::Event;
 use crate::idempotency::finished::FinishedOperations;
@@ -102,7 +102,7 @@
     /// Requests that wait for a slice of their row's limit.
     pub metered: Metered,
     /// Slices that this host granted as a row's home.
-    pub granting: Granting,
+    pub granting: QuotaGranter,
     /// Waiting requests.
     pub queues: Queues,
     /// Requests held.
@@ -139,7 +139,7 @@
             routing: Routing::default(),
             limits: Limits::default(),
             metered: Metered::default(),
-            granting: Granting::default(),
+            granting: QuotaGranter::default(),
             queues: Queues::default(),
             requests: Requests::default(),
             pending_claims: PendingClaims::default(),
