--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -102,12 +102,12 @@
 
 /// State of a host that asks for slices: the requests that wait for one, by row.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Metered {
+pub struct QuotaRequester {
     #[serde(skip)]
     rows: IndexMap<RowKey, RowRequests>,
 }
 
-impl Metered {
+impl QuotaRequester {
     /// Adds a request that waits for a slice.
     pub fn push(&mut self, row: &RowKey, request: RequestId) {
         let requests = self.rows.entry(row.clone()).or_default();
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::limits::Limits;
 use crate::admission::queue::Queues;
-use crate::admission::quota::{Metered, QuotaGranter};
+use crate::admission::quota::{QuotaGranter, QuotaRequester};
 use crate::attempt::requests::Requests;
 use crate::daemon::event::Event;
 use crate::idempotency::finished::FinishedOperations;
@@ -100,7 +100,7 @@
     /// The rows' limits.
     pub limits: Limits,
     /// Requests that wait for a slice of their row's limit.
-    pub metered: Metered,
+    pub metered: QuotaRequester,
     /// Slices that this host granted as a row's home.
     pub granting: QuotaGranter,
     /// Waiting requests.
@@ -138,7 +138,7 @@
             executor: Executor::default(),
             routing: Routing::default(),
             limits: Limits::default(),
-            metered: Metered::default(),
+            metered: QuotaRequester::default(),
             granting: QuotaGranter::default(),
             queues: Queues::default(),
             requests: Requests::default(),
