--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -42,7 +42,7 @@
 
 /// A queued request that cannot be served before its deadline at the present rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hopeless {
+pub struct PredictedTimeout {
     /// Id of the request.
     pub request: RequestId,
     /// Predicted wait.
@@ -121,7 +121,7 @@
         Some(entry.waiting)
     }
 
-    fn hopeless(&self, now: Millis) -> Vec<Hopeless> {
+    fn hopeless(&self, now: Millis) -> Vec<PredictedTimeout> {
         let Some(interval_ms) = self.pace.interval_ms(now) else {
             return Vec::new();
         };
@@ -132,7 +132,7 @@
             .zip(1u64..)
             .map(|(entry, place)| (entry, Millis(interval_ms.0 * place)))
             .filter(|(entry, wait_ms)| now + *wait_ms > entry.waiting.deadline_at)
-            .map(|(entry, wait_ms)| Hopeless {
+            .map(|(entry, wait_ms)| PredictedTimeout {
                 request: entry.waiting.request,
                 wait_ms,
             })
@@ -166,7 +166,7 @@
     }
 
     /// Returns the requests that cannot be served before their deadlines at the present rate.
-    pub fn hopeless(&self, now: Millis) -> Vec<Hopeless> {
+    pub fn hopeless(&self, now: Millis) -> Vec<PredictedTimeout> {
         self.queues
             .values()
             .flat_map(|queue| queue.hopeless(now))
