--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -121,7 +121,7 @@
         Some(entry.waiting)
     }
 
-    fn hopeless(&self, now: Millis) -> Vec<PredictedTimeout> {
+    fn predicted_timeouts(&self, now: Millis) -> Vec<PredictedTimeout> {
         let Some(interval_ms) = self.pace.interval_ms(now) else {
             return Vec::new();
         };
@@ -166,10 +166,10 @@
     }
 
     /// Returns the requests that cannot be served before their deadlines at the present rate.
-    pub fn hopeless(&self, now: Millis) -> Vec<PredictedTimeout> {
+    pub fn predicted_timeouts(&self, now: Millis) -> Vec<PredictedTimeout> {
         self.queues
             .values()
-            .flat_map(|queue| queue.hopeless(now))
+            .flat_map(|queue| queue.predicted_timeouts(now))
             .collect()
     }
 
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -141,12 +141,15 @@
     }
     let mut now = NOW;
     for _ in 0..MIN_STARTS {
-        assert!(queues.hopeless(now).is_empty());
+        assert!(queues.predicted_timeouts(now).is_empty());
         pop(&mut queues, now);
         now += INTERVAL_MS;
     }
     let left_ms = (NOW + Millis(5_000)).since(now);
     let in_time = left_ms.0 / INTERVAL_MS.0;
     let waiting = queues.waiting("review") as u64;
-    assert_eq!(queues.hopeless(now).len() as u64, waiting - in_time);
+    assert_eq!(
+        queues.predicted_timeouts(now).len() as u64,
+        waiting - in_time
+    );
 }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -176,7 +176,7 @@
 
     /// Refuses whoever cannot be served by the deadline, with the time by which the queue is through.
     fn refuse_hopeless(&mut self, now: Millis, fx: &mut Effects) {
-        for hopeless in self.queues.hopeless(now) {
+        for hopeless in self.queues.predicted_timeouts(now) {
             let message = "the queue is longer than the request's deadline allows";
             let refusal = Refusal::new(ErrorKind::Overloaded, message);
             let refusal = refusal.after(hopeless.wait_ms.max(RETRY_MS));
