--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -22,7 +22,7 @@
 
 /// A request in a queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Id of the request.
     pub request: RequestId,
     /// Brand whose table row the request counts against.
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Entry {
-    waiting: Waiting,
+    waiting: QueuedRequest,
     start: u64,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl Queue {
-    fn push(&mut self, waiting: Waiting) -> Result<(), Waiting> {
+    fn push(&mut self, waiting: QueuedRequest) -> Result<(), QueuedRequest> {
         let same_brand = |entry: &&Entry| entry.waiting.brand == waiting.brand;
         let of_brand = self.entries.iter().filter(same_brand).count();
         if self.entries.len() >= MAX_WAITING || of_brand >= MAX_WAITING_OF_BRAND {
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    fn start_of(&mut self, waiting: &Waiting) -> u64 {
+    fn start_of(&mut self, waiting: &QueuedRequest) -> u64 {
         if waiting.came_back {
             return self.now_at;
         }
@@ -109,7 +109,7 @@
         start
     }
 
-    fn pop(&mut self, now: Millis) -> Option<Waiting> {
+    fn pop(&mut self, now: Millis) -> Option<QueuedRequest> {
         let best = (0..self.entries.len()).min_by_key(|index| self.entries[*index].rank(now))?;
         let entry = self.entries.swap_remove(best);
         self.now_at = self.now_at.max(entry.start);
@@ -147,12 +147,12 @@
     ///
     /// Returns the request when the queue is full, or when its brand has its maximum number of
     /// requests in it.
-    pub fn push(&mut self, target: &Name, waiting: Waiting) -> Result<(), Waiting> {
+    pub fn push(&mut self, target: &Name, waiting: QueuedRequest) -> Result<(), QueuedRequest> {
         self.queues.entry(target.clone()).or_default().push(waiting)
     }
 
     /// Removes and returns the request to serve next.
-    pub fn pop(&mut self, now: Millis, target: &str) -> Option<Waiting> {
+    pub fn pop(&mut self, now: Millis, target: &str) -> Option<QueuedRequest> {
         self.queues.get_mut(target)?.pop(now)
     }
 
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -4,7 +4,7 @@
 mod limits;
 
 use crate::admission::pace::MIN_STARTS;
-use crate::admission::queue::{AGEING_MS, MAX_WAITING_OF_BRAND, Queues, Waiting};
+use crate::admission::queue::{AGEING_MS, MAX_WAITING_OF_BRAND, QueuedRequest, Queues};
 use crate::attempt::message::RequestId;
 use crate::prelude::*;
 use crate::table::message::Urgency;
@@ -16,8 +16,8 @@
     "review".into()
 }
 
-fn waiting(number: u64, brand: &str, weight: u32, urgency: Urgency) -> Waiting {
-    Waiting {
+fn waiting(number: u64, brand: &str, weight: u32, urgency: Urgency) -> QueuedRequest {
+    QueuedRequest {
         request: RequestId(number),
         brand: brand.into(),
         weight,
@@ -28,7 +28,7 @@
     }
 }
 
-fn pop(queues: &mut Queues, now: Millis) -> Waiting {
+fn pop(queues: &mut Queues, now: Millis) -> QueuedRequest {
     queues.pop(now, "review").unwrap()
 }
 
@@ -51,7 +51,7 @@
         }
         let total = weights[0] + weights[1];
         for round in 1..=(200 / total) {
-            let popped: Vec<Waiting> = (0..total).map(|_| pop(&mut queues, NOW)).collect();
+            let popped: Vec<QueuedRequest> = (0..total).map(|_| pop(&mut queues, NOW)).collect();
             let north = popped
                 .iter()
                 .filter(|entry| &*entry.brand == "north")
@@ -79,7 +79,7 @@
         let entry = waiting(number, "south", 1, Urgency::Normal);
         queues.push(&target(), entry).unwrap();
     }
-    let next: Vec<Waiting> = (0..10).map(|_| pop(&mut queues, NOW)).collect();
+    let next: Vec<QueuedRequest> = (0..10).map(|_| pop(&mut queues, NOW)).collect();
     let south = next.iter().filter(|entry| &*entry.brand == "south").count();
     assert!((4..=6).contains(&south), "{south} of 10");
 }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -1,6 +1,6 @@
 //! Joins a request's way: admission, the ends of its attempts, the final answer.
 
-use crate::admission::queue::Waiting;
+use crate::admission::queue::QueuedRequest;
 use crate::attempt::message::{AttemptOutcome, Repeatable, RequestHead, RequestId, TargetKind};
 use crate::attempt::requests::{HeldRequest, MAX_FAILURES, Phase};
 use crate::daemon::node::{Life, Node};
@@ -93,7 +93,7 @@
             return;
         };
         request.enter(now, Phase::Waiting);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request: id,
             brand: request.row.brand.clone(),
             weight: self
