--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -200,7 +200,7 @@
     }
 
     /// Removes empty queues.
-    pub fn tidy(&mut self) {
+    pub fn remove_empty(&mut self) {
         self.queues.retain(|_, queue| !queue.entries.is_empty());
     }
 }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -171,7 +171,7 @@
         }
         self.tick_limits(now, fx);
         self.refuse_hopeless(now, fx);
-        self.queues.tidy();
+        self.queues.remove_empty();
     }
 
     /// Refuses whoever cannot be served by the deadline, with the time by which the queue is through.
