--- a/src/admission/limits.rs
+++ b/src/admission/limits.rs
@@ -8,12 +8,12 @@
 
 /// Running requests of each row on this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Limits {
+pub struct ConcurrencyLimits {
     #[serde(skip)]
     running: IndexMap<RowKey, u32>,
 }
 
-impl Limits {
+impl ConcurrencyLimits {
     /// Admits a request of a row, or returns when to retry.
     ///
     /// # Errors
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,6 +1,6 @@
 //! All decisions of one host as one pure state machine.
 
-use crate::admission::limits::Limits;
+use crate::admission::limits::ConcurrencyLimits;
 use crate::admission::queue::Queues;
 use crate::admission::quota::{QuotaGranter, QuotaRequester};
 use crate::attempt::requests::Requests;
@@ -98,7 +98,7 @@
     /// What is known of upstreams.
     pub routing: Routing,
     /// The rows' limits.
-    pub limits: Limits,
+    pub limits: ConcurrencyLimits,
     /// Requests that wait for a slice of their row's limit.
     pub metered: QuotaRequester,
     /// Slices that this host granted as a row's home.
@@ -137,7 +137,7 @@
             acceptance: Acceptance::default(),
             executor: Executor::default(),
             routing: Routing::default(),
-            limits: Limits::default(),
+            limits: ConcurrencyLimits::default(),
             metered: QuotaRequester::default(),
             granting: QuotaGranter::default(),
             queues: Queues::default(),
