--- a/src/admission/limits.rs
+++ b/src/admission/limits.rs
@@ -32,7 +32,7 @@
     }
 
     /// Releases the place of an admitted request that has ended.
-    pub fn end(&mut self, key: &RowKey) {
+    pub fn release(&mut self, key: &RowKey) {
         if let Some(running) = self.running.get_mut(key) {
             *running = running.saturating_sub(1);
         }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -361,7 +361,7 @@
         self.let_go_of_operation(now, &request);
         self.queues.remove(&request.head.name, id);
         self.metered.remove(&request.row, id);
-        self.limits.end(&request.row);
+        self.limits.release(&request.row);
         if request.head.target == TargetKind::Model {
             let last_use_at = request.arrived_at;
             self.demand.note_use(last_use_at, &request.head.name);
