--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -18,7 +18,7 @@
 use crate::ordering::view::View;
 use crate::prelude::*;
 use crate::rate_limit::{Limiter, SharedLimits, UpstreamLimits};
-use crate::retry::{Retries, RetryBudget};
+use crate::retry::{RetryBudget, RetryState};
 use crate::routing::occupancy::Occupancy;
 use crate::upstreams::Registry;
 use event_listener::{Event as Wakeup, EventListener};
@@ -65,7 +65,7 @@
     /// What callers asked of each model since the orderer was told last.
     pub demand: RefCell<crate::ordering::demand::Demand>,
     /// What is known of requests that are sent again.
-    pub retries: RefCell<Retries>,
+    pub retries: RefCell<RetryState>,
     /// What is left of the limits that all hosts keep together.
     pub limits: RefCell<SharedLimits>,
     /// How long requests of each service keep a slot, as this host's answers show.
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -29,7 +29,7 @@
 
 /// Retry budgets and quarantine of one host.
 #[derive(Debug, Default)]
-pub struct Retries {
+pub struct RetryState {
     /// The retry budget of each service.
     pub budgets: IndexMap<Name, RetryBudget>,
     /// The requests that must not be sent, because they crash upstreams.
