--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -309,7 +309,7 @@
     pub fn take_repeat(&self, service: &Name) -> bool {
         let now = self.now();
         let members = self.members.borrow().count();
-        self.with_budget(service, |budget| budget.take(now, members))
+        self.with_budget(service, |budget| budget.try_take(now, members))
     }
 
     fn with_budget<T>(&self, service: &Name, with: impl FnOnce(&mut RetryBudget) -> T) -> T {
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -70,7 +70,7 @@
 
     /// Takes one retry from the budget; returns false when the share is used up. `members` is the
     /// number of hosts that use the budget; 0 counts as 1.
-    pub fn take(&mut self, now: Millis, members: usize) -> bool {
+    pub fn try_take(&mut self, now: Millis, members: usize) -> bool {
         self.remove_expired(now);
         let share = self.rule.slack / members.max(1) as f64;
         let slack_fraction = match now >= self.full_share_from {
--- a/src/retry/tests/budget.rs
+++ b/src/retry/tests/budget.rs
@@ -31,7 +31,7 @@
                     budgets[host].note_request(now);
                     requests.push(now);
                 }
-                false if budgets[host].take(now, hosts) => repeats.push(now),
+                false if budgets[host].try_take(now, hosts) => repeats.push(now),
                 false => {}
             }
         }
@@ -48,12 +48,14 @@
 #[test]
 fn budget_is_restored_after_its_window() {
     let mut budget = RetryBudget::new(RULE, Millis(0), 0.9);
-    let at_first = (0..100).filter(|_| budget.take(Millis(0), 1)).count();
+    let at_first = (0..100).filter(|_| budget.try_take(Millis(0), 1)).count();
     assert_eq!(at_first, 10);
-    let taken = (0..100).filter(|_| budget.take(Millis(10_001), 1)).count();
+    let taken = (0..100)
+        .filter(|_| budget.try_take(Millis(10_001), 1))
+        .count();
     assert_eq!(taken, 43);
-    assert!(!budget.take(Millis(20_001), 1));
-    assert!(budget.take(Millis(20_002), 1));
+    assert!(!budget.try_take(Millis(20_001), 1));
+    assert!(budget.try_take(Millis(20_002), 1));
 }
 
 /// Guards against an unused budget when each host's share is below one retry and is rounded down to
@@ -71,7 +73,7 @@
         for _ in 0..hosts {
             let mut budget = RetryBudget::new(rule, Millis::ZERO, random.f64());
             (0..requests_each).for_each(|_| budget.note_request(now));
-            taken += (0..10).filter(|_| budget.take(now, hosts)).count();
+            taken += (0..10).filter(|_| budget.try_take(now, hosts)).count();
         }
         let allowed = rule.ratio * f64::from(requests_each) * hosts as f64 + rule.slack;
         let part = taken as f64 / allowed;
@@ -86,5 +88,5 @@
 fn small_slack_is_not_rounded_at_random() {
     let hosts = 500;
     let mut budget = RetryBudget::new(RULE, Millis::ZERO, 0.99);
-    assert!(!budget.take(Millis(100_000), hosts));
+    assert!(!budget.try_take(Millis(100_000), hosts));
 }
