--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -7,7 +7,7 @@
 use crate::http1::client::within;
 use crate::prelude::*;
 use crate::retry::message::Evidence;
-use crate::retry::{CrashNews, CrashReport, Quarantine, RequestDigest};
+use crate::retry::{CrashReport, CrashUpdate, Quarantine, RequestDigest};
 use crate::upstreams::Lifetime;
 use std::net::SocketAddr;
 
@@ -114,12 +114,12 @@
 }
 
 /// Returns what a host that reports to this one is to know, by the state of its ledger.
-pub fn news<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
+pub fn news<P: Platform>(host: &Host<P>, known: u64) -> CrashUpdate {
     with_quarantine(host, |quarantine, now| quarantine.news(now, known))
 }
 
 /// Takes the answer to a message with this host's report.
-pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashNews) {
+pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashUpdate) {
     with_quarantine(host, |quarantine, now| quarantine.take_news(now, news));
 }
 
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -12,7 +12,7 @@
 use crate::ordering::published::{EnginesNews, EnginesVersion};
 use crate::prelude::*;
 use crate::rate_limit::{LimitsNews, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
-use crate::retry::{CrashNews, CrashReport};
+use crate::retry::{CrashReport, CrashUpdate};
 use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::HeldModel;
 
@@ -149,7 +149,7 @@
     /// What is left of the limits of organisations.
     pub limits: Option<LimitsNews>,
     /// The requests that crash upstreams.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdate,
     /// The limits that upstreams named, and what is left of them.
     pub upstream_limits: UpstreamLimitsNews,
 }
@@ -195,7 +195,7 @@
         /// Its word that it did and does no more.
         resignation: Option<Resignation>,
         /// The requests that crash upstreams.
-        crashes: CrashNews,
+        crashes: CrashUpdate,
     },
     /// The host that was asked relays, but has not heard of an orderer.
     NoNews {
--- a/src/retry/message.rs
+++ b/src/retry/message.rs
@@ -37,7 +37,7 @@
 
 /// Answer of a parent to a [`CrashReport`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// Evidence on requests that were running at more than one crash; empty if the child's checksum
     /// equals the parent's.
     pub evidence: Vec<Evidence>,
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -22,7 +22,7 @@
 
 pub use budget::{BudgetRule, RetryBudget};
 pub use digest::RequestDigest;
-pub use message::{CrashNews, CrashReport};
+pub use message::{CrashReport, CrashUpdate};
 pub use quarantine::Quarantine;
 
 use crate::prelude::*;
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -9,7 +9,7 @@
     CrashId, CrashLedger, MAX_REQUESTS_PER_MESSAGE, MIN_CRASHES_CERTAIN,
 };
 use crate::retry::interrupted_requests::InterruptedRequests;
-use crate::retry::message::{Crash, CrashNews, CrashReport, Evidence};
+use crate::retry::message::{Crash, CrashReport, CrashUpdate, Evidence};
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
@@ -141,9 +141,9 @@
     }
 
     /// Returns the answer to a child whose checksum is `known`.
-    pub fn news(&self, now: Millis, known: u64) -> CrashNews {
+    pub fn news(&self, now: Millis, known: u64) -> CrashUpdate {
         let checksum = self.ledger.checksum();
-        CrashNews {
+        CrashUpdate {
             evidence: match known == checksum {
                 true => Vec::new(),
                 false => self.ledger.published(now),
@@ -154,7 +154,7 @@
 
     /// Applies the parent's answer to the last report. If the checksums then differ, all evidence
     /// is reported again, at most once in `RESEND_MS`.
-    pub fn take_news(&mut self, now: Millis, news: &CrashNews) {
+    pub fn take_news(&mut self, now: Millis, news: &CrashUpdate) {
         self.confirm_report(now);
         self.take_told(now, &news.evidence);
         let is_due = self.resent_at.is_none_or(|at| now.since(at) >= RESEND_MS);
