--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -7,7 +7,7 @@
 use crate::http1::client::within;
 use crate::prelude::*;
 use crate::rate_limit::limiter::Place;
-use crate::rate_limit::{Decision, Limiter, LimitsNews, Refused, Scope, Usage};
+use crate::rate_limit::{Decision, Limiter, LimitsUpdate, Refused, Scope, Usage};
 
 /// How long a request waits for newer levels: a few exchanges with a relay and the orderer.
 const NEWER_LEVELS_MS: Millis = Millis(40);
@@ -150,12 +150,12 @@
 }
 
 /// Returns the levels for hosts that report to this one.
-pub fn news<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
+pub fn news<P: Platform>(host: &Host<P>) -> Option<LimitsUpdate> {
     with_limiter(host, |limiter, now, table| limiter.news(now, table))
 }
 
 /// Takes the answer to a message that reported this host's use.
-pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsNews>) {
+pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsUpdate>) {
     with_limiter(host, |limiter, _, _| limiter.take_reply(asked_at, news));
 }
 
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -13,7 +13,7 @@
 use crate::ordering::published::{EngineView, EnginesNews};
 use crate::prelude::*;
 use crate::rate_limit::levels::Level;
-use crate::rate_limit::{LimitsNews, Scope, StatedLimit, UpstreamLimitsReport, Usage};
+use crate::rate_limit::{LimitsUpdate, Scope, StatedLimit, UpstreamLimitsReport, Usage};
 use crate::retry::crash_ledger::CrashId;
 use crate::retry::message::{Crash, Evidence};
 use crate::retry::{CrashReport, RequestDigest};
@@ -232,7 +232,7 @@
             left: 300.0,
             used_per_s: 0.0,
         };
-        let word = LimitsNews {
+        let word = LimitsUpdate {
             age_ms: Millis::ZERO,
             scope: Scope::Site,
             share: 1.0,
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -11,7 +11,7 @@
 use crate::ordering::lease::Resignation;
 use crate::ordering::published::{EnginesNews, EnginesVersion};
 use crate::prelude::*;
-use crate::rate_limit::{LimitsNews, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
+use crate::rate_limit::{LimitsUpdate, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
 use crate::retry::{CrashReport, CrashUpdate};
 use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::HeldModel;
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Totals {
     /// What is left of the limits of organisations.
-    pub limits: Option<LimitsNews>,
+    pub limits: Option<LimitsUpdate>,
     /// The requests that crash upstreams.
     pub crashes: CrashUpdate,
     /// The limits that upstreams named, and what is left of them.
--- a/src/rate_limit/levels.rs
+++ b/src/rate_limit/levels.rs
@@ -19,7 +19,7 @@
 
 /// Levels that a parent sends to a child that reports its use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitsNews {
+pub struct LimitsUpdate {
     /// Age of the levels.
     pub age_ms: Millis,
     /// Which hosts the buckets cover.
@@ -44,7 +44,7 @@
 
 impl KnownLevels {
     /// Stores levels received from another host.
-    pub fn new(now: Millis, news: LimitsNews) -> Self {
+    pub fn new(now: Millis, news: LimitsUpdate) -> Self {
         Self {
             as_of: now - news.age_ms,
             scope: news.scope,
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -3,7 +3,7 @@
 
 use crate::desired::{LimitTable, RateLimit};
 use crate::prelude::*;
-use crate::rate_limit::levels::{KnownLevels, Level, LimitsNews, is_included};
+use crate::rate_limit::levels::{KnownLevels, Level, LimitsUpdate, is_included};
 use crate::rate_limit::token_bucket::{Refill, SLOTS, TokenBucket, slot_of};
 use crate::rate_limit::usage::{UnreportedUsage, Usage};
 
@@ -288,7 +288,7 @@
     }
 
     /// Applies the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, news: Option<LimitsNews>) {
+    pub fn take_reply(&mut self, asked_at: Millis, news: Option<LimitsUpdate>) {
         self.confirm_report();
         if let Some(news) = news {
             self.take_news(asked_at, news);
@@ -301,21 +301,21 @@
     }
 
     /// Stores levels from the orderer or a relay.
-    pub fn take_news(&mut self, now: Millis, news: LimitsNews) {
+    pub fn take_news(&mut self, now: Millis, news: LimitsUpdate) {
         if self.place.scope == Scope::Group {
             self.known = Some(KnownLevels::new(now, news));
         }
     }
 
     /// Returns the levels for hosts that report to this one.
-    pub fn news(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
+    pub fn news(&self, now: Millis, limits: &LimitTable) -> LimitsUpdate {
         match self.wider_levels(now) {
             Some(known) => self.forward_levels(now, known, limits),
             None => self.own_levels(now, limits),
         }
     }
 
-    fn own_levels(&self, now: Millis, limits: &LimitTable) -> LimitsNews {
+    fn own_levels(&self, now: Millis, limits: &LimitTable) -> LimitsUpdate {
         let share = self.share(now);
         let level = |(name, bucket): (&Name, &TokenBucket)| {
             let limit = limits.get(name)?;
@@ -327,7 +327,7 @@
             };
             is_included(left, refill).then(|| (name.clone(), level))
         };
-        LimitsNews {
+        LimitsUpdate {
             age_ms: Millis::ZERO,
             scope: self.place.scope,
             share,
@@ -337,7 +337,12 @@
 
     /// Returns another host's levels for more hosts than this one covers, less the use that they do
     /// not include yet.
-    fn forward_levels(&self, now: Millis, known: &KnownLevels, limits: &LimitTable) -> LimitsNews {
+    fn forward_levels(
+        &self,
+        now: Millis,
+        known: &KnownLevels,
+        limits: &LimitTable,
+    ) -> LimitsUpdate {
         let level = |name: &Name| {
             let limit = limits.get(name)?;
             let refill = self.refill(&limit, known.share);
@@ -351,7 +356,7 @@
             is_included(left, refill).then(|| (name.clone(), level))
         };
         let names: IndexSet<&Name> = known.names().chain(self.unreported.names()).collect();
-        LimitsNews {
+        LimitsUpdate {
             age_ms: now.since(known.as_of),
             scope: known.scope,
             share: known.share,
--- a/src/rate_limit/mod.rs
+++ b/src/rate_limit/mod.rs
@@ -22,7 +22,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use levels::LimitsNews;
+pub use levels::LimitsUpdate;
 pub use limiter::{Decision, Limiter, Refused, Scope};
 pub use upstream_limits::{StatedLimit, UpstreamLimits, UpstreamLimitsNews, UpstreamLimitsReport};
 pub use usage::Usage;
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -8,7 +8,7 @@
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
 use crate::prelude::*;
 use crate::rate_limit::limiter::{Limiter, Place};
-use crate::rate_limit::{Decision, LimitsNews, Usage};
+use crate::rate_limit::{Decision, LimitsUpdate, Usage};
 
 /// Burst of such a limit, in requests: small, because an upstream that states a limit is
 /// overloaded.
@@ -47,7 +47,7 @@
     /// Statements of upstreams.
     pub stated: Vec<StatedLimit>,
     /// What is left of the limits.
-    pub levels: Option<LimitsNews>,
+    pub levels: Option<LimitsUpdate>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -194,7 +194,7 @@
     }
 
     /// Applies the levels in the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, levels: Option<LimitsNews>) {
+    pub fn take_reply(&mut self, asked_at: Millis, levels: Option<LimitsUpdate>) {
         self.limiter.take_reply(asked_at, levels);
     }
 }
