--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -6,7 +6,7 @@
 use crate::entry::platform::Platform;
 use crate::prelude::*;
 use crate::rate_limit::{
-    Refused, StatedLimit, UpstreamLimits, UpstreamLimitsNews, UpstreamLimitsReport,
+    Refused, StatedLimit, UpstreamLimits, UpstreamLimitsReport, UpstreamLimitsUpdate,
 };
 use crate::upstreams::Lifetime;
 
@@ -64,12 +64,12 @@
 }
 
 /// Returns what a host that reports to this one is to know.
-pub fn news<P: Platform>(host: &Host<P>) -> UpstreamLimitsNews {
+pub fn news<P: Platform>(host: &Host<P>) -> UpstreamLimitsUpdate {
     with_limits(host, |limits, now| limits.news(now))
 }
 
 /// Takes the answer to a message with this host's report.
-pub fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsNews) {
+pub fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsUpdate) {
     take_stated(host, &news.stated);
     with_limits(host, |limits, _| limits.take_reply(asked_at, news.levels));
 }
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -11,7 +11,7 @@
 use crate::ordering::lease::Resignation;
 use crate::ordering::published::{EnginesNews, EnginesVersion};
 use crate::prelude::*;
-use crate::rate_limit::{LimitsUpdate, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
+use crate::rate_limit::{LimitsUpdate, UpstreamLimitsReport, UpstreamLimitsUpdate, Usage};
 use crate::retry::{CrashReport, CrashUpdate};
 use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::HeldModel;
@@ -151,7 +151,7 @@
     /// The requests that crash upstreams.
     pub crashes: CrashUpdate,
     /// The limits that upstreams named, and what is left of them.
-    pub upstream_limits: UpstreamLimitsNews,
+    pub upstream_limits: UpstreamLimitsUpdate,
 }
 
 /// A call between hosts.
--- a/src/rate_limit/mod.rs
+++ b/src/rate_limit/mod.rs
@@ -24,7 +24,9 @@
 
 pub use levels::LimitsUpdate;
 pub use limiter::{Decision, Limiter, Refused, Scope};
-pub use upstream_limits::{StatedLimit, UpstreamLimits, UpstreamLimitsNews, UpstreamLimitsReport};
+pub use upstream_limits::{
+    StatedLimit, UpstreamLimits, UpstreamLimitsReport, UpstreamLimitsUpdate,
+};
 pub use usage::Usage;
 
 /// One host's part of the limits that all hosts enforce together.
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -43,7 +43,7 @@
 
 /// Answer of a parent to an [`UpstreamLimitsReport`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct UpstreamLimitsNews {
+pub struct UpstreamLimitsUpdate {
     /// Statements of upstreams.
     pub stated: Vec<StatedLimit>,
     /// What is left of the limits.
@@ -186,8 +186,8 @@
     }
 
     /// Returns the answer to a child's report.
-    pub fn news(&self, now: Millis) -> UpstreamLimitsNews {
-        UpstreamLimitsNews {
+    pub fn news(&self, now: Millis) -> UpstreamLimitsUpdate {
+        UpstreamLimitsUpdate {
             stated: self.stated(now),
             levels: Some(self.limiter.news(now, &self.limits)),
         }
