--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -115,7 +115,7 @@
 
 /// Returns what a host that reports to this one is to know, by the state of its ledger.
 pub fn news<P: Platform>(host: &Host<P>, known: u64) -> CrashUpdate {
-    with_quarantine(host, |quarantine, now| quarantine.news(now, known))
+    with_quarantine(host, |quarantine, now| quarantine.build_update(now, known))
 }
 
 /// Takes the answer to a message with this host's report.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -151,7 +151,7 @@
 
 /// Returns the levels for hosts that report to this one.
 pub fn news<P: Platform>(host: &Host<P>) -> Option<LimitsUpdate> {
-    with_limiter(host, |limiter, now, table| limiter.news(now, table))
+    with_limiter(host, |limiter, now, table| limiter.build_update(now, table))
 }
 
 /// Takes the answer to a message that reported this host's use.
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -65,7 +65,7 @@
 
 /// Returns what a host that reports to this one is to know.
 pub fn news<P: Platform>(host: &Host<P>) -> UpstreamLimitsUpdate {
-    with_limits(host, |limits, now| limits.news(now))
+    with_limits(host, |limits, now| limits.build_update(now))
 }
 
 /// Takes the answer to a message with this host's report.
--- a/src/rate_limit/levels.rs
+++ b/src/rate_limit/levels.rs
@@ -44,12 +44,12 @@
 
 impl KnownLevels {
     /// Stores levels received from another host.
-    pub fn new(now: Millis, news: LimitsUpdate) -> Self {
+    pub fn new(now: Millis, update: LimitsUpdate) -> Self {
         Self {
-            as_of: now - news.age_ms,
-            scope: news.scope,
-            share: news.share,
-            levels: news.levels.into_iter().collect(),
+            as_of: now - update.age_ms,
+            scope: update.scope,
+            share: update.share,
+            levels: update.levels.into_iter().collect(),
         }
     }
 
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -288,10 +288,10 @@
     }
 
     /// Applies the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, news: Option<LimitsUpdate>) {
+    pub fn take_reply(&mut self, asked_at: Millis, update: Option<LimitsUpdate>) {
         self.confirm_report();
-        if let Some(news) = news {
-            self.take_news(asked_at, news);
+        if let Some(update) = update {
+            self.take_news(asked_at, update);
         }
     }
 
@@ -301,14 +301,14 @@
     }
 
     /// Stores levels from the orderer or a relay.
-    pub fn take_news(&mut self, now: Millis, news: LimitsUpdate) {
+    pub fn take_news(&mut self, now: Millis, update: LimitsUpdate) {
         if self.place.scope == Scope::Group {
-            self.known = Some(KnownLevels::new(now, news));
+            self.known = Some(KnownLevels::new(now, update));
         }
     }
 
     /// Returns the levels for hosts that report to this one.
-    pub fn news(&self, now: Millis, limits: &LimitTable) -> LimitsUpdate {
+    pub fn build_update(&self, now: Millis, limits: &LimitTable) -> LimitsUpdate {
         match self.wider_levels(now) {
             Some(known) => self.forward_levels(now, known, limits),
             None => self.own_levels(now, limits),
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -214,10 +214,10 @@
         let host = &mut self.hosts[parent];
         host.heard.insert(child, (now, through));
         host.limiter.take_usage(now, &usage, table);
-        let news = host.limiter.news(now, table);
+        let update = host.limiter.build_update(now, table);
         let host = &mut self.hosts[child];
         host.limiter.confirm_report();
-        host.limiter.take_news(now, news);
+        host.limiter.take_news(now, update);
     }
 
     fn heard_by(&self, n: usize) -> usize {
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -191,7 +191,7 @@
         }
     }
     let report = postcard::to_stdvec(&limits.report(START)).expect("the message serialises");
-    let news = postcard::to_stdvec(&limits.news(START)).expect("the message serialises");
-    println!("report {} B, news {} B", report.len(), news.len());
-    assert!(report.len() <= 8_000 && news.len() <= 8_000);
+    let update = postcard::to_stdvec(&limits.build_update(START)).expect("the message serialises");
+    println!("report {} B, news {} B", report.len(), update.len());
+    assert!(report.len() <= 8_000 && update.len() <= 8_000);
 }
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -186,10 +186,10 @@
     }
 
     /// Returns the answer to a child's report.
-    pub fn news(&self, now: Millis) -> UpstreamLimitsUpdate {
+    pub fn build_update(&self, now: Millis) -> UpstreamLimitsUpdate {
         UpstreamLimitsUpdate {
             stated: self.stated(now),
-            levels: Some(self.limiter.news(now, &self.limits)),
+            levels: Some(self.limiter.build_update(now, &self.limits)),
         }
     }
 
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns the answer to a child whose checksum is `known`.
-    pub fn news(&self, now: Millis, known: u64) -> CrashUpdate {
+    pub fn build_update(&self, now: Millis, known: u64) -> CrashUpdate {
         let checksum = self.ledger.checksum();
         CrashUpdate {
             evidence: match known == checksum {
@@ -154,11 +154,11 @@
 
     /// Applies the parent's answer to the last report. If the checksums then differ, all evidence
     /// is reported again, at most once in `RESEND_MS`.
-    pub fn take_news(&mut self, now: Millis, news: &CrashUpdate) {
+    pub fn take_news(&mut self, now: Millis, update: &CrashUpdate) {
         self.confirm_report(now);
-        self.take_told(now, &news.evidence);
+        self.take_told(now, &update.evidence);
         let is_due = self.resent_at.is_none_or(|at| now.since(at) >= RESEND_MS);
-        if news.known != self.ledger.checksum() && is_due {
+        if update.known != self.ledger.checksum() && is_due {
             self.resent_at = Some(now);
             let published = self.ledger.published(now).into_iter();
             self.unreported
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -255,8 +255,8 @@
             }
             let parent = &mut self.hosts[peer].quarantine;
             parent.take_report(self.now, &report);
-            let news = parent.news(self.now, report.known);
-            self.hosts[n].quarantine.take_news(self.now, &news);
+            let update = parent.build_update(self.now, report.known);
+            self.hosts[n].quarantine.take_news(self.now, &update);
         }
     }
 
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -21,7 +21,7 @@
 fn exchange(child: &mut Quarantine, parent: &mut Quarantine) {
     let report = child.report(NOW);
     parent.take_report(NOW, &report);
-    child.take_news(NOW, &parent.news(NOW, report.known));
+    child.take_news(NOW, &parent.build_update(NOW, report.known));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let report = host.report(NOW);
     crash(&mut host, "a", 2..3);
     orderer.take_report(NOW, &report);
-    host.take_news(NOW, &orderer.news(NOW, report.known));
+    host.take_news(NOW, &orderer.build_update(NOW, report.known));
     assert!(!host.report(NOW).evidence.is_empty());
     exchange(&mut host, &mut orderer);
     assert!(is_quarantined(&orderer, "a"));
@@ -105,7 +105,7 @@
     exchange(&mut host, &mut orderer);
     let report = host.report(NOW);
     assert!(report.evidence.is_empty());
-    assert!(orderer.news(NOW, report.known).evidence.is_empty());
+    assert!(orderer.build_update(NOW, report.known).evidence.is_empty());
 }
 
 /// Guards against quarantining a harmless lookup that callers repeat all day, so that it is running
@@ -156,7 +156,7 @@
         host.note_crashed(NOW, &engine(upstream));
     }
     let report = postcard::to_stdvec(&host.report(NOW)).expect("the message serialises");
-    let news = postcard::to_stdvec(&host.news(NOW, 0)).expect("the message serialises");
-    println!("report {} B, news {} B", report.len(), news.len());
-    assert!(report.len() <= 4_000 && news.len() <= 4_000);
+    let update = postcard::to_stdvec(&host.build_update(NOW, 0)).expect("the message serialises");
+    println!("report {} B, news {} B", report.len(), update.len());
+    assert!(report.len() <= 4_000 && update.len() <= 4_000);
 }
