--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -120,7 +120,7 @@
 
 /// Takes the answer to a message with this host's report.
 pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashUpdate) {
-    with_quarantine(host, |quarantine, now| quarantine.take_news(now, news));
+    with_quarantine(host, |quarantine, now| quarantine.apply_update(now, news));
 }
 
 /// Takes what an orderer left for all hosts.
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -291,7 +291,7 @@
     pub fn take_reply(&mut self, asked_at: Millis, update: Option<LimitsUpdate>) {
         self.confirm_report();
         if let Some(update) = update {
-            self.take_news(asked_at, update);
+            self.apply_update(asked_at, update);
         }
     }
 
@@ -301,7 +301,7 @@
     }
 
     /// Stores levels from the orderer or a relay.
-    pub fn take_news(&mut self, now: Millis, update: LimitsUpdate) {
+    pub fn apply_update(&mut self, now: Millis, update: LimitsUpdate) {
         if self.place.scope == Scope::Group {
             self.known = Some(KnownLevels::new(now, update));
         }
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -97,7 +97,7 @@
     let mut host = placed(Scope::Group, 1, Some(68));
     let mut orderer = placed(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
-    host.take_news(now, orderer.build_update(now, &table()));
+    host.apply_update(now, orderer.build_update(now, &table()));
     assert_eq!(admitted(&mut host, now, 3), 3);
     let lost = host.report(now);
     assert_eq!(host.report(now), lost);
@@ -113,7 +113,7 @@
     let mut next = placed(Scope::Group, 1, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut former, now, 100), 7);
-    next.take_news(now, former.build_update(now, &table()));
+    next.apply_update(now, former.build_update(now, &table()));
     let place = Place {
         scope: Scope::Site,
         heard: 68,
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -217,7 +217,7 @@
         let update = host.limiter.build_update(now, table);
         let host = &mut self.hosts[child];
         host.limiter.confirm_report();
-        host.limiter.take_news(now, update);
+        host.limiter.apply_update(now, update);
     }
 
     fn heard_by(&self, n: usize) -> usize {
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -154,7 +154,7 @@
 
     /// Applies the parent's answer to the last report. If the checksums then differ, all evidence
     /// is reported again, at most once in `RESEND_MS`.
-    pub fn take_news(&mut self, now: Millis, update: &CrashUpdate) {
+    pub fn apply_update(&mut self, now: Millis, update: &CrashUpdate) {
         self.confirm_report(now);
         self.take_told(now, &update.evidence);
         let is_due = self.resent_at.is_none_or(|at| now.since(at) >= RESEND_MS);
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -256,7 +256,7 @@
             let parent = &mut self.hosts[peer].quarantine;
             parent.take_report(self.now, &report);
             let update = parent.build_update(self.now, report.known);
-            self.hosts[n].quarantine.take_news(self.now, &update);
+            self.hosts[n].quarantine.apply_update(self.now, &update);
         }
     }
 
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -21,7 +21,7 @@
 fn exchange(child: &mut Quarantine, parent: &mut Quarantine) {
     let report = child.report(NOW);
     parent.take_report(NOW, &report);
-    child.take_news(NOW, &parent.build_update(NOW, report.known));
+    child.apply_update(NOW, &parent.build_update(NOW, report.known));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let report = host.report(NOW);
     crash(&mut host, "a", 2..3);
     orderer.take_report(NOW, &report);
-    host.take_news(NOW, &orderer.build_update(NOW, report.known));
+    host.apply_update(NOW, &orderer.build_update(NOW, report.known));
     assert!(!host.report(NOW).evidence.is_empty());
     exchange(&mut host, &mut orderer);
     assert!(is_quarantined(&orderer, "a"));
