--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -110,7 +110,7 @@
 
 /// Takes what another host reports.
 pub fn take_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
-    with_quarantine(host, |quarantine, now| quarantine.take_report(now, report));
+    with_quarantine(host, |quarantine, now| quarantine.merge_report(now, report));
 }
 
 /// Returns what a host that reports to this one is to know, by the state of its ledger.
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -133,7 +133,7 @@
     }
 
     /// Merges the report of a child.
-    pub fn take_report(&mut self, now: Millis, report: &CrashReport) {
+    pub fn merge_report(&mut self, now: Millis, report: &CrashReport) {
         for evidence in report.evidence.iter().take(MAX_REQUESTS_PER_MESSAGE) {
             self.merge_unreported(now, evidence);
             self.clear_if_completed(now, evidence.digest);
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -254,7 +254,7 @@
                 continue;
             }
             let parent = &mut self.hosts[peer].quarantine;
-            parent.take_report(self.now, &report);
+            parent.merge_report(self.now, &report);
             let update = parent.build_update(self.now, report.known);
             self.hosts[n].quarantine.apply_update(self.now, &update);
         }
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -20,7 +20,7 @@
 
 fn exchange(child: &mut Quarantine, parent: &mut Quarantine) {
     let report = child.report(NOW);
-    parent.take_report(NOW, &report);
+    parent.merge_report(NOW, &report);
     child.apply_update(NOW, &parent.build_update(NOW, report.known));
 }
 
@@ -79,7 +79,7 @@
     crash(&mut host, "a", 0..2);
     let report = host.report(NOW);
     crash(&mut host, "a", 2..3);
-    orderer.take_report(NOW, &report);
+    orderer.merge_report(NOW, &report);
     host.apply_update(NOW, &orderer.build_update(NOW, report.known));
     assert!(!host.report(NOW).evidence.is_empty());
     exchange(&mut host, &mut orderer);
