--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -125,7 +125,9 @@
 
 /// Takes what an orderer left for all hosts.
 pub fn take_lasting<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
-    with_quarantine(host, |quarantine, now| quarantine.take_told(now, evidence));
+    with_quarantine(host, |quarantine, now| {
+        quarantine.merge_evidence(now, evidence)
+    });
 }
 
 /// Returns what is to outlast all processes.
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -156,7 +156,7 @@
     /// is reported again, at most once in `RESEND_MS`.
     pub fn apply_update(&mut self, now: Millis, update: &CrashUpdate) {
         self.confirm_report(now);
-        self.take_told(now, &update.evidence);
+        self.merge_evidence(now, &update.evidence);
         let is_due = self.resent_at.is_none_or(|at| now.since(at) >= RESEND_MS);
         if update.known != self.ledger.checksum() && is_due {
             self.resent_at = Some(now);
@@ -168,7 +168,7 @@
 
     /// Merges evidence from the parent, or from the lease record of an earlier orderer. It is not
     /// reported back.
-    pub fn take_told(&mut self, now: Millis, evidence: &[Evidence]) {
+    pub fn merge_evidence(&mut self, now: Millis, evidence: &[Evidence]) {
         for evidence in evidence.iter().take(MAX_REQUESTS_PER_MESSAGE) {
             self.ledger.merge(now, evidence);
             self.clear_if_completed(now, evidence.digest);
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -160,7 +160,9 @@
         for host in 0..self.hosts.len() {
             self.kill(host);
             let persisted = self.persisted.clone();
-            self.hosts[host].quarantine.take_told(self.now, &persisted);
+            self.hosts[host]
+                .quarantine
+                .merge_evidence(self.now, &persisted);
         }
     }
 
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -137,7 +137,7 @@
         .len();
     assert!(bytes < 2_048, "{bytes}");
     let mut next = Quarantine::default();
-    next.take_told(NOW, &lasting);
+    next.merge_evidence(NOW, &lasting);
     assert!(next.quarantined_ms(NOW, &lasting[0].digest).is_some());
 }
 
