--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -132,7 +132,7 @@
 
 /// Returns what is to outlast all processes.
 pub fn lasting<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
-    with_quarantine(host, |quarantine, now| quarantine.lasting(now))
+    with_quarantine(host, |quarantine, now| quarantine.persistent_evidence(now))
 }
 
 fn with_quarantine<P: Platform, T>(
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -183,13 +183,13 @@
 
     /// Returns the evidence to store in the lease record, so that it survives a restart of all
     /// processes.
-    pub fn lasting(&self, now: Millis) -> Vec<Evidence> {
-        let mut lasting = self.ledger.published(now);
-        lasting.retain(|evidence| !evidence.is_cleared);
-        lasting.truncate(MAX_PERSISTED);
-        for evidence in &mut lasting {
+    pub fn persistent_evidence(&self, now: Millis) -> Vec<Evidence> {
+        let mut persistent_evidence = self.ledger.published(now);
+        persistent_evidence.retain(|evidence| !evidence.is_cleared);
+        persistent_evidence.truncate(MAX_PERSISTED);
+        for evidence in &mut persistent_evidence {
             evidence.crashes.truncate(MIN_CRASHES_CERTAIN);
         }
-        lasting
+        persistent_evidence
     }
 }
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -290,7 +290,7 @@
             && self.now.0 % PERSIST_INTERVAL_MS < STEP_MS.0
             && !self.is_frozen(orderer)
         {
-            self.persisted = self.hosts[orderer].quarantine.lasting(self.now);
+            self.persisted = self.hosts[orderer].quarantine.persistent_evidence(self.now);
         }
     }
 
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -131,14 +131,17 @@
     for n in 0..50 {
         crash(&mut host, &format!("{n}"), 8 * n..8 * n + 8);
     }
-    let lasting = host.lasting(NOW);
-    let bytes = serde_json::to_vec(&lasting)
+    let persistent_evidence = host.persistent_evidence(NOW);
+    let bytes = serde_json::to_vec(&persistent_evidence)
         .expect("evidence serialises to JSON")
         .len();
     assert!(bytes < 2_048, "{bytes}");
     let mut next = Quarantine::default();
-    next.merge_evidence(NOW, &lasting);
-    assert!(next.quarantined_ms(NOW, &lasting[0].digest).is_some());
+    next.merge_evidence(NOW, &persistent_evidence);
+    assert!(
+        next.quarantined_ms(NOW, &persistent_evidence[0].digest)
+            .is_some()
+    );
 }
 
 /// Guards against large messages when a data centre is lost: a relay passes on evidence for dozens
