--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -49,7 +49,7 @@
         return;
     };
     let is_known = with_quarantine(host, |quarantine, now| {
-        quarantine.note_broken(now, upstream, ask.digest)
+        quarantine.note_connection_lost(now, upstream, ask.digest)
     });
     if is_known {
         host.note_want();
--- a/src/entry/tests/lease_keeper.rs
+++ b/src/entry/tests/lease_keeper.rs
@@ -68,7 +68,7 @@
             id: format!("u{n}").into(),
             born_at: Millis::ZERO,
         };
-        quarantine.note_broken(now, &upstream, digest);
+        quarantine.note_connection_lost(now, &upstream, digest);
         quarantine.note_crashed(now, &upstream);
     }
 }
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -36,7 +36,12 @@
 impl Quarantine {
     /// Records that a connection to an upstream ended while it ran a request. Returns whether the
     /// upstream is known to have crashed; if not, the caller should find out.
-    pub fn note_broken(&mut self, now: Millis, upstream: &Lifetime, digest: RequestDigest) -> bool {
+    pub fn note_connection_lost(
+        &mut self,
+        now: Millis,
+        upstream: &Lifetime,
+        digest: RequestDigest,
+    ) -> bool {
         let has_crashed = self.interrupted.note(now, upstream, digest);
         if has_crashed {
             self.note_crash(now, upstream, digest);
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -188,7 +188,7 @@
         let now = self.now;
         for run in &here {
             let quarantine = &mut self.hosts[run.host].quarantine;
-            quarantine.note_broken(now, &lifetime, run.digest);
+            quarantine.note_connection_lost(now, &lifetime, run.digest);
             quarantine.note_crashed(now, &lifetime);
         }
         if here.iter().any(|run| run.crashes) {
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -9,7 +9,7 @@
 /// Crashes each of these engines while the request with this body runs there.
 fn crash(host: &mut Quarantine, body: &str, engines: std::ops::Range<usize>) {
     for n in engines {
-        assert!(!host.note_broken(NOW, &engine(n), digest(body)));
+        assert!(!host.note_connection_lost(NOW, &engine(n), digest(body)));
         assert_eq!(host.note_crashed(NOW, &engine(n)), [digest(body)]);
     }
 }
@@ -28,7 +28,7 @@
 fn lost_connections_alone_are_not_crashes() {
     let mut host = Quarantine::default();
     for n in 0..10 {
-        host.note_broken(NOW, &engine(n), digest("a"));
+        host.note_connection_lost(NOW, &engine(n), digest("a"));
     }
     assert!(!is_quarantined(&host, "a"));
     assert!(
@@ -40,9 +40,9 @@
 #[test]
 fn connections_lost_after_the_crash_was_detected_count() {
     let mut host = Quarantine::default();
-    host.note_broken(NOW, &engine(0), digest("a"));
+    host.note_connection_lost(NOW, &engine(0), digest("a"));
     host.note_crashed(NOW, &engine(0));
-    assert!(host.note_broken(NOW, &engine(0), digest("b")));
+    assert!(host.note_connection_lost(NOW, &engine(0), digest("b")));
     assert_eq!(host.report(NOW).evidence.len(), 2);
 }
 
@@ -152,7 +152,7 @@
     for n in 0..1_000 {
         let body = format!("{n}");
         for upstream in 0..8 {
-            host.note_broken(NOW, &engine(upstream), digest(&body));
+            host.note_connection_lost(NOW, &engine(upstream), digest(&body));
         }
     }
     for upstream in 0..8 {
