--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -78,7 +78,7 @@
 pub fn note_extra_run<P: Platform>(host: &Host<P>, ask: &Ask) {
     if let Some((organisation, limit, cost)) = cost(ask) {
         with_limiter(host, |limiter, now, _| {
-            limiter.note_run(now, organisation, limit, cost);
+            limiter.charge_rerun(now, organisation, limit, cost);
         });
     }
 }
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -223,7 +223,7 @@
     }
 
     /// Counts one more run of a request that has been admitted.
-    pub fn note_run(&mut self, now: Millis, name: &Name, limit: &RateLimit, cost: u64) {
+    pub fn charge_rerun(&mut self, now: Millis, name: &Name, limit: &RateLimit, cost: u64) {
         self.note_use(now, name, limit, cost as i64);
     }
 
