--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -86,7 +86,7 @@
 fn give_back<P: Platform>(host: &Host<P>, ask: &Ask) {
     if let Some((organisation, limit, cost)) = cost(ask) {
         with_limiter(host, |limiter, now, _| {
-            limiter.give_back(now, organisation, limit, cost);
+            limiter.refund(now, organisation, limit, cost);
         });
     }
 }
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -228,7 +228,7 @@
     }
 
     /// Returns the cost of a request that did not run.
-    pub fn give_back(&mut self, now: Millis, name: &Name, limit: &RateLimit, cost: u64) {
+    pub fn refund(&mut self, now: Millis, name: &Name, limit: &RateLimit, cost: u64) {
         self.note_use(now, name, limit, -(cost as i64));
     }
 
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -88,7 +88,7 @@
     let mut limiter = placed(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
-    limiter.give_back(now, &"o".into(), &LIMIT, 1);
+    limiter.refund(now, &"o".into(), &LIMIT, 1);
     assert_eq!(admitted(&mut limiter, now, 100), 1);
 }
 
