--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -6,7 +6,7 @@
 use crate::entry::platform::Platform;
 use crate::http1::client::within;
 use crate::prelude::*;
-use crate::rate_limit::limiter::Place;
+use crate::rate_limit::limiter::Coverage;
 use crate::rate_limit::{Decision, Limiter, LimitsUpdate, Refused, Scope, Usage};
 
 /// How long a request waits for newer levels: a few exchanges with a relay and the orderer.
@@ -173,18 +173,18 @@
 }
 
 /// Returns this host's present place in the site.
-pub fn place<P: Platform>(host: &Host<P>) -> Place {
+pub fn place<P: Platform>(host: &Host<P>) -> Coverage {
     let members = host.members.borrow();
     let known = members.count_serving(host.now());
     let tree = host.tree.borrow();
     match (host.is_orderer(), tree.is_relay(host.incarnation)) {
-        (true, _) => Place {
+        (true, _) => Coverage {
             scope: Scope::Site,
             heard: host.orders.borrow().book.heard(),
             expected: members.count(),
             members: known,
         },
-        (false, is_relay) => Place {
+        (false, is_relay) => Coverage {
             scope: Scope::Group,
             heard: 1 + host.gather.borrow().heard(),
             expected: if is_relay { tree.hosts_a_relay() } else { 1 },
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -41,7 +41,7 @@
 
 /// Which hosts this host's buckets cover at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Coverage {
     /// `Site` on the orderer, which counts the use of the whole site; `Group` on all other hosts.
     pub scope: Scope,
     /// Number of hosts that reported recently, including this one.
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug)]
 pub struct Limiter {
     tolerance: f64,
-    place: Place,
+    coverage: Coverage,
     covered_since: Millis,
     /// Buckets for the hosts that this host covers.
     buckets: IndexMap<Name, TokenBucket>,
@@ -106,7 +106,7 @@
     pub fn new(started_at: Millis, tolerance: f64) -> Self {
         Self {
             tolerance,
-            place: Place {
+            coverage: Coverage {
                 scope: Scope::Group,
                 heard: 1,
                 expected: 1,
@@ -121,22 +121,22 @@
 
     /// Updates which hosts this one covers. A host that becomes the orderer continues from the
     /// levels that it knows.
-    pub fn set_place(&mut self, now: Millis, place: Place, limits: &LimitTable) {
-        if place.scope != self.place.scope {
-            self.change_scope(now, place, limits);
+    pub fn set_place(&mut self, now: Millis, coverage: Coverage, limits: &LimitTable) {
+        if coverage.scope != self.coverage.scope {
+            self.change_scope(now, coverage, limits);
         }
-        self.place = place;
+        self.coverage = coverage;
     }
 
-    fn change_scope(&mut self, now: Millis, place: Place, limits: &LimitTable) {
+    fn change_scope(&mut self, now: Millis, coverage: Coverage, limits: &LimitTable) {
         self.buckets.clear();
         self.covered_since = now;
-        if place.scope == Scope::Group {
+        if coverage.scope == Scope::Group {
             return;
         }
         let unreported = self.unreported.report(now);
         self.unreported.clear();
-        self.place = place;
+        self.coverage = coverage;
         self.init_site_buckets(now, limits);
         self.take_usage(now, &unreported, limits);
     }
@@ -277,7 +277,7 @@
             self.bucket(name, refill)
                 .add(now, slots_ago, amount, refill);
         }
-        if self.place.scope == Scope::Group {
+        if self.coverage.scope == Scope::Group {
             self.unreported.add(now, name, slots_ago, amount);
         }
     }
@@ -302,7 +302,7 @@
 
     /// Stores levels from the orderer or a relay.
     pub fn apply_update(&mut self, now: Millis, update: LimitsUpdate) {
-        if self.place.scope == Scope::Group {
+        if self.coverage.scope == Scope::Group {
             self.known = Some(KnownLevels::new(now, update));
         }
     }
@@ -329,7 +329,7 @@
         };
         LimitsUpdate {
             age_ms: Millis::ZERO,
-            scope: self.place.scope,
+            scope: self.coverage.scope,
             share,
             levels: self.buckets.iter().filter_map(level).collect(),
         }
@@ -386,7 +386,7 @@
         Balance {
             left,
             refill,
-            scope: self.place.scope,
+            scope: self.coverage.scope,
             is_own: true,
         }
     }
@@ -424,12 +424,12 @@
     /// Returns the fraction of each limit that the hosts covered by this one have. Hosts that are
     /// not heard have the rest.
     fn share(&self, now: Millis) -> f64 {
-        let Some(members) = self.place.members else {
+        let Some(members) = self.coverage.members else {
             return 0.0;
         };
         let heard = match now < self.covered_since + GATHER_GRACE_MS {
-            true => self.place.heard.max(self.place.expected),
-            false => self.place.heard,
+            true => self.coverage.heard.max(self.coverage.expected),
+            false => self.coverage.heard,
         };
         (heard as f64 / members.max(1) as f64).min(1.0)
     }
@@ -446,7 +446,7 @@
     /// was in theirs. A new process begins with full ones, because it admitted nothing while it was
     /// down.
     fn unused_bucket(&self, refill: Refill) -> TokenBucket {
-        let level = match self.place.scope {
+        let level = match self.coverage.scope {
             Scope::Site => 0.0,
             Scope::Group => refill.burst,
         };
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -3,7 +3,7 @@
 use super::model::{START, TOLERANCE};
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
 use crate::prelude::*;
-use crate::rate_limit::limiter::{Limiter, Place, Scope};
+use crate::rate_limit::limiter::{Coverage, Limiter, Scope};
 
 const LIMIT: RateLimit = RateLimit {
     unit: LimitUnit::Requests,
@@ -17,13 +17,13 @@
 
 fn placed(scope: Scope, heard: usize, members: Option<usize>) -> Limiter {
     let mut limiter = Limiter::new(START, 0.0);
-    let place = Place {
+    let coverage = Coverage {
         scope,
         heard,
         expected: heard,
         members,
     };
-    limiter.set_place(START, place, &table());
+    limiter.set_place(START, coverage, &table());
     limiter
 }
 
@@ -114,13 +114,13 @@
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut former, now, 100), 7);
     next.apply_update(now, former.build_update(now, &table()));
-    let place = Place {
+    let coverage = Coverage {
         scope: Scope::Site,
         heard: 68,
         expected: 68,
         members: Some(68),
     };
-    next.set_place(now, place, &table());
+    next.set_place(now, coverage, &table());
     assert_eq!(admitted(&mut next, now, 100), 0);
     assert_eq!(admitted(&mut next, now + Millis(1_000), 100), 7);
 }
@@ -133,13 +133,13 @@
         burst: 1_000.0,
     };
     let mut limiter = Limiter::new(START, TOLERANCE);
-    let place = Place {
+    let coverage = Coverage {
         scope: Scope::Site,
         heard: 1,
         expected: 1,
         members: Some(1),
     };
-    limiter.set_place(START, place, &table());
+    limiter.set_place(START, coverage, &table());
     let now = START + Millis(120_000);
     let admit = |limiter: &mut Limiter, now| limiter.admit(now, &"o".into(), &small, 60_000, 0.0);
     assert!(admit(&mut limiter, now).is_ok());
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -4,7 +4,7 @@
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
 use crate::prelude::*;
 use crate::rate_limit::UpstreamLimits;
-use crate::rate_limit::limiter::{Limiter, Place, Scope};
+use crate::rate_limit::limiter::{Coverage, Limiter, Scope};
 use std::collections::VecDeque;
 use std::ops::RangeInclusive;
 
@@ -206,8 +206,8 @@
 
     fn exchange(&mut self, child: usize, parent: usize) {
         let now = self.now;
-        self.update_place(child);
-        self.update_place(parent);
+        self.update_coverage(child);
+        self.update_coverage(parent);
         let through = self.heard_by(child) - 1;
         let usage = self.hosts[child].limiter.report(now);
         let table = &self.table;
@@ -226,12 +226,12 @@
         1 + recent.map(|(_, through)| 1 + through).sum::<usize>()
     }
 
-    fn update_place(&mut self, n: usize) {
+    fn update_coverage(&mut self, n: usize) {
         let scope = match self.orderer == Some(n) {
             true => Scope::Site,
             false => Scope::Group,
         };
-        let place = Place {
+        let coverage = Coverage {
             scope,
             heard: self.heard_by(n),
             expected: match scope {
@@ -243,7 +243,7 @@
         };
         self.hosts[n]
             .limiter
-            .set_place(self.now, place, &self.table);
+            .set_place(self.now, coverage, &self.table);
     }
 
     /// Sends requests of callers to random hosts.
@@ -258,7 +258,7 @@
             let per_ms = self.limit.per_s * times / mean_cost as f64 / 1_000.0;
             self.next_at_ms += -self.random.f64().max(1e-9).ln() / per_ms;
             let host = self.random.usize(0..self.hosts.len());
-            self.update_place(host);
+            self.update_coverage(host);
             self.wait_for_newer_levels(host);
             let random_unit = self.random.f64();
             let is_large = cost > mean_cost;
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -7,7 +7,7 @@
 
 use super::model::{Model, START};
 use crate::prelude::*;
-use crate::rate_limit::limiter::{Place, Scope};
+use crate::rate_limit::limiter::{Coverage, Scope};
 use crate::rate_limit::{StatedLimit, UpstreamLimits};
 
 /// Hosts and number of seeds, for a small site and a large one.
@@ -86,7 +86,7 @@
     let mut limits = UpstreamLimits::new(START);
     limits.set_place(
         START,
-        Place {
+        Coverage {
             scope: Scope::Site,
             heard: 1,
             expected: 1,
@@ -176,13 +176,13 @@
 #[test]
 fn messages_of_many_limits_stay_small() {
     let mut limits = alone();
-    let place = Place {
+    let coverage = Coverage {
         scope: Scope::Group,
         heard: 1,
         expected: 1,
         members: Some(1),
     };
-    limits.set_place(START, place);
+    limits.set_place(START, coverage);
     for n in 0..1_000 {
         let upstream: Name = format!("i-{n:010}").into();
         limits.note_answer(START, &upstream, Some(1.0));
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -7,7 +7,7 @@
 
 use crate::desired::{LimitTable, LimitUnit, RateLimit};
 use crate::prelude::*;
-use crate::rate_limit::limiter::{Limiter, Place};
+use crate::rate_limit::limiter::{Coverage, Limiter};
 use crate::rate_limit::{Decision, LimitsUpdate, Usage};
 
 /// Burst of such a limit, in requests: small, because an upstream that states a limit is
@@ -76,8 +76,8 @@
     }
 
     /// Updates which hosts this one covers.
-    pub fn set_place(&mut self, now: Millis, place: Place) {
-        self.limiter.set_place(now, place, &self.limits);
+    pub fn set_place(&mut self, now: Millis, coverage: Coverage) {
+        self.limiter.set_place(now, coverage, &self.limits);
     }
 
     /// Records the limit that an answer states, or that it states none. Returns whether the limit
