--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -168,7 +168,7 @@
     let now = host.now();
     let place = place(host);
     let limiter = &mut host.limits.borrow_mut().organisations;
-    limiter.set_place(now, place, &table.rate_limits);
+    limiter.set_coverage(now, place, &table.rate_limits);
     Some(with(limiter, now, &table.rate_limits))
 }
 
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -89,6 +89,6 @@
     let now = host.now();
     let place = limits::place(host);
     let limits = &mut host.limits.borrow_mut().upstreams;
-    limits.set_place(now, place);
+    limits.set_coverage(now, place);
     with(limits, now)
 }
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -121,7 +121,7 @@
 
     /// Updates which hosts this one covers. A host that becomes the orderer continues from the
     /// levels that it knows.
-    pub fn set_place(&mut self, now: Millis, coverage: Coverage, limits: &LimitTable) {
+    pub fn set_coverage(&mut self, now: Millis, coverage: Coverage, limits: &LimitTable) {
         if coverage.scope != self.coverage.scope {
             self.change_scope(now, coverage, limits);
         }
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -23,7 +23,7 @@
         expected: heard,
         members,
     };
-    limiter.set_place(START, coverage, &table());
+    limiter.set_coverage(START, coverage, &table());
     limiter
 }
 
@@ -120,7 +120,7 @@
         expected: 68,
         members: Some(68),
     };
-    next.set_place(now, coverage, &table());
+    next.set_coverage(now, coverage, &table());
     assert_eq!(admitted(&mut next, now, 100), 0);
     assert_eq!(admitted(&mut next, now + Millis(1_000), 100), 7);
 }
@@ -139,7 +139,7 @@
         expected: 1,
         members: Some(1),
     };
-    limiter.set_place(START, coverage, &table());
+    limiter.set_coverage(START, coverage, &table());
     let now = START + Millis(120_000);
     let admit = |limiter: &mut Limiter, now| limiter.admit(now, &"o".into(), &small, 60_000, 0.0);
     assert!(admit(&mut limiter, now).is_ok());
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -243,7 +243,7 @@
         };
         self.hosts[n]
             .limiter
-            .set_place(self.now, coverage, &self.table);
+            .set_coverage(self.now, coverage, &self.table);
     }
 
     /// Sends requests of callers to random hosts.
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -84,7 +84,7 @@
 
 fn alone() -> UpstreamLimits {
     let mut limits = UpstreamLimits::new(START);
-    limits.set_place(
+    limits.set_coverage(
         START,
         Coverage {
             scope: Scope::Site,
@@ -182,7 +182,7 @@
         expected: 1,
         members: Some(1),
     };
-    limits.set_place(START, coverage);
+    limits.set_coverage(START, coverage);
     for n in 0..1_000 {
         let upstream: Name = format!("i-{n:010}").into();
         limits.note_answer(START, &upstream, Some(1.0));
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -76,8 +76,8 @@
     }
 
     /// Updates which hosts this one covers.
-    pub fn set_place(&mut self, now: Millis, coverage: Coverage) {
-        self.limiter.set_place(now, coverage, &self.limits);
+    pub fn set_coverage(&mut self, now: Millis, coverage: Coverage) {
+        self.limiter.set_coverage(now, coverage, &self.limits);
     }
 
     /// Records the limit that an answer states, or that it states none. Returns whether the limit
