--- a/src/admission/limits.rs
+++ b/src/admission/limits.rs
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// Releases the place of an admitted request that has ended.
+    /// Counts the end of an admitted request, which makes room for another one.
     pub fn release(&mut self, key: &RowKey) {
         if let Some(running) = self.running.get_mut(key) {
             *running = running.saturating_sub(1);
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -130,7 +130,7 @@
         order
             .iter()
             .zip(1u64..)
-            .map(|(entry, place)| (entry, Millis(interval_ms.0 * place)))
+            .map(|(entry, position)| (entry, Millis(interval_ms.0 * position)))
             .filter(|(entry, wait_ms)| now + *wait_ms > entry.waiting.deadline_at)
             .map(|(entry, wait_ms)| PredictedTimeout {
                 request: entry.waiting.request,
--- a/src/admission/tests/limits.rs
+++ b/src/admission/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Tests that over all hosts no more requests of a row begin in any second than its limit allows.
 
-use crate::admission::quota::{QuotaGranter, SLICE_MS};
+use crate::admission::quota::{GRANT_TTL_MS, QuotaGranter};
 use crate::attempt::message::RequestId;
 use crate::attempt::requests::Phase;
 use crate::daemon::event::Event;
@@ -28,22 +28,22 @@
 }
 
 #[test]
-fn slices_used_late_stay_within_the_limit() {
+fn grants_used_late_stay_within_the_limit() {
     check_seeds(100, 2048, |u| {
         let row = RowKey {
             brand: "north".into(),
             model: "booking".into(),
         };
-        let mut granting = QuotaGranter::default();
+        let mut granter = QuotaGranter::default();
         let mut now = Millis(1_000_000);
         let mut begun_at = Vec::new();
         for _ in 0..200 {
             now += Millis(u.int_in_range(0..=150u64)?);
             let wanted = u.int_in_range(1..=8u32)?;
-            let slice = granting.grant(now, &row, LIMIT, wanted);
-            assert!(slice.granted <= wanted);
-            for _ in 0..slice.granted {
-                begun_at.push(now + Millis(u.int_in_range(0..=SLICE_MS.0)?));
+            let grant = granter.grant(now, &row, LIMIT, wanted);
+            assert!(grant.granted <= wanted);
+            for _ in 0..grant.granted {
+                begun_at.push(now + Millis(u.int_in_range(0..=GRANT_TTL_MS.0)?));
             }
         }
         check_each_second(begun_at);
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -162,13 +162,13 @@
 #[test]
 fn number_of_limits_in_a_report_is_bounded() {
     let mut limits = alone();
-    let told: Vec<StatedLimit> = (0..10_000)
+    let statements: Vec<StatedLimit> = (0..10_000)
         .map(|n| StatedLimit {
             upstream: format!("{n}").into(),
             ..stated(Some(1.0), 0)
         })
         .collect();
-    assert!(limits.take_stated(START, &told).len() <= 128);
+    assert!(limits.take_stated(START, &statements).len() <= 128);
     assert!(limits.report(START).stated.len() <= 128);
 }
 
@@ -192,6 +192,6 @@
     }
     let report = postcard::to_stdvec(&limits.report(START)).expect("the message serialises");
     let update = postcard::to_stdvec(&limits.build_update(START)).expect("the message serialises");
-    println!("report {} B, news {} B", report.len(), update.len());
+    println!("report {} B, update {} B", report.len(), update.len());
     assert!(report.len() <= 8_000 && update.len() <= 8_000);
 }
--- a/src/rate_limit/token_bucket.rs
+++ b/src/rate_limit/token_bucket.rs
@@ -68,8 +68,8 @@
     pub fn add(&mut self, now: Millis, slots_ago: u64, amount: i64, refill: Refill) {
         self.advance(now, refill);
         let slot = slot_of(now).saturating_sub(slots_ago);
-        let place = slot.checked_sub(self.first_slot);
-        if let Some(used) = place.and_then(|place| self.used.get_mut(place as usize)) {
+        let index = slot.checked_sub(self.first_slot);
+        if let Some(used) = index.and_then(|index| self.used.get_mut(index as usize)) {
             *used += amount;
         }
     }
--- a/src/retry/tests/quarantine.rs
+++ b/src/retry/tests/quarantine.rs
@@ -160,6 +160,6 @@
     }
     let report = postcard::to_stdvec(&host.report(NOW)).expect("the message serialises");
     let update = postcard::to_stdvec(&host.build_update(NOW, 0)).expect("the message serialises");
-    println!("report {} B, news {} B", report.len(), update.len());
+    println!("report {} B, update {} B", report.len(), update.len());
     assert!(report.len() <= 4_000 && update.len() <= 4_000);
 }
--- a/src/routing/tests/pick.rs
+++ b/src/routing/tests/pick.rs
@@ -45,12 +45,12 @@
         .collect();
     let mut random = fastrand::Rng::with_seed(7);
     for request in 0..requests {
-        let with_work = registry.iter().map(|upstream| {
-            let work = UpstreamLoad {
+        let with_load = registry.iter().map(|upstream| {
+            let load = UpstreamLoad {
                 running: running[&upstream.entry.id],
                 ..UpstreamLoad::default()
             };
-            (upstream, work)
+            (upstream, load)
         });
         let copies = ModelCopies {
             name: "m",
@@ -60,7 +60,7 @@
         // The prompts share two prefixes, each of which has a preferred engine.
         let prompt = short_prompt(request % 2);
         let occupancy = Occupancy::default();
-        let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
+        let chosen = pick::engine(NOW, &copies, with_load, prompt, occupancy, &mut random);
         let chosen = chosen.expect("an engine is chosen").entry.id.clone();
         running[&chosen] += 1;
     }
@@ -118,7 +118,7 @@
         prefix_miss_cost: 1.0,
     };
     let choose = |now| {
-        let with_work = registry
+        let with_load = registry
             .iter()
             .map(|upstream| (upstream, UpstreamLoad::default()));
         let occupancy = Occupancy::default();
@@ -126,7 +126,7 @@
         pick::engine(
             now,
             &copies,
-            with_work,
+            with_load,
             short_prompt(1),
             occupancy,
             &mut random,
@@ -148,7 +148,7 @@
         prefix_miss_cost: 1.0,
     };
     let choose = |host| {
-        let with_work = registry
+        let with_load = registry
             .iter()
             .map(|upstream| (upstream, UpstreamLoad::default()));
         let mut random = fastrand::Rng::with_seed(host);
@@ -157,7 +157,7 @@
             ..short_prompt(1)
         };
         let occupancy = Occupancy::default();
-        let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
+        let chosen = pick::engine(NOW, &copies, with_load, prompt, occupancy, &mut random);
         chosen.expect("an engine is chosen").entry.id.clone()
     };
     let chosen: IndexSet<Name> = (0..40).map(choose).collect();
@@ -179,12 +179,12 @@
         let mut queued: IndexMap<Name, u64> = IndexMap::new();
         let mut random = fastrand::Rng::with_seed(3);
         for _ in 0..4 {
-            let with_work = registry.iter().map(|upstream| {
-                let work = UpstreamLoad {
+            let with_load = registry.iter().map(|upstream| {
+                let load = UpstreamLoad {
                     prompt_tokens: queued.get(&upstream.entry.id).copied().unwrap_or(0),
                     ..UpstreamLoad::default()
                 };
-                (upstream, work)
+                (upstream, load)
             });
             let prompt = PromptShape {
                 prefix_digest: 1,
@@ -192,7 +192,7 @@
                 tokens: 9_200,
             };
             let occupancy = Occupancy::default();
-            let chosen = pick::engine(NOW, &copies, with_work, prompt, occupancy, &mut random);
+            let chosen = pick::engine(NOW, &copies, with_load, prompt, occupancy, &mut random);
             let id = chosen.expect("an engine is chosen").entry.id.clone();
             *queued.entry(id).or_default() += 2_900;
         }
