--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -15,7 +15,7 @@
     [("o".into(), LIMIT)].into_iter().collect()
 }
 
-fn placed(scope: Scope, heard: usize, members: Option<usize>) -> Limiter {
+fn limiter_with(scope: Scope, heard: usize, members: Option<usize>) -> Limiter {
     let mut limiter = Limiter::new(START, 0.0);
     let coverage = Coverage {
         scope,
@@ -34,13 +34,13 @@
 
 #[test]
 fn host_without_a_member_count_admits_nothing() {
-    let mut limiter = placed(Scope::Group, 1, None);
+    let mut limiter = limiter_with(Scope::Group, 1, None);
     assert_eq!(admitted(&mut limiter, START + Millis(60_000), 100), 0);
 }
 
 #[test]
 fn isolated_host_admits_its_share() {
-    let mut limiter = placed(Scope::Group, 1, Some(2));
+    let mut limiter = limiter_with(Scope::Group, 1, Some(2));
     let mut all = 0;
     for ms in (2_000..22_000).step_by(10) {
         all += admitted(&mut limiter, START + Millis(ms), 1);
@@ -51,7 +51,7 @@
 
 #[test]
 fn orderer_admits_the_whole_limit_and_states_when_to_retry() {
-    let mut limiter = placed(Scope::Site, 68, Some(68));
+    let mut limiter = limiter_with(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
     let now = now + Millis(500);
@@ -65,7 +65,7 @@
 
 #[test]
 fn retry_time_covers_a_restart_of_all_hosts_and_is_short_otherwise() {
-    let mut limiter = placed(Scope::Group, 1, Some(10_000));
+    let mut limiter = limiter_with(Scope::Group, 1, Some(10_000));
     let mut refuse = |now| {
         limiter
             .admit(now, &"o".into(), &LIMIT, 1, 0.9)
@@ -79,13 +79,13 @@
 
 #[test]
 fn share_of_silent_hosts_is_not_used() {
-    let mut limiter = placed(Scope::Site, 34, Some(68));
+    let mut limiter = limiter_with(Scope::Site, 34, Some(68));
     assert_eq!(admitted(&mut limiter, START + Millis(60_000), 100), 4);
 }
 
 #[test]
 fn cost_of_a_request_that_did_not_run_is_returned() {
-    let mut limiter = placed(Scope::Site, 68, Some(68));
+    let mut limiter = limiter_with(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
     limiter.refund(now, &"o".into(), &LIMIT, 1);
@@ -94,8 +94,8 @@
 
 #[test]
 fn use_is_reported_until_the_report_is_confirmed() {
-    let mut host = placed(Scope::Group, 1, Some(68));
-    let mut orderer = placed(Scope::Site, 68, Some(68));
+    let mut host = limiter_with(Scope::Group, 1, Some(68));
+    let mut orderer = limiter_with(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     host.apply_update(now, orderer.build_update(now, &table()));
     assert_eq!(admitted(&mut host, now, 3), 3);
@@ -109,8 +109,8 @@
 
 #[test]
 fn new_orderer_continues_from_the_levels_that_it_received() {
-    let mut former = placed(Scope::Site, 68, Some(68));
-    let mut next = placed(Scope::Group, 1, Some(68));
+    let mut former = limiter_with(Scope::Site, 68, Some(68));
+    let mut next = limiter_with(Scope::Group, 1, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut former, now, 100), 7);
     next.apply_update(now, former.build_update(now, &table()));
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Merges evidence, and reports it to the parent if it is new.
+    /// Merges evidence, and marks it for the next report to the parent if it is new.
     fn merge_unreported(&mut self, now: Millis, evidence: &Evidence) {
         if self.ledger.merge(now, evidence) {
             self.unreported.insert(evidence.digest);
--- a/src/retry/tests/budget.rs
+++ b/src/retry/tests/budget.rs
@@ -17,7 +17,7 @@
         let mut budgets = vec![RetryBudget::new(RULE, Millis::ZERO, rounding); hosts];
         let mut started_at = vec![Millis::ZERO; hosts];
         let mut now = Millis(1_000_000);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(0..=400u16)? {
             now += Millis(u.int_in_range(0..=200u64)?);
             let host = u.choose_index(hosts)?;
@@ -31,15 +31,15 @@
                     budgets[host].note_request(now);
                     requests.push(now);
                 }
-                false if budgets[host].try_take(now, hosts) => repeats.push(now),
+                false if budgets[host].try_take(now, hosts) => retries.push(now),
                 false => {}
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let in_window = |at: &&Millis| **at <= *end && **at + RULE.window_ms >= *end;
-            let asked = requests.iter().filter(in_window).count() as f64;
-            let repeated = repeats.iter().filter(in_window).count() as f64;
-            assert!(repeated <= RULE.ratio * asked + RULE.slack);
+            let requested = requests.iter().filter(in_window).count() as f64;
+            let retried = retries.iter().filter(in_window).count() as f64;
+            assert!(retried <= RULE.ratio * requested + RULE.slack);
         }
         Ok(())
     });
--- a/src/retry/tests/model.rs
+++ b/src/retry/tests/model.rs
@@ -13,8 +13,8 @@
 const SYNC_INTERVAL_MS: u64 = 250;
 /// Interval at which the orderer stores evidence that must survive a restart of all hosts.
 const PERSIST_INTERVAL_MS: u64 = 800;
-/// How long after a disturbance (restart, freeze, lost connection) a host's sends are not counted
-/// as late, and after the third crash those of all hosts.
+/// A send of the cause counts as late only if the third crash, and the last disturbance of the
+/// sending host (restart, freeze, lost connection), are longer ago than this.
 pub const SETTLE_MS: Millis = Millis(3_000);
 /// The longest time that an engine runs the cause before it crashes.
 const MAX_CRASH_MS: u64 = 150;
