--- a/src/admission/limits.rs
+++ b/src/admission/limits.rs
@@ -1,19 +1,20 @@
-//! The rows' limits on requests at once, as far as this host enforces them.
+//! Limits on the concurrent requests of a table row (a brand's entry for a model or service),
+//! enforced by each host for itself.
 
 use crate::prelude::*;
 use crate::table::message::{Row, RowKey};
 
 const RETRY_MS: Millis = Millis(1_000);
 
-/// What each row uses at this host.
+/// Running requests of each row on this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Limits {
+pub struct ConcurrencyLimits {
     #[serde(skip)]
     running: IndexMap<RowKey, u32>,
 }
 
-impl Limits {
-    /// Admits a request of a row, or says when to come back.
+impl ConcurrencyLimits {
+    /// Admits a request of a row, or returns when to retry.
     ///
     /// # Errors
     ///
@@ -30,8 +31,8 @@
         Ok(())
     }
 
-    /// Takes the end of an admitted request.
-    pub fn end(&mut self, key: &RowKey) {
+    /// Counts the end of an admitted request, which makes room for another one.
+    pub fn release(&mut self, key: &RowKey) {
         if let Some(running) = self.running.get_mut(key) {
             *running = running.saturating_sub(1);
         }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,9 +1,9 @@
-//! Which waiting request goes next, and which are refused at once.
+//! Queues, rate limits and concurrency limits of requests before they are sent to an upstream.
 
 pub mod limits;
 pub mod pace;
 pub mod queue;
-pub mod slices;
+pub mod quota;
 
 #[cfg(test)]
 mod tests;
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,9 +1,10 @@
-//! Tests of the queues: shares by weight, urgency with ageing, bounds, and predicted waits.
+//! Tests of the queues: sharing by weight, urgency and ageing, limits of length, and predicted
+//! waits.
 
 mod limits;
 
-use crate::admission::pace::LEAST_STARTS;
-use crate::admission::queue::{AGEING_MS, MAX_WAITING_OF_BRAND, Queues, Waiting};
+use crate::admission::pace::MIN_STARTS;
+use crate::admission::queue::{AGEING_MS, MAX_WAITING_OF_BRAND, QueuedRequest, Queues};
 use crate::attempt::message::RequestId;
 use crate::prelude::*;
 use crate::table::message::Urgency;
@@ -15,8 +16,8 @@
     "review".into()
 }
 
-fn waiting(number: u64, brand: &str, weight: u32, urgency: Urgency) -> Waiting {
-    Waiting {
+fn waiting(number: u64, brand: &str, weight: u32, urgency: Urgency) -> QueuedRequest {
+    QueuedRequest {
         request: RequestId(number),
         brand: brand.into(),
         weight,
@@ -27,7 +28,7 @@
     }
 }
 
-fn pop(queues: &mut Queues, now: Millis) -> Waiting {
+fn pop(queues: &mut Queues, now: Millis) -> QueuedRequest {
     queues.pop(now, "review").unwrap()
 }
 
@@ -50,7 +51,7 @@
         }
         let total = weights[0] + weights[1];
         for round in 1..=(200 / total) {
-            let popped: Vec<Waiting> = (0..total).map(|_| pop(&mut queues, NOW)).collect();
+            let popped: Vec<QueuedRequest> = (0..total).map(|_| pop(&mut queues, NOW)).collect();
             let north = popped
                 .iter()
                 .filter(|entry| &*entry.brand == "north")
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn an_idle_brand_saves_nothing_up() {
+fn idle_brand_accumulates_no_credit() {
     let mut queues = Queues::default();
     for number in 0..50 {
         let entry = waiting(number, "north", 1, Urgency::Normal);
@@ -78,7 +79,7 @@
         let entry = waiting(number, "south", 1, Urgency::Normal);
         queues.push(&target(), entry).unwrap();
     }
-    let next: Vec<Waiting> = (0..10).map(|_| pop(&mut queues, NOW)).collect();
+    let next: Vec<QueuedRequest> = (0..10).map(|_| pop(&mut queues, NOW)).collect();
     let south = next.iter().filter(|entry| &*entry.brand == "south").count();
     assert!((4..=6).contains(&south), "{south} of 10");
 }
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_request_that_came_back_goes_next_and_pays_once() {
+fn requeued_request_goes_next_and_is_charged_once() {
     let mut queues = Queues::default();
     for number in 0..4 {
         let entry = waiting(number, "north", 1, Urgency::Normal);
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn who_cannot_be_served_in_time_is_known_once_the_pace_is() {
+fn predicted_timeouts_are_known_once_the_rate_is() {
     const INTERVAL_MS: Millis = Millis(100);
     let mut queues = Queues::default();
     for number in 0..100 {
@@ -139,13 +140,16 @@
         queues.push(&target(), entry).unwrap();
     }
     let mut now = NOW;
-    for _ in 0..LEAST_STARTS {
-        assert!(queues.hopeless(now).is_empty());
+    for _ in 0..MIN_STARTS {
+        assert!(queues.predicted_timeouts(now).is_empty());
         pop(&mut queues, now);
         now += INTERVAL_MS;
     }
     let left_ms = (NOW + Millis(5_000)).since(now);
     let in_time = left_ms.0 / INTERVAL_MS.0;
     let waiting = queues.waiting("review") as u64;
-    assert_eq!(queues.hopeless(now).len() as u64, waiting - in_time);
+    assert_eq!(
+        queues.predicted_timeouts(now).len() as u64,
+        waiting - in_time
+    );
 }
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -136,7 +136,7 @@
             first_byte_ms,
             urgency: request.urgency,
         };
-        self.routing.view(&chosen.name).in_flight += 1;
+        self.routing.view_mut(&chosen.name).in_flight += 1;
         fx.push(Effect::Begin { attempt });
     }
 
@@ -151,7 +151,7 @@
         if request.attempts == number {
             let streamed = request.head.streamed;
             self.routing
-                .view(upstream)
+                .view_mut(upstream)
                 .note_first_byte(streamed, first_byte_ms);
         }
     }
@@ -164,7 +164,7 @@
         }
         let bound_ms = self
             .routing
-            .first_byte_bound(upstream, request.head.streamed);
+            .first_byte_timeout(upstream, request.head.streamed);
         let patience = 1 << request.failures.min(MAX_FAILURES);
         Millis(bound_ms.0 * patience).min(to_deadline_ms)
     }
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,8 +1,8 @@
 //! All decisions of one host as one pure state machine.
 
-use crate::admission::limits::Limits;
+use crate::admission::limits::ConcurrencyLimits;
 use crate::admission::queue::Queues;
-use crate::admission::slices::{Granting, Metered};
+use crate::admission::quota::{QuotaGranter, QuotaRequester};
 use crate::attempt::requests::Requests;
 use crate::daemon::event::Event;
 use crate::idempotency::finished::FinishedOperations;
@@ -98,11 +98,11 @@
     /// What is known of upstreams.
     pub routing: Routing,
     /// The rows' limits.
-    pub limits: Limits,
+    pub limits: ConcurrencyLimits,
     /// Requests that wait for a slice of their row's limit.
-    pub metered: Metered,
+    pub metered: QuotaRequester,
     /// Slices that this host granted as a row's home.
-    pub granting: Granting,
+    pub granting: QuotaGranter,
     /// Waiting requests.
     pub queues: Queues,
     /// Requests held.
@@ -137,9 +137,9 @@
             acceptance: Acceptance::default(),
             executor: Executor::default(),
             routing: Routing::default(),
-            limits: Limits::default(),
-            metered: Metered::default(),
-            granting: Granting::default(),
+            limits: ConcurrencyLimits::default(),
+            metered: QuotaRequester::default(),
+            granting: QuotaGranter::default(),
             queues: Queues::default(),
             requests: Requests::default(),
             pending_claims: PendingClaims::default(),
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -1,13 +1,13 @@
 //! Joins a request's way: admission, the ends of its attempts, the final answer.
 
-use crate::admission::queue::Waiting;
+use crate::admission::queue::QueuedRequest;
 use crate::attempt::message::{AttemptOutcome, Repeatable, RequestHead, RequestId, TargetKind};
 use crate::attempt::requests::{HeldRequest, MAX_FAILURES, Phase};
 use crate::daemon::node::{Life, Node};
 use crate::error::Ran;
 use crate::idempotency::message::OperationKey;
 use crate::prelude::*;
-use crate::routing::upstreams::{BUSY_REST_MS, FAILURE_REST_MS};
+use crate::routing::upstreams::{BUSY_BACKOFF_MS, FAILURE_BACKOFF_MS};
 use crate::shared_log::fold::Applied;
 use crate::table::message::RowKey;
 
@@ -93,7 +93,7 @@
             return;
         };
         request.enter(now, Phase::Waiting);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request: id,
             brand: request.row.brand.clone(),
             weight: self
@@ -171,12 +171,12 @@
         }
         self.tick_limits(now, fx);
         self.refuse_hopeless(now, fx);
-        self.queues.tidy();
+        self.queues.remove_empty();
     }
 
     /// Refuses whoever cannot be served by the deadline, with the time by which the queue is through.
     fn refuse_hopeless(&mut self, now: Millis, fx: &mut Effects) {
-        for hopeless in self.queues.hopeless(now) {
+        for hopeless in self.queues.predicted_timeouts(now) {
             let message = "the queue is longer than the request's deadline allows";
             let refusal = Refusal::new(ErrorKind::Overloaded, message);
             let refusal = refusal.after(hopeless.wait_ms.max(RETRY_MS));
@@ -238,18 +238,18 @@
             }
             AttemptOutcome::CallerGone | AttemptOutcome::Broken(_) => self.finish(now, id),
             AttemptOutcome::NotRun(why) => {
-                self.routing.view(&upstream).resting_until = now + FAILURE_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + FAILURE_BACKOFF_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Busy(why) => {
-                self.routing.view(&upstream).resting_until = now + BUSY_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + BUSY_BACKOFF_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Silent(why) => {
                 self.retry_or_refuse(now, id, &why, fx);
             }
             AttemptOutcome::Unknown(why) => {
-                self.routing.view(&upstream).resting_until = now + FAILURE_REST_MS;
+                self.routing.view_mut(&upstream).resting_until = now + FAILURE_BACKOFF_MS;
                 self.retry_or_refuse(now, id, &why, fx);
             }
         }
@@ -314,7 +314,7 @@
             return;
         };
         if let Phase::Running { upstream } = &request.phase {
-            let view = self.routing.view(upstream);
+            let view = self.routing.view_mut(upstream);
             view.in_flight = view.in_flight.saturating_sub(1);
         }
     }
@@ -361,7 +361,7 @@
         self.let_go_of_operation(now, &request);
         self.queues.remove(&request.head.name, id);
         self.metered.remove(&request.row, id);
-        self.limits.end(&request.row);
+        self.limits.release(&request.row);
         if request.head.target == TargetKind::Model {
             let last_use_at = request.arrived_at;
             self.demand.note_use(last_use_at, &request.head.name);
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -57,8 +57,8 @@
 ) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
-        are_separate: view.is_separate(&model.model),
-        reread_cost: fetch_share.unwrap_or(1.0),
+        separates_prompt_lengths: view.is_separate(&model.model),
+        prefix_miss_cost: fetch_share.unwrap_or(1.0),
     }
 }
 
@@ -68,7 +68,11 @@
     let routes = host.routes.borrow();
     let service = routes.as_ref()?.services.get(&request.service)?;
     let shared_tokens = prompt_shape(&request.facts).shared_tokens;
-    prefix::fetch_share(service.engine.as_ref()?, pick::TOKENS_PER_MS, shared_tokens)
+    prefix::prefix_fetch_ratio(
+        service.engine.as_ref()?,
+        pick::PREFILL_TOKENS_PER_MS,
+        shared_tokens,
+    )
 }
 
 /// Returns the address of the engine from which an upstream should fetch the computed prefix of a
@@ -155,7 +159,7 @@
         digested.extend_from_slice(&part.id.to_le_bytes());
     }
     PromptShape {
-        beginning: rapidhash_v3(&digested),
+        prefix_digest: rapidhash_v3(&digested),
         shared_tokens: shared.iter().map(|part| part.tokens).sum(),
         tokens: facts.prompt_tokens,
     }
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -7,7 +7,7 @@
 use crate::http1::client::within;
 use crate::prelude::*;
 use crate::retry::message::Evidence;
-use crate::retry::{CrashNews, CrashReport, Quarantine, RequestDigest};
+use crate::retry::{CrashReport, CrashUpdate, Quarantine, RequestDigest};
 use crate::upstreams::Lifetime;
 use std::net::SocketAddr;
 
@@ -57,7 +57,7 @@
         return;
     };
     let is_known_crash = with_quarantine(host, |quarantine, now| {
-        quarantine.note_broken(now, upstream, request.digest)
+        quarantine.note_connection_lost(now, upstream, request.digest)
     });
     if is_known_crash {
         host.request_sync();
@@ -120,28 +120,30 @@
 
 /// Adds the crash evidence that another host reports.
 pub fn merge_report<P: Platform>(host: &Host<P>, report: &CrashReport) {
-    with_quarantine(host, |quarantine, now| quarantine.take_report(now, report));
+    with_quarantine(host, |quarantine, now| quarantine.merge_report(now, report));
 }
 
 /// Returns the evidence that a reporting host lacks, for the reply to it. `known` is the state of
 /// that host's evidence, as it stated it.
-pub fn build_update<P: Platform>(host: &Host<P>, known: u64) -> CrashNews {
-    with_quarantine(host, |quarantine, now| quarantine.news(now, known))
+pub fn build_update<P: Platform>(host: &Host<P>, known: u64) -> CrashUpdate {
+    with_quarantine(host, |quarantine, now| quarantine.build_update(now, known))
 }
 
 /// Applies the reply to a message that carried this host's report.
-pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashNews) {
-    with_quarantine(host, |quarantine, now| quarantine.take_news(now, news));
+pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashUpdate) {
+    with_quarantine(host, |quarantine, now| quarantine.apply_update(now, news));
 }
 
 /// Adds the evidence that an orderer stored with its lease for all hosts.
 pub fn restore_evidence<P: Platform>(host: &Host<P>, evidence: &[Evidence]) {
-    with_quarantine(host, |quarantine, now| quarantine.take_told(now, evidence));
+    with_quarantine(host, |quarantine, now| {
+        quarantine.merge_evidence(now, evidence)
+    });
 }
 
 /// Returns the evidence that must survive a restart of all processes.
 pub fn persistent_evidence<P: Platform>(host: &Host<P>) -> Vec<Evidence> {
-    with_quarantine(host, |quarantine, now| quarantine.lasting(now))
+    with_quarantine(host, |quarantine, now| quarantine.persistent_evidence(now))
 }
 
 fn with_quarantine<P: Platform, T>(
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -18,7 +18,7 @@
 use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
 use crate::rate_limit::{Limiter, SharedLimits, UpstreamLimits};
-use crate::retry::{Retries, RetryBudget};
+use crate::retry::{RetryBudget, RetryState};
 use crate::routing::occupancy::Occupancy;
 use crate::upstreams::Registry;
 use event_listener::{Event as Wakeup, EventListener};
@@ -66,7 +66,7 @@
     /// The demand for each model since this host's last report to the orderer.
     pub demand: RefCell<crate::ordering::demand::Demand>,
     /// The retry budgets, and the quarantine of requests that crash upstreams.
-    pub retries: RefCell<Retries>,
+    pub retries: RefCell<RetryState>,
     /// What is left of the rate limits that all hosts enforce together.
     pub limits: RefCell<SharedLimits>,
     /// How long requests of each service occupy an engine slot, averaged over this host's answers.
@@ -320,7 +320,7 @@
     pub fn take_retry(&self, service: &Name) -> bool {
         let now = self.now();
         let members = self.members.borrow().count();
-        self.with_budget(service, |budget| budget.take(now, members))
+        self.with_budget(service, |budget| budget.try_take(now, members))
     }
 
     fn with_budget<T>(&self, service: &Name, with: impl FnOnce(&mut RetryBudget) -> T) -> T {
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -6,8 +6,8 @@
 use crate::entry::platform::Platform;
 use crate::http1::client::within;
 use crate::prelude::*;
-use crate::rate_limit::limiter::Place;
-use crate::rate_limit::{Decision, Limiter, LimitsNews, Refused, Scope, Usage};
+use crate::rate_limit::limiter::Coverage;
+use crate::rate_limit::{Decision, Limiter, LimitsUpdate, Refused, Scope, Usage};
 
 /// How long a request waits for newer limit levels from other hosts: the time of a few message
 /// exchanges with a relay and the orderer.
@@ -85,7 +85,7 @@
 pub fn note_extra_run<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
     if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
-            limiter.note_run(now, organisation, limit, cost);
+            limiter.charge_rerun(now, organisation, limit, cost);
         });
     }
 }
@@ -93,7 +93,7 @@
 fn refund<P: Platform>(host: &Host<P>, request: &ActiveRequest) {
     if let Some((organisation, limit, cost)) = cost(request) {
         with_limiter(host, |limiter, now, _| {
-            limiter.give_back(now, organisation, limit, cost);
+            limiter.refund(now, organisation, limit, cost);
         });
     }
 }
@@ -162,12 +162,12 @@
 
 /// Returns the current levels, for this host's reply to hosts that report to it. None before there
 /// is a desired state.
-pub fn build_update<P: Platform>(host: &Host<P>) -> Option<LimitsNews> {
-    with_limiter(host, |limiter, now, table| limiter.news(now, table))
+pub fn build_update<P: Platform>(host: &Host<P>) -> Option<LimitsUpdate> {
+    with_limiter(host, |limiter, now, table| limiter.build_update(now, table))
 }
 
 /// Applies the reply to a message, sent at `asked_at`, that reported this host's use.
-pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsNews>) {
+pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsUpdate>) {
     with_limiter(host, |limiter, _, _| limiter.take_reply(asked_at, news));
 }
 
@@ -181,24 +181,24 @@
     let now = host.now();
     let place = place(host);
     let limiter = &mut host.limits.borrow_mut().organisations;
-    limiter.set_place(now, place, &table.rate_limits);
+    limiter.set_coverage(now, place, &table.rate_limits);
     Some(with(limiter, now, &table.rate_limits))
 }
 
 /// Returns the part of the site that this host decides for and how many hosts report to it: the
 /// whole site as the orderer, its own group as a relay, only itself otherwise.
-pub fn place<P: Platform>(host: &Host<P>) -> Place {
+pub fn place<P: Platform>(host: &Host<P>) -> Coverage {
     let members = host.members.borrow();
     let known = members.count_serving(host.now());
     let tree = host.tree.borrow();
     match (host.is_orderer(), tree.is_relay(host.incarnation)) {
-        (true, _) => Place {
+        (true, _) => Coverage {
             scope: Scope::Site,
             heard: host.orders.borrow().demand.live_hosts(),
             expected: members.count(),
             members: known,
         },
-        (false, is_relay) => Place {
+        (false, is_relay) => Coverage {
             scope: Scope::Group,
             heard: 1 + host.relay_aggregate.borrow().relayed_hosts(),
             expected: if is_relay { tree.hosts_per_relay() } else { 1 },
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -325,7 +325,7 @@
 ) {
     let occupancy = host.occupancy(&request.service);
     if let Some(known) = host.upstreams.borrow_mut().get_lifetime_mut(upstream) {
-        known.full_until = now + occupancy.full_ms(known.entry.slots);
+        known.full_until = now + occupancy.full_backoff_ms(known.entry.slots);
     }
 }
 
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -13,7 +13,7 @@
     OrdererUpdate, PeerCall, PeerReply, SyncReply, SyncRequest, Totals,
 };
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use smol::Timer;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -284,10 +284,10 @@
 }
 
 /// Returns the work that this host itself has in flight at each upstream.
-fn own_work<P: Platform>(host: &Host<P>) -> IndexMap<Name, Work> {
+fn own_work<P: Platform>(host: &Host<P>) -> IndexMap<Name, UpstreamLoad> {
     let upstreams = host.upstreams.borrow();
     let work = upstreams.busy().map(|upstream| {
-        let work = Work {
+        let work = UpstreamLoad {
             prompt_tokens: upstream.prompt_tokens,
             long_prompts: upstream.long_prompts,
             running: upstream.in_flight,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -13,11 +13,11 @@
 use crate::ordering::published::{EngineView, EnginesUpdate};
 use crate::prelude::*;
 use crate::rate_limit::levels::Level;
-use crate::rate_limit::{LimitsNews, Scope, StatedLimit, UpstreamLimitsReport, Usage};
+use crate::rate_limit::{LimitsUpdate, Scope, StatedLimit, UpstreamLimitsReport, Usage};
 use crate::retry::crash_ledger::CrashId;
 use crate::retry::message::{Crash, Evidence};
 use crate::retry::{CrashReport, RequestDigest};
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::test_support::member;
 use crate::upstreams::Lifetime;
 
@@ -27,10 +27,10 @@
     sync_ask(ASKER)
 }
 
-fn work(running: u32) -> Vec<(Name, Work)> {
-    let work = Work {
+fn work(running: u32) -> Vec<(Name, UpstreamLoad)> {
+    let work = UpstreamLoad {
         running,
-        ..Work::default()
+        ..UpstreamLoad::default()
     };
     vec![("e".into(), work)]
 }
@@ -249,7 +249,7 @@
             left: 300.0,
             used_per_s: 0.0,
         };
-        let orderer_limits = LimitsNews {
+        let orderer_limits = LimitsUpdate {
             age_ms: Millis::ZERO,
             scope: Scope::Site,
             share: 1.0,
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -7,7 +7,7 @@
 use crate::entry::platform::Platform;
 use crate::prelude::*;
 use crate::rate_limit::{
-    Refused, StatedLimit, UpstreamLimits, UpstreamLimitsNews, UpstreamLimitsReport,
+    Refused, StatedLimit, UpstreamLimits, UpstreamLimitsReport, UpstreamLimitsUpdate,
 };
 use crate::upstreams::Lifetime;
 
@@ -67,12 +67,12 @@
 }
 
 /// Returns the stated limits and current levels, for this host's reply to hosts that report to it.
-pub fn build_update<P: Platform>(host: &Host<P>) -> UpstreamLimitsNews {
-    with_limits(host, |limits, now| limits.news(now))
+pub fn build_update<P: Platform>(host: &Host<P>) -> UpstreamLimitsUpdate {
+    with_limits(host, |limits, now| limits.build_update(now))
 }
 
 /// Applies the reply to a message, sent at `asked_at`, that carried this host's report.
-pub fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsNews) {
+pub fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsUpdate) {
     take_stated(host, &news.stated);
     with_limits(host, |limits, _| limits.take_reply(asked_at, news.levels));
 }
@@ -93,6 +93,6 @@
     let now = host.now();
     let place = limits::place(host);
     let limits = &mut host.limits.borrow_mut().upstreams;
-    limits.set_place(now, place);
+    limits.set_coverage(now, place);
     with(limits, now)
 }
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -1,7 +1,7 @@
 //! Entries of hosts and upstreams as the log and the platform's list have them, and the messages
 //! between hosts.
 
-use crate::admission::slices::Slice;
+use crate::admission::quota::QuotaGrant;
 use crate::clock::Millis;
 use crate::idempotency::message::{OperationKey, OperationState};
 use crate::membership::leaving::LeavingHint;
@@ -123,7 +123,7 @@
         /// The key of the row.
         row: RowKey,
         /// The granted slice.
-        slice: Slice,
+        slice: QuotaGrant,
         /// The number of waiting requests that the request stated.
         wanted: u32,
     },
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -9,7 +9,7 @@
 use crate::ordering::message::Action;
 use crate::ordering::planner::{PlannedOrder, Planner};
 use crate::prelude::*;
-use crate::routing::roles::short_copies;
+use crate::routing::roles::short_prompt_copies;
 
 /// The most adapters that are prefetched concurrently over all engines. This is half of what the
 /// smallest weight store fetches at full speed, so that adapters that callers wait for are not
@@ -79,7 +79,7 @@
         };
         let holding = || holders().filter(|engine| engine.is_free(self.now));
         let for_short = match separate.contains(&ask.model) {
-            true => short_copies(&ask.model, holders().map(|engine| &engine.id)),
+            true => short_prompt_copies(&ask.model, holders().map(|engine| &engine.id)),
             false => Vec::new(),
         };
         let with_free_slot = holding()
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -3,7 +3,7 @@
 use crate::entry::platform::ModelRef;
 use crate::ordering::published::{EnginesUpdate, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::Lifetime;
 
 /// How long an engine is avoided for a model after it refused a request because it lacks the model.
@@ -24,7 +24,7 @@
     /// The number of updates received so far.
     pub answers: u64,
     engines: PublishedEngines,
-    work: IndexMap<Name, Work>,
+    work: IndexMap<Name, UpstreamLoad>,
     ready_at: IndexMap<ModelRef, Millis>,
     separate: IndexSet<Name>,
     refusals: IndexMap<(Name, ModelRef), Refusal>,
@@ -60,7 +60,7 @@
     }
 
     /// Replaces the request load of other hosts on each engine.
-    pub fn take_work(&mut self, work: Vec<(Name, Work)>) {
+    pub fn take_work(&mut self, work: Vec<(Name, UpstreamLoad)>) {
         self.work = work.into_iter().collect();
     }
 
@@ -122,12 +122,12 @@
     }
 
     /// Returns the request load of other hosts on an engine.
-    pub fn work(&self, upstream: &str) -> Work {
+    pub fn work(&self, upstream: &str) -> UpstreamLoad {
         self.work.get(upstream).copied().unwrap_or_default()
     }
 
     /// Adds the request load of other hosts, as the orderer reported it, to `sum`.
-    pub fn add_work(&self, sum: &mut IndexMap<Name, Work>) {
+    pub fn add_work(&self, sum: &mut IndexMap<Name, UpstreamLoad>) {
         for (upstream, work) in &self.work {
             *sum.entry(upstream.clone()).or_default() += *work;
         }
--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -4,8 +4,8 @@
 use crate::ordering::demand::RequestCounts;
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
-use crate::routing::pick::Work;
-use crate::routing::roles::has_both_kinds;
+use crate::routing::pick::UpstreamLoad;
+use crate::routing::roles::needs_separate_copies;
 
 /// The half-life of the request rates. It is short because busy models change every few seconds.
 const RATE_HALF_LIFE_MS: f64 = 5_000.0;
@@ -135,8 +135,8 @@
     }
 
     /// Returns the request load on each engine from all hosts except one.
-    pub fn work_of_others(&self, host: u64) -> Vec<(Name, Work)> {
-        let mut all: IndexMap<Name, Work> = IndexMap::new();
+    pub fn work_of_others(&self, host: u64) -> Vec<(Name, UpstreamLoad)> {
+        let mut all: IndexMap<Name, UpstreamLoad> = IndexMap::new();
         self.hosts.add_work(Some(host), &mut all);
         all.into_iter().collect()
     }
@@ -190,7 +190,7 @@
 impl ModelDemand {
     /// Returns whether the model gets enough long and enough short prompts to use separate copies.
     pub fn needs_separate_copies(&self) -> bool {
-        has_both_kinds(
+        needs_separate_copies(
             self.long_requests_per_s,
             self.requests_per_s - self.long_requests_per_s,
         )
--- a/src/ordering/host_reports.rs
+++ b/src/ordering/host_reports.rs
@@ -3,7 +3,7 @@
 use crate::entry::platform::ModelRef;
 use crate::ordering::demand::RequestCounts;
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 
 /// How long the counts of a host that stopped reporting are used. This is six times the interval of
 /// the reports.
@@ -20,7 +20,7 @@
     /// Requests since the host's last report, and those that wait or are running.
     pub demand: Vec<(ModelRef, RequestCounts)>,
     /// The host's own request load on each engine.
-    pub work: Vec<(Name, Work)>,
+    pub work: Vec<(Name, UpstreamLoad)>,
 }
 
 /// The parts of a host's last report that are kept.
@@ -30,7 +30,7 @@
     relayed_hosts: u32,
     /// Requests that wait or are running, by model and adapter.
     current: Vec<(ModelRef, RequestCounts)>,
-    work: IndexMap<Name, Work>,
+    work: IndexMap<Name, UpstreamLoad>,
 }
 
 /// The last reports, by the incarnation of the host's process.
@@ -80,7 +80,7 @@
     }
 
     /// Adds the request load of all hosts to `sum`, except that of host `except`.
-    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, UpstreamLoad>) {
         let others = self.hosts.iter().filter(|(host, _)| Some(**host) != except);
         for (upstream, work) in others.flat_map(|(_, report)| &report.work) {
             *sum.entry(upstream.clone()).or_default() += *work;
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -11,9 +11,9 @@
 use crate::ordering::lease::Resignation;
 use crate::ordering::published::{EnginesUpdate, EnginesVersion};
 use crate::prelude::*;
-use crate::rate_limit::{LimitsNews, UpstreamLimitsNews, UpstreamLimitsReport, Usage};
-use crate::retry::{CrashNews, CrashReport};
-use crate::routing::pick::Work;
+use crate::rate_limit::{LimitsUpdate, UpstreamLimitsReport, UpstreamLimitsUpdate, Usage};
+use crate::retry::{CrashReport, CrashUpdate};
+use crate::routing::pick::UpstreamLoad;
 use crate::upstreams::HeldModel;
 
 /// An operation that the orderer requests from an engine.
@@ -99,7 +99,7 @@
     /// The requests of the sender's callers since its last message.
     pub demand: Vec<(ModelRef, RequestCounts)>,
     /// The sender's own request load on each engine.
-    pub work: Vec<(Name, Work)>,
+    pub work: Vec<(Name, UpstreamLoad)>,
     /// The offset from which the sender needs rows of the list of upstreams.
     pub upstreams_from: Option<Offset>,
     /// How many other hosts report through the sender, if it is a relay.
@@ -136,7 +136,7 @@
     /// What the engines hold: the changes since the version that the receiver has.
     pub engines: EnginesUpdate,
     /// The request load of all other hosts on each engine.
-    pub work: Vec<(Name, Work)>,
+    pub work: Vec<(Name, UpstreamLoad)>,
     /// The expected time until each model or adapter that callers wait for is ready.
     pub ready_in_ms: Vec<(ModelRef, Millis)>,
     /// The models that use separate copies for long and for short prompts.
@@ -153,11 +153,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Totals {
     /// What is left of the rate limits of organisations.
-    pub limits: Option<LimitsNews>,
+    pub limits: Option<LimitsUpdate>,
     /// The requests that are known to crash upstreams.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdate,
     /// The rate limits that upstreams announced, and what is left of them.
-    pub upstream_limits: UpstreamLimitsNews,
+    pub upstream_limits: UpstreamLimitsUpdate,
 }
 
 /// A call from one host to another.
@@ -204,7 +204,7 @@
         /// Set if the called host was the orderer and has given up its lease.
         resignation: Option<Resignation>,
         /// The requests that are known to crash upstreams.
-        crashes: CrashNews,
+        crashes: CrashUpdate,
     },
     /// The called host is a relay that has not yet heard from an orderer.
     NoNews {
--- a/src/ordering/relay_aggregate.rs
+++ b/src/ordering/relay_aggregate.rs
@@ -4,7 +4,7 @@
 use crate::ordering::demand::{MAX_COUNTED_MODELS, RequestCounts};
 use crate::ordering::host_reports::{HostReport, HostReports};
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 
 /// The demand and the request load of the hosts that report through one relay.
 #[derive(Clone, Debug, Default)]
@@ -51,7 +51,7 @@
     }
 
     /// Adds the request load of all hosts to `sum`, except that of host `except`.
-    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, Work>) {
+    pub fn add_work(&self, except: Option<u64>, sum: &mut IndexMap<Name, UpstreamLoad>) {
         self.hosts.add_work(except, sum);
     }
 }
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -31,9 +31,9 @@
         ..waiting(0)
     };
     let work = |engine: &str| {
-        let work = Work {
+        let work = UpstreamLoad {
             running: 3,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         (Name::from(engine), work)
     };
@@ -88,9 +88,9 @@
     };
     // Every engine runs a request of the model with declining demand.
     let work = |n: usize| {
-        let work = Work {
+        let work = UpstreamLoad {
             running: 1,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         (Name::from(format!("e{n}")), work)
     };
@@ -114,9 +114,9 @@
         ..waiting(0)
     };
     let work = |n: usize, running| {
-        let work = Work {
+        let work = UpstreamLoad {
             running,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         (Name::from(format!("e{n}")), work)
     };
--- a/src/ordering/tests/relay_aggregate.rs
+++ b/src/ordering/tests/relay_aggregate.rs
@@ -6,7 +6,7 @@
 use crate::ordering::host_reports::HostReport;
 use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
-use crate::routing::pick::Work;
+use crate::routing::pick::UpstreamLoad;
 use crate::test_support::seeded;
 use arbtest::arbitrary::{Result, Unstructured};
 
@@ -84,9 +84,9 @@
 fn request_load_excludes_the_asking_host_and_hosts_that_stopped_reporting() {
     let mut relay = RelayAggregate::default();
     let work = |running| {
-        let work = Work {
+        let work = UpstreamLoad {
             running,
-            ..Work::default()
+            ..UpstreamLoad::default()
         };
         HostReport {
             work: vec![(Name::from("e"), work)],
@@ -98,7 +98,7 @@
     let running = |relay: &RelayAggregate, but| {
         let mut sum = IndexMap::new();
         relay.add_work(but, &mut sum);
-        sum.get("e").map_or(0, |work: &Work| work.running)
+        sum.get("e").map_or(0, |work: &UpstreamLoad| work.running)
     };
     assert_eq!(running(&relay, None), 7);
     assert_eq!(running(&relay, Some(1)), 4);
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -1,9 +1,9 @@
-//! One host's decisions: what it admits alone, as the orderer, and by the levels that it knows.
+//! Tests of the decisions of one host: alone, as the orderer, and with levels from other hosts.
 
 use super::model::{START, TOLERANCE};
 use crate::desired::{LimitUnit, RateLimit, RateLimitTable};
 use crate::prelude::*;
-use crate::rate_limit::limiter::{Limiter, Place, Scope};
+use crate::rate_limit::limiter::{Coverage, Limiter, Scope};
 
 const LIMIT: RateLimit = RateLimit {
     unit: LimitUnit::Requests,
@@ -15,15 +15,15 @@
     [("o".into(), LIMIT)].into_iter().collect()
 }
 
-fn placed(scope: Scope, heard: usize, members: Option<usize>) -> Limiter {
+fn limiter_with(scope: Scope, heard: usize, members: Option<usize>) -> Limiter {
     let mut limiter = Limiter::new(START, 0.0);
-    let place = Place {
+    let coverage = Coverage {
         scope,
         heard,
         expected: heard,
         members,
     };
-    limiter.set_place(START, place, &table());
+    limiter.set_coverage(START, coverage, &table());
     limiter
 }
 
@@ -33,25 +33,25 @@
 }
 
 #[test]
-fn a_host_that_knows_no_other_admits_nothing() {
-    let mut limiter = placed(Scope::Group, 1, None);
+fn host_without_a_member_count_admits_nothing() {
+    let mut limiter = limiter_with(Scope::Group, 1, None);
     assert_eq!(admitted(&mut limiter, START + Millis(60_000), 100), 0);
 }
 
 #[test]
-fn a_host_alone_admits_its_share() {
-    let mut limiter = placed(Scope::Group, 1, Some(2));
+fn isolated_host_admits_its_share() {
+    let mut limiter = limiter_with(Scope::Group, 1, Some(2));
     let mut all = 0;
     for ms in (2_000..22_000).step_by(10) {
         all += admitted(&mut limiter, START + Millis(ms), 1);
     }
-    // Five a second for twenty seconds, and what the bucket held.
+    // Five a second for twenty seconds, plus the initial level of the bucket.
     assert!((90..=105).contains(&all), "{all}");
 }
 
 #[test]
-fn the_orderer_of_a_whole_site_admits_the_limit_and_says_when_there_is_room() {
-    let mut limiter = placed(Scope::Site, 68, Some(68));
+fn orderer_admits_the_whole_limit_and_states_when_to_retry() {
+    let mut limiter = limiter_with(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
     let now = now + Millis(500);
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn a_refused_caller_comes_back_when_restarted_hosts_hear_each_other_and_else_soon() {
-    let mut limiter = placed(Scope::Group, 1, Some(10_000));
+fn retry_time_covers_a_restart_of_all_hosts_and_is_short_otherwise() {
+    let mut limiter = limiter_with(Scope::Group, 1, Some(10_000));
     let mut refuse = |now| {
         limiter
             .admit(now, &"o".into(), &LIMIT, 1, 0.9)
@@ -78,72 +78,72 @@
 }
 
 #[test]
-fn silent_hosts_keep_their_part() {
-    let mut limiter = placed(Scope::Site, 34, Some(68));
+fn share_of_silent_hosts_is_not_used() {
+    let mut limiter = limiter_with(Scope::Site, 34, Some(68));
     assert_eq!(admitted(&mut limiter, START + Millis(60_000), 100), 4);
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
-    let mut limiter = placed(Scope::Site, 68, Some(68));
+fn cost_of_a_request_that_did_not_run_is_returned() {
+    let mut limiter = limiter_with(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut limiter, now, 100), 7);
-    limiter.give_back(now, &"o".into(), &LIMIT, 1);
+    limiter.refund(now, &"o".into(), &LIMIT, 1);
     assert_eq!(admitted(&mut limiter, now, 100), 1);
 }
 
 #[test]
-fn use_is_reported_until_it_arrives() {
-    let mut host = placed(Scope::Group, 1, Some(68));
-    let mut orderer = placed(Scope::Site, 68, Some(68));
+fn use_is_reported_until_the_report_is_confirmed() {
+    let mut host = limiter_with(Scope::Group, 1, Some(68));
+    let mut orderer = limiter_with(Scope::Site, 68, Some(68));
     let now = START + Millis(60_000);
-    host.take_news(now, orderer.news(now, &table()));
+    host.apply_update(now, orderer.build_update(now, &table()));
     assert_eq!(admitted(&mut host, now, 3), 3);
     let lost = host.report(now);
     assert_eq!(host.report(now), lost);
     orderer.take_usage(now, &host.report(now), &table());
-    host.settle();
+    host.confirm_report();
     assert!(host.report(now).is_empty());
     assert_eq!(admitted(&mut orderer, now, 100), 4);
 }
 
 #[test]
-fn a_new_orderer_goes_on_from_the_levels_that_it_knows() {
-    let mut former = placed(Scope::Site, 68, Some(68));
-    let mut next = placed(Scope::Group, 1, Some(68));
+fn new_orderer_continues_from_the_levels_that_it_received() {
+    let mut former = limiter_with(Scope::Site, 68, Some(68));
+    let mut next = limiter_with(Scope::Group, 1, Some(68));
     let now = START + Millis(60_000);
     assert_eq!(admitted(&mut former, now, 100), 7);
-    next.take_news(now, former.news(now, &table()));
-    let place = Place {
+    next.apply_update(now, former.build_update(now, &table()));
+    let coverage = Coverage {
         scope: Scope::Site,
         heard: 68,
         expected: 68,
         members: Some(68),
     };
-    next.set_place(now, place, &table());
+    next.set_coverage(now, coverage, &table());
     assert_eq!(admitted(&mut next, now, 100), 0);
     assert_eq!(admitted(&mut next, now + Millis(1_000), 100), 7);
 }
 
 #[test]
-fn a_limit_smaller_than_one_request_is_served_after_a_pause() {
+fn limit_smaller_than_one_request_admits_one_after_a_pause() {
     let small = RateLimit {
         unit: LimitUnit::Tokens { uncounted: 200 },
         per_s: 1_000.0,
         burst: 1_000.0,
     };
     let mut limiter = Limiter::new(START, TOLERANCE);
-    let place = Place {
+    let coverage = Coverage {
         scope: Scope::Site,
         heard: 1,
         expected: 1,
         members: Some(1),
     };
-    limiter.set_place(START, place, &table());
+    limiter.set_coverage(START, coverage, &table());
     let now = START + Millis(120_000);
     let admit = |limiter: &mut Limiter, now| limiter.admit(now, &"o".into(), &small, 60_000, 0.0);
     assert!(admit(&mut limiter, now).is_ok());
-    let refused = admit(&mut limiter, now).expect_err("the bucket is in debt");
+    let refused = admit(&mut limiter, now).expect_err("the level of the bucket is negative");
     assert!(admit(&mut limiter, now + Millis(1_000)).is_err());
     assert_eq!(refused.retry_after_ms, Millis(10_000));
 }
--- a/src/retry/quarantine.rs
+++ b/src/retry/quarantine.rs
@@ -1,46 +1,57 @@
-//! One host's part in finding the requests that crash upstreams, and what it tells the others of them.
+//! One host's evidence on requests that crash upstreams, and its exchange with other hosts.
+//!
+//! Hosts form a tree: each reports new evidence to its parent (a relay, or the orderer at the root)
+//! and gets merged evidence in the answer.
 
 use crate::prelude::*;
 use crate::retry::RequestDigest;
-use crate::retry::broken_runs::BrokenRuns;
-use crate::retry::crash_ledger::{CERTAIN_CRASHES, CrashId, CrashLedger, MAX_TOLD};
-use crate::retry::message::{Crash, CrashNews, CrashReport, Evidence};
+use crate::retry::crash_ledger::{
+    CrashId, CrashLedger, MAX_REQUESTS_PER_MESSAGE, MIN_CRASHES_CERTAIN,
+};
+use crate::retry::interrupted_requests::InterruptedRequests;
+use crate::retry::message::{Crash, CrashReport, CrashUpdate, Evidence};
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
-/// Most requests of which a host remembers that they were answered whole: those of about a minute.
+/// Maximum number of completed requests that a host remembers: those of about a minute.
 const MAX_COMPLETED: usize = 1_024;
-/// How long a host waits before it tells again all that the one above it seems not to know.
+/// Minimum interval at which a host resends all its evidence while its parent's checksum differs.
 const RESEND_MS: Millis = Millis(5_000);
-/// Most requests that outlast all processes: what fits a record of the lease.
-const MAX_LASTING: usize = 6;
+/// Maximum number of requests whose evidence survives a restart of all processes: what fits in a
+/// lease record.
+const MAX_PERSISTED: usize = 6;
 
-/// What one host knows of requests that crash upstreams.
+/// One host's evidence on requests that crash upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    broken: BrokenRuns,
+    interrupted: InterruptedRequests,
     completed: VecDeque<RequestDigest>,
     unreported: IndexSet<RequestDigest>,
-    /// What the message on its way says.
+    /// The evidence in the report in flight.
     sent: Vec<Evidence>,
     resent_at: Option<Millis>,
 }
 
 impl Quarantine {
-    /// Takes note that the connection of a request to an upstream that ran it ended. Returns whether the upstream is known
-    /// to have crashed; else it is to be found out.
-    pub fn note_broken(&mut self, now: Millis, upstream: &Lifetime, digest: RequestDigest) -> bool {
-        let has_crashed = self.broken.note(now, upstream, digest);
+    /// Records that a connection to an upstream ended while it ran a request. Returns whether the
+    /// upstream is known to have crashed; if not, the caller should find out.
+    pub fn note_connection_lost(
+        &mut self,
+        now: Millis,
+        upstream: &Lifetime,
+        digest: RequestDigest,
+    ) -> bool {
+        let has_crashed = self.interrupted.note(now, upstream, digest);
         if has_crashed {
             self.note_crash(now, upstream, digest);
         }
         has_crashed
     }
 
-    /// Takes note that an upstream crashed. Returns the requests of this host that were under way there.
+    /// Records that an upstream crashed. Returns the requests of this host that were running there.
     pub fn note_crashed(&mut self, now: Millis, upstream: &Lifetime) -> Vec<RequestDigest> {
-        let digests = self.broken.note_crashed(now, upstream);
+        let digests = self.interrupted.note_crashed(now, upstream);
         for digest in &digests {
             self.note_crash(now, upstream, *digest);
         }
@@ -57,11 +68,11 @@
             is_cleared: false,
             age_ms: Millis::ZERO,
         };
-        self.take_own(now, &evidence);
+        self.merge_unreported(now, &evidence);
         self.clear_if_completed(now, digest);
     }
 
-    /// Takes note that an upstream ran a request to its end.
+    /// Records that an upstream completed a request.
     pub fn note_completed(&mut self, now: Millis, digest: RequestDigest) {
         if self.completed.len() >= MAX_COMPLETED {
             self.completed.pop_front();
@@ -78,40 +89,43 @@
                 is_cleared: true,
                 ..known
             };
-            self.take_own(now, &cleared);
+            self.merge_unreported(now, &cleared);
         }
     }
 
-    /// Takes evidence that the host above this one does not have.
-    fn take_own(&mut self, now: Millis, evidence: &Evidence) {
-        if self.ledger.take(now, evidence) {
+    /// Merges evidence, and marks it for the next report to the parent if it is new.
+    fn merge_unreported(&mut self, now: Millis, evidence: &Evidence) {
+        if self.ledger.merge(now, evidence) {
             self.unreported.insert(evidence.digest);
         }
     }
 
-    /// Returns for how long a request is not to be sent, because it crashes the upstreams that run it.
+    /// Returns for how long a request must not be sent, because it crashes the upstreams that run
+    /// it; `None` if it may be sent.
     pub fn quarantined_ms(&self, now: Millis, digest: &RequestDigest) -> Option<Millis> {
         let until = self.ledger.quarantined_until(digest)?;
         (now < until).then(|| until - now)
     }
 
-    /// Returns what is to be told to the host above this one. It stays until [`Self::settle`] says that it arrived.
+    /// Returns the report for the parent. Its evidence counts as unreported until
+    /// [`Self::confirm_report`] is called.
     pub fn report(&mut self, now: Millis) -> CrashReport {
         self.ledger.expire(now);
         let ledger = &self.ledger;
         self.unreported.retain(|digest| ledger.contains(digest));
-        let unreported = self.unreported.iter().take(MAX_TOLD);
+        let unreported = self.unreported.iter().take(MAX_REQUESTS_PER_MESSAGE);
         self.sent = unreported
             .filter_map(|digest| ledger.evidence(now, digest))
             .collect();
         CrashReport {
             evidence: self.sent.clone(),
-            known: ledger.state(),
+            known: ledger.checksum(),
         }
     }
 
-    /// Takes note that the last report arrived. What changed since it was sent is reported with the next one.
-    pub fn settle(&mut self, now: Millis) {
+    /// Records that the parent received the last report. Evidence that has changed since stays
+    /// unreported.
+    pub fn confirm_report(&mut self, now: Millis) {
         for sent in std::mem::take(&mut self.sent) {
             let present = self.ledger.evidence(now, &sent.digest);
             let is_same = present.is_some_and(|present| {
@@ -123,42 +137,45 @@
         }
     }
 
-    /// Takes what a host below this one tells.
-    pub fn take_report(&mut self, now: Millis, report: &CrashReport) {
-        for evidence in report.evidence.iter().take(MAX_TOLD) {
-            self.take_own(now, evidence);
+    /// Merges the report of a child.
+    pub fn merge_report(&mut self, now: Millis, report: &CrashReport) {
+        for evidence in report.evidence.iter().take(MAX_REQUESTS_PER_MESSAGE) {
+            self.merge_unreported(now, evidence);
             self.clear_if_completed(now, evidence.digest);
         }
     }
 
-    /// Returns what a host below this one is to know.
-    pub fn news(&self, now: Millis, known: u64) -> CrashNews {
-        let state = self.ledger.state();
-        CrashNews {
-            evidence: match known == state {
+    /// Returns the answer to a child whose checksum is `known`.
+    pub fn build_update(&self, now: Millis, known: u64) -> CrashUpdate {
+        let checksum = self.ledger.checksum();
+        CrashUpdate {
+            evidence: match known == checksum {
                 true => Vec::new(),
-                false => self.ledger.told(now),
+                false => self.ledger.published(now),
             },
-            known: state,
+            known: checksum,
         }
     }
 
-    /// Takes what the host above this one answers.
-    pub fn take_news(&mut self, now: Millis, news: &CrashNews) {
-        self.settle(now);
-        self.take_told(now, &news.evidence);
+    /// Applies the parent's answer to the last report. If the checksums then differ, all evidence
+    /// is reported again, at most once in `RESEND_MS`.
+    pub fn apply_update(&mut self, now: Millis, update: &CrashUpdate) {
+        self.confirm_report(now);
+        self.merge_evidence(now, &update.evidence);
         let is_due = self.resent_at.is_none_or(|at| now.since(at) >= RESEND_MS);
-        if news.known != self.ledger.state() && is_due {
+        if update.known != self.ledger.checksum() && is_due {
             self.resent_at = Some(now);
-            let told = self.ledger.told(now).into_iter();
-            self.unreported.extend(told.map(|evidence| evidence.digest));
+            let published = self.ledger.published(now).into_iter();
+            self.unreported
+                .extend(published.map(|evidence| evidence.digest));
         }
     }
 
-    /// Takes evidence from the host above this one, or from the record that an orderer left.
-    pub fn take_told(&mut self, now: Millis, evidence: &[Evidence]) {
-        for evidence in evidence.iter().take(MAX_TOLD) {
-            self.ledger.take(now, evidence);
+    /// Merges evidence from the parent, or from the lease record of an earlier orderer. It is not
+    /// reported back.
+    pub fn merge_evidence(&mut self, now: Millis, evidence: &[Evidence]) {
+        for evidence in evidence.iter().take(MAX_REQUESTS_PER_MESSAGE) {
+            self.ledger.merge(now, evidence);
             self.clear_if_completed(now, evidence.digest);
         }
     }
@@ -169,14 +186,15 @@
         }
     }
 
-    /// Returns what is to outlast all processes.
-    pub fn lasting(&self, now: Millis) -> Vec<Evidence> {
-        let mut lasting = self.ledger.told(now);
-        lasting.retain(|evidence| !evidence.is_cleared);
-        lasting.truncate(MAX_LASTING);
-        for evidence in &mut lasting {
-            evidence.crashes.truncate(CERTAIN_CRASHES);
+    /// Returns the evidence to store in the lease record, so that it survives a restart of all
+    /// processes.
+    pub fn persistent_evidence(&self, now: Millis) -> Vec<Evidence> {
+        let mut persistent_evidence = self.ledger.published(now);
+        persistent_evidence.retain(|evidence| !evidence.is_cleared);
+        persistent_evidence.truncate(MAX_PERSISTED);
+        for evidence in &mut persistent_evidence {
+            evidence.crashes.truncate(MIN_CRASHES_CERTAIN);
         }
-        lasting
+        persistent_evidence
     }
 }
--- a/src/retry/tests/budget.rs
+++ b/src/retry/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The rule over all hosts, whatever each of them sees.
+//! Tests that the hosts together keep the rule, whatever requests each of them gets.
 
 use crate::prelude::*;
 use crate::retry::{BudgetRule, RetryBudget};
@@ -17,11 +17,11 @@
         let mut budgets = vec![RetryBudget::new(RULE, Millis::ZERO, rounding); hosts];
         let mut started_at = vec![Millis::ZERO; hosts];
         let mut now = Millis(1_000_000);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for _ in 0..u.int_in_range(0..=400u16)? {
             now += Millis(u.int_in_range(0..=200u64)?);
             let host = u.choose_index(hosts)?;
-            // Each host restarts once a window at most.
+            // Each host restarts at most once in a window.
             if u.ratio(1, 20)? && now.since(started_at[host]) > RULE.window_ms {
                 budgets[host] = RetryBudget::new(RULE, now, rounding);
                 started_at[host] = now;
@@ -31,32 +31,35 @@
                     budgets[host].note_request(now);
                     requests.push(now);
                 }
-                false if budgets[host].take(now, hosts) => repeats.push(now),
+                false if budgets[host].try_take(now, hosts) => retries.push(now),
                 false => {}
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let in_window = |at: &&Millis| **at <= *end && **at + RULE.window_ms >= *end;
-            let asked = requests.iter().filter(in_window).count() as f64;
-            let repeated = repeats.iter().filter(in_window).count() as f64;
-            assert!(repeated <= RULE.ratio * asked + RULE.slack);
+            let requested = requests.iter().filter(in_window).count() as f64;
+            let retried = retries.iter().filter(in_window).count() as f64;
+            assert!(retried <= RULE.ratio * requested + RULE.slack);
         }
         Ok(())
     });
 }
 
 #[test]
-fn a_budget_comes_back_when_its_window_has_passed() {
+fn budget_is_restored_after_its_window() {
     let mut budget = RetryBudget::new(RULE, Millis(0), 0.9);
-    let at_first = (0..100).filter(|_| budget.take(Millis(0), 1)).count();
+    let at_first = (0..100).filter(|_| budget.try_take(Millis(0), 1)).count();
     assert_eq!(at_first, 10);
-    let taken = (0..100).filter(|_| budget.take(Millis(10_001), 1)).count();
+    let taken = (0..100)
+        .filter(|_| budget.try_take(Millis(10_001), 1))
+        .count();
     assert_eq!(taken, 43);
-    assert!(!budget.take(Millis(20_001), 1));
-    assert!(budget.take(Millis(20_002), 1));
+    assert!(!budget.try_take(Millis(20_001), 1));
+    assert!(budget.try_take(Millis(20_002), 1));
 }
 
-/// Guards against shares below one repeated send that are rounded down to none.
+/// Guards against an unused budget when each host's share is below one retry and is rounded down to
+/// 0.
 #[test]
 fn hosts_of_a_large_site_use_most_of_the_budget_and_no_more() {
     let rule = BudgetRule {
@@ -70,7 +73,7 @@
         for _ in 0..hosts {
             let mut budget = RetryBudget::new(rule, Millis::ZERO, random.f64());
             (0..requests_each).for_each(|_| budget.note_request(now));
-            taken += (0..10).filter(|_| budget.take(now, hosts)).count();
+            taken += (0..10).filter(|_| budget.try_take(now, hosts)).count();
         }
         let allowed = rule.ratio * f64::from(requests_each) * hosts as f64 + rule.slack;
         let part = taken as f64 / allowed;
@@ -82,8 +85,8 @@
 }
 
 #[test]
-fn a_small_slack_is_not_shared_out_by_chance() {
+fn small_slack_is_not_rounded_at_random() {
     let hosts = 500;
     let mut budget = RetryBudget::new(RULE, Millis::ZERO, 0.99);
-    assert!(!budget.take(Millis(100_000), hosts));
+    assert!(!budget.try_take(Millis(100_000), hosts));
 }
--- a/src/retry/tests/mod.rs
+++ b/src/retry/tests/mod.rs
@@ -1,3 +1,5 @@
+//! Tests of retry budgets and of the quarantine of requests that crash upstreams.
+
 mod budget;
 mod crash_ledger;
 mod digest;
@@ -9,7 +11,7 @@
 use crate::retry::RequestDigest;
 use crate::upstreams::Lifetime;
 
-/// Returns the digest of a request with a body.
+/// Returns the digest of a request with this body; all else is equal.
 fn digest(body: &str) -> RequestDigest {
     RequestDigest::of(Some("o"), "POST", "h", "/p", body.as_bytes())
 }
--- a/src/retry/tests/site.rs
+++ b/src/retry/tests/site.rs
@@ -1,41 +1,46 @@
-//! Sites in which a request crashes engine after engine while hosts are killed, frozen, cut off, or nobody orders.
+//! Tests on simulated sites in which one request crashes engine after engine while hosts are
+//! killed, frozen or disconnected, or while there is no orderer.
 //!
-//! Answers the pattern of one request that callers repeat at any host, among others that run on the same engines and are
-//! sent on together when one of these is lost.
+//! The request is repeated by its callers at any host. Other requests run on the same engines and
+//! are resent together with it after a crash.
 
 use super::model::Model;
 
-/// How often the cause may be sent late by hosts in contact.
-const MOST_LATE_SENDS: usize = 3;
-/// Hosts and relays of a small site and of a large one, and how many seeds are played.
+/// Maximum number of late sends of the cause by undisturbed hosts.
+const MAX_LATE_SENDS: usize = 3;
+/// Hosts, relays and number of seeds, for a small site and a large one.
 const SITES: [(usize, usize, u64); 2] = [(9, 0, 30), (68, 8, 6)];
 
-/// Plays both sites for each seed, and checks that the cause is held back and nothing else.
-fn check(play: impl Fn(&mut Model)) {
-    check_seeds(|seeds| seeds, play);
+/// Simulates both sites for each seed, and checks that the cause is refused in time and that no
+/// other request is.
+fn check(simulate: impl Fn(&mut Model)) {
+    check_seeds(|seeds| seeds, simulate);
 }
 
-fn check_seeds(of: impl Fn(u64) -> u64, play: impl Fn(&mut Model)) {
+fn check_seeds(of: impl Fn(u64) -> u64, simulate: impl Fn(&mut Model)) {
     for (hosts, relays, seeds) in SITES {
         let seeds = of(seeds);
         for seed in 0..seeds {
             let mut model = Model::new(hosts, relays, seed);
-            play(&mut model);
+            simulate(&mut model);
             check_bounds(&model, &format!("{hosts} hosts, seed {seed}"));
         }
     }
 }
 
-fn check_bounds(model: &Model, place: &str) {
+fn check_bounds(model: &Model, case: &str) {
     let late_sends = model.late_sends;
-    assert!(late_sends <= MOST_LATE_SENDS, "{place}: {late_sends}");
-    assert_eq!(model.innocents_refused, 0, "{place}");
-    assert!(model.innocents_served > 100, "{place}");
+    assert!(
+        late_sends <= MAX_LATE_SENDS,
+        "{case}: {late_sends} late sends"
+    );
+    assert_eq!(model.harmless_refused, 0, "{case}");
+    assert!(model.harmless_completed > 100, "{case}");
 }
 
-/// Repeats of one request went on to crash engines for as long as they came.
+/// Guards against repeats of one request that crash engines for as long as callers send them.
 #[test]
-fn a_request_that_crashes_engines_is_held_back_at_every_host() {
+fn crashing_request_is_quarantined_on_every_host() {
     check(|model| {
         model.run(20_000, true);
         assert!(
@@ -47,8 +52,8 @@
 }
 
 #[test]
-fn engines_that_crash_for_other_reasons_make_no_request_a_suspect() {
-    // Hundreds of requests are under way at the crashes of one run.
+fn engine_crashes_for_other_reasons_quarantine_no_request() {
+    // Hundreds of requests are running at the crashes of one simulation.
     check_seeds(
         |seeds| seeds / 5,
         |model| {
@@ -62,7 +67,7 @@
 }
 
 #[test]
-fn it_is_held_back_while_nobody_orders() {
+fn crashing_request_is_quarantined_without_an_orderer() {
     check(|model| {
         model.orderer = None;
         model.run(8_000, true);
@@ -72,7 +77,7 @@
 }
 
 #[test]
-fn it_is_held_back_when_the_orderer_is_lost_after_each_crash() {
+fn crashing_request_is_quarantined_when_orderers_are_lost_one_after_the_other() {
     check(|model| {
         for host in 0..8 {
             model.run(1_000, true);
@@ -84,7 +89,7 @@
 }
 
 #[test]
-fn it_is_held_back_after_all_hosts_were_killed() {
+fn crashing_request_stays_quarantined_after_all_hosts_restart() {
     check(|model| {
         model.run(8_000, true);
         model.kill_all();
@@ -95,7 +100,7 @@
 }
 
 #[test]
-fn any_sequence_of_cuts_freezes_kills_and_lost_orderers_keeps_the_bound() {
+fn late_sends_stay_bounded_under_any_sequence_of_faults() {
     for (hosts, relays, seeds) in SITES {
         for seed in 100..100 + seeds {
             let mut random = fastrand::Rng::with_seed(seed);
@@ -103,8 +108,8 @@
             for _ in 0..10 {
                 let host = random.usize(0..hosts);
                 match random.u32(0..8) {
-                    0 => model.cut(host),
-                    1 => model.heal(),
+                    0 => model.disconnect(host),
+                    1 => model.reconnect(),
                     2 => model.orderer = None,
                     3 => model.kill(host),
                     4 => model.freeze(host, random.u64(500..5_000)),
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -1,44 +1,49 @@
-//! Which upstream gets a request: by its load, this host's results with it, and what it kept of prompts.
+//! Chooses the upstream of a request by load, by this host's recent failures there, and by cached
+//! prompt prefixes.
 //!
-//! Answers the pattern of a few busy models whose prompts share long beginnings: a shared beginning that is
-//! read anew costs an engine as much time as the rest of the prompt, but requests of one beginning that all
-//! go to one engine wait for each other. So each beginning has a home among the engines that hold the
-//! model, and a request leaves it when waiting there costs more than reading the beginning elsewhere.
+//! Handles workloads in which a few busy models get prompts that share long prefixes. Reading a
+//! shared prefix again costs an engine as much time as the rest of the prompt, but if all requests
+//! with one prefix went to one engine, they would queue there. So rendezvous hashing gives each
+//! prefix a preferred engine among those that hold the model, and a request goes elsewhere when the
+//! wait at the preferred engine costs more than reading the prefix again.
 
 use crate::prelude::*;
 use crate::rendezvous;
 use crate::routing::occupancy::Occupancy;
-use crate::routing::roles::{is_long, short_copies};
+use crate::routing::roles::{is_long, short_prompt_copies};
 use crate::upstreams::Upstream;
 
-/// What a running request costs another one, in prompt tokens: each step of an engine serves all of them, and a
-/// prompt is read in pieces between the steps.
-const RUNNING_TOKENS: f64 = 150.0;
-/// What a long prompt at a copy for short ones costs, and a short one at a copy for long ones, in prompt tokens: about
-/// what makes the streams there late.
-const OFF_ROLE_TOKENS: f64 = 14_000.0;
-/// Prompt tokens that an engine reads in a millisecond: what a wait is worth against prompts that are read anew.
-pub const TOKENS_PER_MS: f64 = 38.0;
-/// What an upstream that fails every request costs, in prompt tokens: more than any queue that is worth waiting in.
-const FAILING_TOKENS: f64 = 60_000.0;
-/// What a request under way at a plain service costs, in shares of the upstream's slots, against failures.
-const FAILING_SLOTS: f64 = 4.0;
-/// What another data centre costs, in shares of an upstream's slots: it only breaks ties, since a round trip
-/// of a few milliseconds is less than any queue.
-const FAR_SLOTS: f64 = 0.05;
+/// Delay that one running request causes to another, in prompt tokens: each step of an engine
+/// serves all running requests, and a prompt is read in chunks between the steps.
+const RUNNING_COST_TOKENS: f64 = 150.0;
+/// Cost of a long prompt on a copy reserved for short ones, and of a short one on a copy for long
+/// ones, in prompt tokens: about the amount that makes the streams there late.
+const WRONG_COPY_COST_TOKENS: f64 = 14_000.0;
+/// Prompt tokens that an engine reads in a millisecond. Converts waiting times to the unit of the
+/// other costs.
+pub const PREFILL_TOKENS_PER_MS: f64 = 38.0;
+/// Cost of an upstream that fails every request, in prompt tokens: more than any queue that is
+/// worth waiting in.
+const FAILURE_COST_TOKENS: f64 = 60_000.0;
+/// Cost of an upstream of a plain service that fails every request, as a multiple of its slots.
+const FAILURE_COST_SLOTS: f64 = 4.0;
+/// Cost of an upstream in another data centre, as a fraction of its slots. It only breaks ties,
+/// because a round trip of a few milliseconds is shorter than any queue.
+const REMOTE_COST_SLOTS: f64 = 0.05;
 
-/// The work of other hosts at an upstream.
+/// Load that hosts have placed on one upstream. The choice of an upstream uses the sum over all
+/// other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Work {
-    /// Prompt tokens of requests without a first event.
+pub struct UpstreamLoad {
+    /// Prompt tokens of requests that have not had their first event.
     pub prompt_tokens: u64,
-    /// How many of these requests have long prompts.
+    /// Number of these requests that have long prompts.
     pub long_prompts: u32,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub running: u32,
 }
 
-impl std::ops::AddAssign for Work {
+impl std::ops::AddAssign for UpstreamLoad {
     fn add_assign(&mut self, other: Self) {
         self.prompt_tokens += other.prompt_tokens;
         self.long_prompts += other.long_prompts;
@@ -46,48 +51,50 @@
     }
 }
 
-impl Work {
-    /// Returns the requests of all hosts under way at an upstream, with this host's own.
+impl UpstreamLoad {
+    /// Returns the number of requests in flight at an upstream from all hosts: `self`, which holds
+    /// those of the other hosts, plus this host's own.
     pub fn under_way(&self, upstream: &Upstream) -> u32 {
         upstream.in_flight + self.running
     }
 }
 
-/// What the choice of an engine needs of a request.
+/// Properties of a request's prompt that the choice of an engine depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptShape {
-    /// A digest of the model, the adapter and the shared parts of the prompt.
-    pub beginning: u64,
-    /// The tokens of the shared parts.
+    /// Digest of the model, the adapter and the shared prefix of the prompt.
+    pub prefix_digest: u64,
+    /// Tokens of the shared prefix.
     pub shared_tokens: u64,
-    /// The tokens of the whole prompt.
+    /// Tokens of the whole prompt.
     pub tokens: u64,
 }
 
-/// What the choice of an engine needs of the model.
+/// Properties of a model that the choice of an engine depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelCopies<'a> {
-    /// Its name.
+    /// Name of the model.
     pub name: &'a str,
-    /// Whether its copies are kept apart for long and for short prompts.
-    pub are_separate: bool,
-    /// What the shared beginning of a prompt costs at an engine that has not read it, as a part of reading it: less than
-    /// one where the engine fetches it from another.
-    pub reread_cost: f64,
+    /// Whether long and short prompts go to separate copies of the model.
+    pub separates_prompt_lengths: bool,
+    /// Cost of a shared prefix that an engine has not cached, as a fraction of the cost of reading
+    /// it; below 1 where the engine fetches the prefix from another engine.
+    pub prefix_miss_cost: f64,
 }
 
 impl ModelCopies<'_> {
-    /// Returns which engines are kept for the other kind of prompts than this one.
-    fn kept_for_others<'a>(
+    /// Returns the engines that are reserved for the other kind of prompts (long or short) than
+    /// this one.
+    fn reserved_for_other_kind<'a>(
         &self,
         holders: impl Iterator<Item = &'a Upstream> + Clone,
         prompt: PromptShape,
     ) -> IndexSet<&'a Name> {
-        if !self.are_separate {
+        if !self.separates_prompt_lengths {
             return IndexSet::new();
         }
         let ids = || holders.clone().map(|upstream| &upstream.entry.id);
-        let short = short_copies(self.name, ids());
+        let short = short_prompt_copies(self.name, ids());
         let is_long = is_long(prompt.tokens);
         ids()
             .filter(|id| !short.is_empty() && short.contains(id) == is_long)
@@ -95,100 +102,106 @@
     }
 }
 
-/// Returns the engine from which another one is to fetch a beginning, among those that hold the model: the one to which
-/// requests of that beginning go first. For that one itself it is the next, which was the first before a new copy came.
+/// Returns the engine from which `receiver` should fetch a prefix: the preferred engine of that
+/// prefix among those that hold the model. If `receiver` is itself the preferred engine, this is
+/// the next in rank, which was the preferred one before `receiver` became a holder.
 pub fn prefix_source<'a>(
     model: &ModelCopies<'_>,
     holders: impl Iterator<Item = &'a Upstream> + Clone,
     prompt: PromptShape,
     receiver: &str,
 ) -> Option<&'a Upstream> {
-    let kept_for_others = model.kept_for_others(holders.clone(), prompt);
+    let reserved_for_other_kind = model.reserved_for_other_kind(holders.clone(), prompt);
     holders
-        .filter(|upstream| !kept_for_others.contains(&upstream.entry.id))
+        .filter(|upstream| !reserved_for_other_kind.contains(&upstream.entry.id))
         .filter(|upstream| &*upstream.entry.id != receiver)
-        .max_by_key(|upstream| affinity(&upstream.entry.id, prompt.beginning))
+        .max_by_key(|upstream| affinity(&upstream.entry.id, prompt.prefix_digest))
 }
 
-/// Chooses an engine among those that hold the model: the least predicted wait, in prompt tokens.
+/// Chooses the engine with the lowest predicted wait among those that hold the model and are
+/// neither full nor in back-off; `None` if there is none. Waits are compared in prompt tokens.
 pub fn engine<'a>(
     now: Millis,
     model: &ModelCopies<'_>,
-    candidates: impl Iterator<Item = (&'a Upstream, Work)>,
+    candidates: impl Iterator<Item = (&'a Upstream, UpstreamLoad)>,
     prompt: PromptShape,
     occupancy: Occupancy,
     random: &mut fastrand::Rng,
 ) -> Option<&'a Upstream> {
     let holders: Vec<_> = candidates.collect();
     let all = holders.iter().map(|(upstream, _)| *upstream);
-    let kept_for_others = model.kept_for_others(all, prompt);
+    let reserved_for_other_kind = model.reserved_for_other_kind(all, prompt);
     let mut candidates: Vec<_> = holders
         .iter()
         .copied()
-        .filter(|(upstream, _)| is_open(now, upstream) && now >= upstream.full_until)
+        .filter(|(upstream, _)| is_available(now, upstream) && now >= upstream.full_until)
         .collect();
-    let home = candidates
+    let preferred = candidates
         .iter()
-        .filter(|(upstream, _)| !kept_for_others.contains(&upstream.entry.id))
-        .max_by_key(|(upstream, _)| affinity(&upstream.entry.id, prompt.beginning))
+        .filter(|(upstream, _)| !reserved_for_other_kind.contains(&upstream.entry.id))
+        .max_by_key(|(upstream, _)| affinity(&upstream.entry.id, prompt.prefix_digest))
         .map(|(upstream, _)| upstream.entry.id.clone());
-    // Of engines that cost the same the first is chosen; hosts that all had one order would fill it together.
+    // The first of several engines with equal cost is chosen. With the same order on all hosts, all
+    // of them would send to the same engine.
     random.shuffle(&mut candidates);
-    let cost = |(upstream, others): &(&Upstream, Work)| {
-        let prompt_tokens = upstream.prompt_tokens + others.prompt_tokens;
-        let under_way = others.under_way(upstream);
+    let cost = |(upstream, other_load): &(&Upstream, UpstreamLoad)| {
+        let prompt_tokens = upstream.prompt_tokens + other_load.prompt_tokens;
+        let under_way = other_load.under_way(upstream);
         let slot_wait_ms = occupancy.wait_ms(upstream.entry.slots, under_way);
-        let read_again = match Some(&upstream.entry.id) == home.as_ref() {
+        let prefix_cost = match Some(&upstream.entry.id) == preferred.as_ref() {
             true => 0.0,
-            false => prompt.shared_tokens as f64 * model.reread_cost,
+            false => prompt.shared_tokens as f64 * model.prefix_miss_cost,
         };
-        let off_role = match kept_for_others.contains(&upstream.entry.id) {
-            true => OFF_ROLE_TOKENS,
+        let wrong_copy_cost = match reserved_for_other_kind.contains(&upstream.entry.id) {
+            true => WRONG_COPY_COST_TOKENS,
             false => 0.0,
         };
         prompt_tokens as f64
-            + read_again
-            + off_role
-            + f64::from(under_way) * RUNNING_TOKENS
-            + slot_wait_ms * TOKENS_PER_MS
-            + upstream.health.failure_share(now) * FAILING_TOKENS
+            + prefix_cost
+            + wrong_copy_cost
+            + f64::from(under_way) * RUNNING_COST_TOKENS
+            + slot_wait_ms * PREFILL_TOKENS_PER_MS
+            + upstream.health.failure_share(now) * FAILURE_COST_TOKENS
     };
-    least(candidates, cost)
+    lowest_cost(candidates, cost)
 }
 
-/// Chooses an upstream of a plain service: the least share of slots in use, near ones first.
+/// Chooses an upstream of a plain service: the one with the lowest fraction of its slots in use
+/// among those that are not in back-off; upstreams in `data_centre` win ties. `random_unit` is a
+/// uniform random number between 0 and 1.
 pub fn service<'a>(
     now: Millis,
     candidates: impl Iterator<Item = &'a Upstream>,
     data_centre: &str,
-    point: f64,
+    random_unit: f64,
 ) -> Option<&'a Upstream> {
     let candidates: Vec<_> = candidates
-        .filter(|upstream| is_open(now, upstream))
-        .map(|upstream| (upstream, Work::default()))
+        .filter(|upstream| is_available(now, upstream))
+        .map(|upstream| (upstream, UpstreamLoad::default()))
         .collect();
-    let mut nth = 0;
-    let cost = |(upstream, _): &(&Upstream, Work)| {
-        nth += 1;
+    let mut index = 0;
+    let cost = |(upstream, _): &(&Upstream, UpstreamLoad)| {
+        index += 1;
         let used = f64::from(upstream.in_flight) / f64::from(upstream.entry.slots.max(1));
-        let far = match &*upstream.entry.data_centre == data_centre {
+        let remote_cost = match &*upstream.entry.data_centre == data_centre {
             true => 0.0,
-            false => FAR_SLOTS,
+            false => REMOTE_COST_SLOTS,
         };
-        // Hosts of one data centre without an upstream must not all choose the same one.
-        let spread = (point + f64::from(nth) * 0.618).fract() * FAR_SLOTS / 2.0;
-        used + far + spread + upstream.health.failure_share(now) * FAILING_SLOTS
+        // Spreads the requests of hosts whose data centre has no upstream over the upstreams
+        // elsewhere.
+        let spread = (random_unit + f64::from(index) * 0.618).fract() * REMOTE_COST_SLOTS / 2.0;
+        used + remote_cost + spread + upstream.health.failure_share(now) * FAILURE_COST_SLOTS
     };
-    least(candidates, cost)
+    lowest_cost(candidates, cost)
 }
 
-fn is_open(now: Millis, upstream: &Upstream) -> bool {
+fn is_available(now: Millis, upstream: &Upstream) -> bool {
     !upstream.health.is_backing_off(now)
 }
 
-fn least<'a>(
-    candidates: Vec<(&'a Upstream, Work)>,
-    mut cost: impl FnMut(&(&'a Upstream, Work)) -> f64,
+fn lowest_cost<'a>(
+    candidates: Vec<(&'a Upstream, UpstreamLoad)>,
+    mut cost: impl FnMut(&(&'a Upstream, UpstreamLoad)) -> f64,
 ) -> Option<&'a Upstream> {
     let costs = candidates.into_iter().map(|candidate| {
         let cost = cost(&candidate);
@@ -199,7 +212,8 @@
         .map(|(_, upstream)| upstream)
 }
 
-/// Returns the rank of an upstream for a beginning: an upstream that comes or goes moves only its own beginnings.
-pub fn affinity(id: &str, beginning: u64) -> u64 {
-    rendezvous::score(id.as_bytes(), beginning)
+/// Returns the rendezvous score of an upstream for a prefix. When an upstream is added or removed,
+/// only the prefixes that it is preferred for change their preferred upstream.
+pub fn affinity(id: &str, prefix_digest: u64) -> u64 {
+    rendezvous::score(id.as_bytes(), prefix_digest)
 }
