--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -341,7 +341,8 @@
         &self,
         now: Millis,
         known: &KnownLevels,
-        limits: &RateLimitTable) -> LimitsUpdate {
+        limits: &RateLimitTable,
+    ) -> LimitsUpdate {
         let level = |name: &Name| {
             let limit = limits.get(name)?;
             let refill = self.refill(&limit, known.share);
