--- a/src/daemon/effect.rs
+++ b/src/daemon/effect.rs
@@ -1,4 +1,4 @@
-//! What a host does about events.
+//! The effects by which a host reacts to events.
 
 use crate::attempt::message::{Attempt, RequestId};
 use crate::idempotency::message::KeptAnswer;
@@ -9,25 +9,25 @@
 use crate::table::acceptance::{CallId, EditResult};
 use std::net::SocketAddr;
 
-/// The effects of one event, in order.
+/// The effects of one event, in the order in which they are started.
 pub type Effects = Vec<Effect>;
 
-/// An output of [`crate::daemon::node::Node::handle`].
+/// An effect that [`crate::daemon::node::Node::handle`] returns to be carried out.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Effect {
-    /// Reads the log.
+    /// Reads the shared log.
     ReadLog {
-        /// The first offset wanted.
+        /// The offset of the first record to read.
         from: Offset,
-        /// How long the log may wait at its end.
+        /// How long the log service may wait for a record if there is none yet.
         wait_ms: Millis,
     },
-    /// Appends to the log.
+    /// Appends records to the shared log.
     AppendLog {
-        /// The records, in order.
+        /// The records, in the order of the log.
         records: Vec<Record>,
     },
-    /// Reads the platform's list.
+    /// Reads the platform's list of hosts and upstreams.
     ListHosts,
     /// Registers or renews this host in the platform's list.
     RegisterHost {
@@ -36,79 +36,79 @@
     },
     /// Removes this host from the platform's list.
     UnregisterHost,
-    /// Asks the weight store for its report.
+    /// Requests the weight store's report.
     AskStore,
-    /// Asks an engine for its report.
+    /// Requests an engine's report.
     AskEngine {
-        /// The engine.
+        /// The name of the engine.
         upstream: Name,
-        /// Its address.
+        /// The engine's address.
         address: SocketAddr,
-        /// The present time, given back with the report.
+        /// The current time, returned with the report.
         asked_at: Millis,
     },
-    /// Sends an engine an order, or only asks about it.
+    /// Sends an order to an engine, or only queries the state of the order there.
     OrderEngine {
-        /// The copy.
+        /// The id of the copy: the offset of the record that decided its load.
         copy: Offset,
         /// The engine's address.
         address: SocketAddr,
         /// The order.
         order: EngineOrder,
-        /// Whether only to ask about it.
+        /// Whether to query the state of the order without sending it.
         watch_only: bool,
-        /// The call must not begin after this point.
+        /// The latest time at which the call may start.
         begin_by: Millis,
     },
-    /// Asks a peer.
+    /// Sends a request to a peer.
     AskPeer {
         /// The peer.
         peer: Incarnation,
-        /// Its address.
+        /// The peer's address.
         address: SocketAddr,
-        /// The present time, given back with the answer.
+        /// The current time, returned with the reply.
         asked_at: Millis,
-        /// What to ask.
+        /// The request.
         request: PeerRequest,
     },
-    /// Answers a peer.
+    /// Replies to a peer's request.
     AnswerPeer {
-        /// The call.
+        /// The id of the peer's request.
         call: CallId,
-        /// The answer.
+        /// The reply.
         reply: PeerReply,
     },
-    /// Begins an attempt.
+    /// Sends a request to an upstream.
     Begin {
-        /// The attempt.
+        /// The attempt, with the upstream and its limits of time.
         attempt: Attempt,
     },
-    /// Gives a request its final answer.
+    /// Answers a request with a refusal.
     Refuse {
         /// The request.
         request: RequestId,
-        /// The answer.
+        /// The refusal.
         refusal: Refusal,
     },
-    /// Gives a request the kept answer of its operation.
+    /// Answers a request with the kept answer of its operation.
     GiveAnswer {
         /// The request.
         request: RequestId,
         /// The answer.
         answer: KeptAnswer,
     },
-    /// Answers a caller that asked which hosts to use.
+    /// Answers a caller that asked which hosts it may connect to.
     AnswerEntry {
-        /// The call.
+        /// The id of the caller's question.
         call: CallId,
-        /// The answer.
+        /// The hosts, or a refusal.
         result: Result<EntryAnswer, Refusal>,
     },
     /// Answers an operator's edit.
     AnswerEdit {
-        /// The call.
+        /// The id of the operator's call.
         call: CallId,
-        /// The answer.
+        /// Whether the edit is in force, or a refusal.
         result: EditResult,
     },
     /// Ends the process.
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions' effects: each one is a task whose result is the next event.
+//! Carries out effects. Calls run as tasks of their own, whose results come back as events.
 
 use crate::clock::Clock;
 use crate::daemon::event::Event;
@@ -15,8 +15,8 @@
 use crate::prelude::*;
 use crate::settings::Settings;
 
-/// The platform's services.
-pub struct Platform {
+/// The clients of the platform's services: shared log, host list, engines and weight store.
+pub struct PlatformClients {
     log: Arc<dyn LogService>,
     hosts: Arc<dyn HostDirectory>,
     engines: Arc<dyn EngineControl>,
@@ -24,8 +24,8 @@
     entry: HostEntry,
 }
 
-impl Platform {
-    /// Makes the clients that the settings ask for.
+impl PlatformClients {
+    /// Creates the clients that the settings configure. The weight store is optional.
     pub fn new(settings: &Settings, config: &NodeConfig) -> Self {
         let platform = &settings.platform;
         let store = platform.store_url.as_deref();
@@ -39,21 +39,22 @@
     }
 }
 
-/// What effects are carried out with.
+/// Carries out effects with the clients of a process.
 pub struct EffectRunner {
-    /// The clock.
+    /// The clock of the process, which also times events.
     pub clock: Clock,
-    /// Where events go, and answers to whoever waits for them.
+    /// Receives the resulting events, and passes answers on to the tasks that wait for them.
     pub gate: Arc<Gate>,
-    /// The calls to peers.
+    /// The client for requests to peers.
     pub peers: Arc<PeerEdge>,
-    /// The platform's services.
-    pub platform: Platform,
+    /// The clients of the platform's services.
+    pub platform: PlatformClients,
 }
 
 impl EffectRunner {
-    /// Starts what an effect asks for; its result comes back to the gate as an event.
-    pub fn carry_out(&self, effect: Effect) {
+    /// Starts an effect. The result of a call is sent to the gate as an event. [`Effect::Exit`] is
+    /// left to the event loop.
+    pub fn execute(&self, effect: Effect) {
         let gate = self.gate.clone();
         match effect {
             Effect::ReadLog { from, wait_ms } => {
--- a/src/daemon/event.rs
+++ b/src/daemon/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a host.
+//! The events that a host handles. Traces contain them for replay.
 
 use crate::attempt::message::{AttemptOutcome, RequestHead, RequestId};
 use crate::membership::message::{PeerReply, PeerRequest, PlatformList};
@@ -8,105 +8,106 @@
 use crate::table::acceptance::CallId;
 use crate::table::message::Edit;
 
-/// An input of [`crate::daemon::node::Node::handle`].
+/// An event for [`crate::daemon::node::Node::handle`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Event {
-    /// Time passed.
+    /// The periodic wake-up of the event loop.
     Tick,
-    /// A read of the log was answered.
+    /// The shared log answered a read.
     LogRead {
-        /// When it was asked.
+        /// When the read was sent.
         asked_at: Millis,
-        /// The answer.
+        /// The records and offsets of the answer.
         page: LogPage,
     },
-    /// A read of the log failed.
+    /// A read of the shared log failed.
     LogReadFailed {
-        /// Why.
+        /// The error.
         error: LogCallError,
     },
-    /// An append was answered.
+    /// The shared log accepted an append.
     Appended,
-    /// An append failed.
+    /// An append to the shared log failed, or its outcome is unknown.
     AppendFailed {
-        /// Why.
+        /// The error.
         error: LogCallError,
     },
-    /// The platform's list was read.
+    /// The platform's list of hosts and upstreams was read.
     HostsListed {
         /// The list.
         list: PlatformList,
     },
     /// The platform's list could not be read.
     HostsFailed,
-    /// The weight store reported.
+    /// A request for the weight store's report ended.
     StoreReported {
-        /// Its report, or nothing when it did not answer.
+        /// The report, or `None` if there was no usable answer.
         report: Option<StoreReport>,
     },
-    /// An engine was asked for its report.
+    /// A request for an engine's report ended.
     EngineReported {
-        /// The engine.
+        /// The name of the engine.
         upstream: Name,
-        /// When it was asked.
+        /// When the request was decided.
         asked_at: Millis,
-        /// Its report, or nothing when it did not answer.
+        /// The report, or `None` if there was no usable answer.
         report: Option<EngineReport>,
     },
-    /// An engine answered an order.
+    /// A call to an engine about an order ended.
     OrderAnswered {
-        /// The copy.
+        /// The id of the copy: the offset of the record that decided its load.
         copy: Offset,
         /// The fencing number of the order.
         fence: Offset,
-        /// The answer.
+        /// The engine's answer, or why there is none.
         answer: OrderAnswer,
     },
-    /// A peer answered.
+    /// A peer answered a request of this host.
     PeerAnswered {
         /// The peer.
         peer: Incarnation,
-        /// When it was asked.
+        /// When the request was decided.
         asked_at: Millis,
-        /// Its answer.
+        /// The reply.
         reply: PeerReply,
     },
-    /// A peer did not answer.
+    /// A request to a peer failed or timed out.
     PeerFailed {
         /// The peer.
         peer: Incarnation,
     },
-    /// A peer asks.
+    /// A peer sent a request.
     PeerAsked {
-        /// Names the call, for the answer.
+        /// The id under which the reply is returned.
         call: CallId,
-        /// What it asks.
+        /// The request.
         request: PeerRequest,
     },
-    /// A caller's request came.
+    /// A caller's request arrived.
     RequestArrived {
-        /// What the decisions need of it.
+        /// The request without its body.
         head: RequestHead,
     },
-    /// A caller asks which hosts to use.
+    /// A caller asked which hosts it may connect to.
     EntryAsked {
-        /// Names the call, for the answer.
+        /// The id under which the answer is returned.
         call: CallId,
         /// SHA-256 of the API key, as hex digits.
         key_sha256: Name,
-        /// The model or service.
+        /// The name of the model or service.
         name: Name,
     },
-    /// The caller of a waiting request went away.
+    /// The task that handles a request ended. If the request has no final answer yet, its caller
+    /// disconnected, and the request is dropped.
     CallerGone {
         /// The request.
         request: RequestId,
     },
-    /// An attempt's answer began.
+    /// An upstream sent the first byte of its answer to an attempt.
     AttemptStarted {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt within the request, from 1.
         number: u32,
         /// How long the upstream took to its first byte.
         first_byte_ms: Millis,
@@ -115,18 +116,18 @@
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt within the request, from 1.
         number: u32,
-        /// How.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// An operator sent an edit.
+    /// An operator sent an edit of the table.
     EditAsked {
-        /// Names the call, for the answer.
+        /// The id under which the answer is returned.
         call: CallId,
         /// The edit.
         edit: Edit,
     },
-    /// A planned stop was asked for.
+    /// A planned stop was requested by a signal.
     StopAsked,
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,6 +1,8 @@
-//! The daemon: one event loop that owns every decision, and the tasks around it.
+//! The daemon: one event loop that makes all decisions of a host, and the tasks that carry them
+//! out.
 //!
-//! [`node::Node::handle`] is pure. The `*_flow` modules join the slices into it, one duty each.
+//! [`node::Node::handle`] is a pure function of the state and the event. Each `*_flow` module
+//! implements one part of it and connects the modules of the crate that this part needs.
 
 pub mod claim_flow;
 pub mod cold_start;
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,8 +1,8 @@
-//! The event loop and the tasks that carry out its effects.
+//! The start and the event loop of a daemon process.
 
 use crate::clock::Clock;
 use crate::daemon::dump;
-use crate::daemon::effects::{EffectRunner, Platform};
+use crate::daemon::effects::{EffectRunner, PlatformClients};
 use crate::daemon::event::Event;
 use crate::daemon::metrics::{Metrics, Sampler};
 use crate::daemon::node::{Life, Node, NodeConfig};
@@ -21,47 +21,47 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// The release of this program.
+/// The version of this program, as `Cargo.toml` names it.
 pub const RELEASE: &str = env!("CARGO_PKG_VERSION");
-/// How often the loop is woken without anything else happening.
+/// The interval of [`Event::Tick`].
 const TICK: Duration = Duration::from_millis(20);
 
-/// Why the daemon cannot run.
+/// Why a daemon cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RunError {
-    /// An address cannot be used.
+    /// A listening address cannot be bound.
     #[snafu(display("cannot listen on {address} ({key}): {source}"))]
     Listen {
-        /// The settings key.
+        /// The settings key that holds the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The peers' edge cannot start.
+    /// The endpoint for peers cannot start.
     #[snafu(display("{source}"))]
     Peer {
-        /// Why.
+        /// The error of the endpoint.
         source: PeerError,
     },
-    /// The signals cannot be taken.
-    #[snafu(display("cannot take signals: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signal {
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The metrics cannot be set up.
     #[snafu(display("cannot set up metrics: {why}"))]
     Metrics {
-        /// Why.
+        /// The error of the metrics exporter.
         why: String,
     },
 }
 
 impl RunError {
-    /// Returns what to do next, in one sentence.
+    /// Returns advice to the operator on how to remove the cause, in one sentence.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Listen { .. }
@@ -74,11 +74,11 @@
     }
 }
 
-/// Runs a daemon until it has stopped.
+/// Runs a daemon until a planned stop has ended.
 ///
 /// # Errors
 ///
-/// Returns why it cannot start.
+/// Returns an error if the daemon cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     smol::block_on(run_async(settings))
 }
@@ -93,7 +93,7 @@
     let operators = listen_operators(&settings, &gate, &metrics)?;
     smol::spawn(peers.clone().serve(gate.clone())).detach();
     smol::spawn(watch_signals(gate.clone(), signals()?)).detach();
-    smol::spawn(tick(gate.clone())).detach();
+    smol::spawn(send_ticks(gate.clone())).detach();
     LogEvent::Started.write(&format!(
         "name={} incarnation={me} release={RELEASE} callers={} peers={} operators={}",
         settings.name, settings.caller_listen, settings.peer_listen, settings.operator_listen
@@ -103,15 +103,15 @@
         clock,
         gate,
         peers: peers.clone(),
-        platform: Platform::new(&settings, &node.config),
+        platform: PlatformClients::new(&settings, &node.config),
     };
-    let runner = Runner {
+    let event_loop = EventLoop {
         trace: Trace::new(node.config.clone()),
         sampler: Sampler::default(),
         effects,
         metrics,
     };
-    runner.run(node, inputs).await;
+    event_loop.run(node, inputs).await;
     close(callers).await;
     close(operators).await;
     peers.close();
@@ -148,27 +148,27 @@
     }
 }
 
-async fn tick(gate: Arc<Gate>) {
+async fn send_ticks(gate: Arc<Gate>) {
     loop {
         smol::Timer::after(TICK).await;
         gate.send(Event::Tick).await;
     }
 }
 
-/// The event loop.
-struct Runner {
+/// The event loop: handles events and answers operators' queries, one at a time.
+struct EventLoop {
     effects: EffectRunner,
     metrics: Metrics,
     sampler: Sampler,
     trace: Trace,
 }
 
-impl Runner {
+impl EventLoop {
     async fn run(mut self, mut node: Node, inputs: Receiver<Input>) {
         while let Ok(input) = inputs.recv().await {
             let now = self.effects.clock.now();
             match input {
-                Input::Query(query) => self.answer(now, &node, query),
+                Input::Query(query) => self.answer_query(now, &node, query),
                 Input::Event(event) => {
                     if self.step(now, &mut node, event).is_break() {
                         return;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Handles one event; breaks when the process is to end.
+    /// Handles one event and starts its effects. Returns `Break` if the process is to exit.
     fn step(&mut self, now: Millis, node: &mut Node, event: Event) -> ControlFlow<()> {
         self.trace.push(now, &event, node);
         self.metrics.count_event(&event);
@@ -190,47 +190,48 @@
         }
         for effect in effects {
             self.metrics.count_effect(&effect);
-            self.effects.carry_out(effect);
+            self.effects.execute(effect);
         }
         ControlFlow::Continue(())
     }
 
-    /// Answers a question. Long texts are written by another thread from a copy of the state.
-    fn answer(&self, now: Millis, node: &Node, query: Query) {
+    /// Answers an operator's query. Long texts are serialised on another thread, from a copy of the
+    /// state, so that the event loop goes on meanwhile.
+    fn answer_query(&self, now: Millis, node: &Node, query: Query) {
         match query {
             Query::Health(sender) => {
                 let _ = sender.try_send(health(now, node).to_string());
             }
             Query::Dump(sender) => {
                 let state = node.clone();
-                write_text(sender, move || dump::dump(now, &state));
+                serialise_for(sender, move || dump::dump(now, &state));
             }
             Query::Trace(sender) => {
                 let (trace, state) = (self.trace.clone(), node.clone());
-                write_text(sender, move || trace.to_file(&state));
+                serialise_for(sender, move || trace.to_file(&state));
             }
             Query::Table(sender) => {
                 let table = node.shared.table.clone();
-                write_text(sender, move || serde_json::to_string(&table));
+                serialise_for(sender, move || serde_json::to_string(&table));
             }
             Query::Hosts(sender) => {
                 let members = node.shared.members.clone();
-                write_text(sender, move || serde_json::to_string(&members));
+                serialise_for(sender, move || serde_json::to_string(&members));
             }
             Query::Placements(sender) => {
                 let placement = node.shared.placement.clone();
-                write_text(sender, move || serde_json::to_string(&placement));
+                serialise_for(sender, move || serde_json::to_string(&placement));
             }
         }
     }
 }
 
-fn write_text(
+fn serialise_for(
     sender: Sender<String>,
     write: impl FnOnce() -> Result<String, serde_json::Error> + Send + 'static,
 ) {
     let task = async move {
-        // Without a text the sender is dropped, and whoever asked learns that there is none.
+        // If the text cannot be written, the sender is dropped and the receiver gets an error.
         if let Ok(text) = smol::unblock(write).await {
             let _ = sender.try_send(text);
         }
--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -16,16 +16,16 @@
 use std::time::Duration;
 use trillium_server_common::ServerHandle;
 
-/// How long open connections get to end after the last request.
+/// How long a server waits at the end of the process until its open connections are closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most connections of operators at once.
+/// Most open connections to the operators' interface.
 const MAX_OPERATOR_CONNECTIONS: usize = 256;
 
-/// Opens the callers' interface.
+/// Starts the HTTP server for callers.
 ///
 /// # Errors
 ///
-/// Returns why its address cannot be used.
+/// Returns an error if its address cannot be bound.
 pub fn listen_callers(
     settings: &Settings,
     me: Incarnation,
@@ -55,11 +55,11 @@
     Ok(server)
 }
 
-/// Opens the operators' interface.
+/// Starts the HTTP server for operators.
 ///
 /// # Errors
 ///
-/// Returns why its address cannot be used.
+/// Returns an error if its address cannot be bound.
 pub fn listen_operators(
     settings: &Settings,
     gate: &Arc<Gate>,
@@ -83,7 +83,7 @@
     Ok(server)
 }
 
-/// Closes a server, waiting a little for its open connections.
+/// Shuts a server down, and waits for its open connections for at most `CLOSE_TIMEOUT`.
 pub async fn close(server: ServerHandle) {
     let closing = async move { server.shut_down().await };
     within(CLOSE_TIMEOUT, closing).await;
