--- a/src/daemon/dump.rs
+++ b/src/daemon/dump.rs
@@ -1,14 +1,15 @@
-//! The state dump: everything a process knows, without secrets.
+//! The state dump: the whole state of a host for diagnosis, without secrets.
 
 use crate::daemon::node::Node;
 use crate::daemon::run::RELEASE;
 use crate::prelude::*;
 
-/// Writes the state of a host as JSON. API keys appear only as their hashes.
+/// Serialises the state of a host as JSON. API keys appear only as their hashes, and kept answers
+/// of operations are left out.
 ///
 /// # Errors
 ///
-/// Returns the encoder's error.
+/// Returns the error of the JSON encoder.
 pub fn dump(now: Millis, node: &Node) -> Result<String, serde_json::Error> {
     #[derive(Serialize)]
     struct Dump<'a> {
--- a/src/daemon/metrics.rs
+++ b/src/daemon/metrics.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, in the Prometheus text form. `docs/OPERATORS.md` lists them.
+//! The metrics of a process, in the Prometheus text format. `docs/OPERATORS.md` lists them.
 
 use crate::attempt::message::{AttemptOutcome, TargetKind};
 use crate::daemon::event::Event;
@@ -11,15 +11,16 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// How often the gauges are set from the state.
+/// The interval at which the gauges are updated.
 const SAMPLE_INTERVAL_MS: Millis = Millis(1_000);
-/// The upper bounds of the time to the first byte, from a warm answer to a long cold start.
+/// The upper bounds of the histogram of the time to the first byte. They range from a ready model
+/// to a long cold start.
 const FIRST_BYTE_BOUNDS_MS: [f64; 14] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 250.0, 500.0, 1_000.0, 2_500.0, 5_000.0, 10_000.0, 20_000.0,
     40_000.0, 80_000.0,
 ];
 
-/// The instruments and the registry that is read at `/metrics`.
+/// The instruments of a process, and the registry from which `/metrics` is answered.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -43,11 +44,11 @@
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
-    /// Returns why the exporter cannot be made.
+    /// Returns an error if the exporter cannot be created.
     pub fn new() -> Result<Self, RunError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -86,14 +87,15 @@
         })
     }
 
-    /// Returns the metrics in the Prometheus text form.
+    /// Returns the current metrics in the Prometheus text format, or an empty text if they cannot
+    /// be encoded.
     pub fn text(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_default()
     }
 
-    /// Takes note of the time from a request's arrival to the first byte of its answer.
+    /// Records the time from a request's arrival to the first byte of its answer.
     pub fn first_byte(&self, target: TargetKind, span_ms: Millis) {
         let target = match target {
             TargetKind::Model => "model",
@@ -103,12 +105,12 @@
         self.first_byte_ms.record(span_ms.0 as f64, &labels);
     }
 
-    /// Counts a request that was refused.
+    /// Counts a request that was refused, by the kind of the refusal.
     pub fn count_refusal(&self, kind: ErrorKind) {
         self.count_request(kind.name());
     }
 
-    /// Counts an event before it is handled.
+    /// Updates the counters for an event. Called before the event is handled.
     pub fn count_event(&self, event: &Event) {
         self.events.add(1, &[]);
         match event {
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Counts an effect before it is carried out.
+    /// Updates the counters for an effect. Called before the effect is carried out.
     pub fn count_effect(&self, effect: &Effect) {
         match effect {
             Effect::Refuse { refusal, .. } => self.count_refusal(refusal.kind),
@@ -159,14 +161,14 @@
     }
 }
 
-/// Sets the gauges from the state, once in a while.
+/// Updates the gauges from the state at a fixed interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sampler {
     next_at: Millis,
 }
 
 impl Sampler {
-    /// Sets the gauges when they are due.
+    /// Updates the gauges if the interval has passed. `trace_bytes` is the size of the trace.
     pub fn sample(&mut self, now: Millis, node: &Node, trace_bytes: usize, metrics: &Metrics) {
         if now < self.next_at {
             return;
--- a/src/daemon/process_log.rs
+++ b/src/daemon/process_log.rs
@@ -1,4 +1,5 @@
-//! The process's own log: where it goes and which form its lines have.
+//! The text log of a process: its destination and the format of its lines. It is not the shared
+//! log.
 
 use crate::prelude::*;
 use crate::settings::{LogFormat, LogLevel, LogSettings};
@@ -15,30 +16,30 @@
 
 const TEXT_LINE: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}";
 const APPENDER: &str = "log";
-/// The target of all log events.
+/// The `log` target of all log events.
 pub const LOG_TARGET: &str = "mangovale";
 
-/// Why the log cannot be written.
+/// Why the text log cannot be set up.
 #[derive(Debug, Snafu)]
 pub enum ProcessLogError {
-    /// The file cannot be opened.
+    /// The log file cannot be opened.
     #[snafu(display("cannot write the log file {}: {source}", path.display()))]
     File {
-        /// The file.
+        /// The path of the log file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The parts do not fit together.
+    /// The logging library rejects the configuration, for example since it is set up already.
     #[snafu(display("cannot set up the log: {why}"))]
     Setup {
-        /// Why.
+        /// The message of the logging library.
         why: String,
     },
 }
 
 impl ProcessLogError {
-    /// Returns what to do next, in one sentence.
+    /// Returns advice to the operator on how to remove the cause, in one sentence.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::File { .. } => "check log.file, its directory and its permissions",
@@ -47,11 +48,11 @@
     }
 }
 
-/// Starts the process's log.
+/// Sets up the text log of the process. Of other libraries, only errors are logged.
 ///
 /// # Errors
 ///
-/// Returns why the log cannot be written.
+/// Returns an error if the log file cannot be opened or a log is set up already.
 pub fn start(settings: &LogSettings) -> Result<(), ProcessLogError> {
     let events = Logger::builder().build(LOG_TARGET, level(settings.level));
     let others = Root::builder().appender(APPENDER).build(LevelFilter::Error);
@@ -100,10 +101,11 @@
     }
 }
 
-/// Makes a panic in any task or thread end the process, with a log event.
+/// Installs a panic hook that writes a log event and aborts the process, whichever task or thread
+/// panics.
 ///
-/// A process that lost one of its tasks would answer some calls and not others; the platform starts
-/// a new one instead, and the other hosts take its orders over.
+/// A process that lost one of its tasks would answer some calls and not others. After an abort the
+/// platform starts a new process, and the other hosts take over its orders.
 pub fn abort_on_panic() {
     std::panic::set_hook(Box::new(|panic| {
         LogEvent::Panicked.write(&panic.to_string().replace('\n', " "));
