--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -1,6 +1,8 @@
-//! Joins claims to a request's way: an operation with a key is claimed on the log before it runs.
+//! Claims of operations: a request with an idempotency key is claimed on the shared log before it
+//! runs, so that the operation runs at most once.
 //!
-//! The host whose claim won runs the operation; every other arrival follows it. See
+//! The host whose claim is first on the log, the claimant, runs the operation. Every other request
+//! with the same key follows it: it waits for the claimant's answer. See
 //! `docs/design/at-most-once.md`.
 
 use crate::attempt::message::RequestId;
@@ -15,22 +17,25 @@
 use crate::membership::message::PeerRequest;
 use crate::prelude::*;
 
-/// How long a claim may be on its way before its request is refused.
-pub const CLAIM_BOUND_MS: Millis = Millis(3_000);
-/// How long the log may be out of reach before claims on their way are given up.
-pub const LOG_LOST_MS: Millis = Millis(500);
-/// How long past the deadline the release of a claim is waited for.
-pub const RELEASE_BOUND_MS: Millis = Millis(1_000);
-/// How often a claimer is asked for the outcome.
+/// How long a request waits until its claim is applied; then it is refused.
+pub const CLAIM_TIMEOUT_MS: Millis = Millis(3_000);
+/// How long the log may be unreachable before requests that wait for their claims are refused.
+pub const MAX_LOG_OUTAGE_MS: Millis = Millis(500);
+/// The shortest time that a request waits until the release of its claim is applied. It waits until
+/// its deadline in any case.
+pub const MIN_RELEASE_WAIT_MS: Millis = Millis(1_000);
+/// The interval at which the claimant is asked for the outcome of an operation.
 pub const FOLLOW_INTERVAL_MS: Millis = Millis(100);
-/// How long a claim is remembered, beside [`KEPT_DEADLINES`] times the request's own time.
-pub const CLAIM_KEEP_MS: Millis = Millis(60 * 60_000);
+/// How long a claim is kept, in addition to [`RETENTION_LIFETIMES`] times the time between the
+/// request's arrival and its deadline.
+pub const CLAIM_RETENTION_MS: Millis = Millis(60 * 60_000);
 
-const KEPT_DEADLINES: u64 = 10;
-const LOG_RETRY_MS: Millis = Millis(2_000);
+const RETENTION_LIFETIMES: u64 = 10;
+/// The retry time in refusals for which the log is the cause.
+const LOG_RETRY_AFTER_MS: Millis = Millis(2_000);
 
 impl Node {
-    /// Claims the operation of a request, or follows the request that claimed it.
+    /// Claims the operation of a request, or follows the request that holds the claim.
     pub fn claim_or_follow(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -52,7 +57,7 @@
             self.follow(now, id, &state, fx);
             return;
         }
-        self.ask_claimer(now, id, operation, &claim, fx);
+        self.ask_claimant(now, id, operation, &claim, fx);
     }
 
     fn begin_claim(
@@ -77,17 +82,17 @@
         let claim = ClaimRequest {
             operation,
             request_sha256: request.head.request_sha256.clone(),
-            keep_ms: CLAIM_KEEP_MS + Millis(lifetime_ms.saturating_mul(KEPT_DEADLINES)),
+            keep_ms: CLAIM_RETENTION_MS + Millis(lifetime_ms.saturating_mul(RETENTION_LIFETIMES)),
         };
         request.enter(now, Phase::Claiming);
         let pending = PendingClaim { request: id, claim };
         if self.pending_claims.begin(pending).is_err() {
             let refusal = Refusal::new(ErrorKind::Overloaded, "too many claims wait for the log");
-            self.refuse(now, id, refusal.after(LOG_RETRY_MS), fx);
+            self.refuse(now, id, refusal.after(LOG_RETRY_AFTER_MS), fx);
         }
     }
 
-    fn ask_claimer(
+    fn ask_claimant(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -98,9 +103,9 @@
         let suspected = self.probes.is_suspected(claim.claimant);
         let member = self.shared.members.get(claim.claimant);
         let address = member.map(|member| member.entry.peer_address);
-        let present = self.shared.members.is_member(claim.claimant) && !suspected;
-        let Some(address) = address.filter(|_| present) else {
-            self.refuse(now, id, claimer_gone(claim), fx);
+        let reachable = self.shared.members.is_member(claim.claimant) && !suspected;
+        let Some(address) = address.filter(|_| reachable) else {
+            self.refuse(now, id, claimant_gone(claim), fx);
             return;
         };
         fx.push(Effect::AskPeer {
@@ -114,7 +119,8 @@
 
     fn follow(&mut self, now: Millis, id: RequestId, state: &OperationState, fx: &mut Effects) {
         match state {
-            // A release shows in the fold; after it the operation is claimed anew.
+            // If the claim was released, its record shows that, and the next check claims the
+            // operation again.
             OperationState::Running | OperationState::NotRun => {
                 let ask_at = now + FOLLOW_INTERVAL_MS;
                 if let Some(request) = self.requests.get_mut(id) {
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Returns how an operation stands that this host claimed.
+    /// Returns the state of an operation that this host claimed.
     pub fn operation_state(&self, operation: &OperationKey) -> OperationState {
         if let Some(state) = self.finished.get(operation) {
             return state.clone();
@@ -164,7 +170,8 @@
         }
     }
 
-    /// Takes the word of the host that claimed an operation.
+    /// Handles the state of an operation as reported by a peer, for the requests that follow it.
+    /// The report of a peer that is not the claimant is ignored.
     pub fn on_operation_state(
         &mut self,
         now: Millis,
@@ -194,8 +201,8 @@
         }
     }
 
-    /// Queues the records of claims and of ends that are due.
-    pub fn send_claims(&mut self) {
+    /// Queues the next records of claims and of ends of claims for the log.
+    pub fn queue_claim_records(&mut self) {
         if let Some(claims) = self.pending_claims.next_claims()
             && let Some(record) = self.driver.queue(RecordBody::Claims { claims })
         {
@@ -208,20 +215,21 @@
         }
     }
 
-    /// Begins claims anew after this host joined again under another incarnation.
-    pub fn note_incarnation(&mut self, now: Millis, fx: &mut Effects) {
+    /// Starts the pending claims again if this host rejoined under another incarnation, since
+    /// records queued under the former one have no effect.
+    pub fn restart_claims_after_rejoin(&mut self, now: Millis, fx: &mut Effects) {
         if !self.pending_claims.note_host(self.config.me) {
             return;
         }
-        let is_on_its_way = |request: &&HeldRequest| {
+        let is_pending = |request: &&HeldRequest| {
             matches!(request.phase, Phase::Claiming | Phase::Releasing { .. })
         };
-        let requests = self.requests.iter().filter(is_on_its_way);
-        let held: Vec<HeldRequest> = requests.cloned().collect();
-        for request in held {
+        let requests = self.requests.iter().filter(is_pending);
+        let pending: Vec<HeldRequest> = requests.cloned().collect();
+        for request in pending {
             let id = request.head.id;
             if matches!(request.phase, Phase::Releasing { .. }) {
-                self.give_refusal(now, id, not_released(), fx);
+                self.send_refusal(now, id, not_released(), fx);
                 continue;
             }
             if let Some(operation) = &request.operation {
@@ -231,7 +239,7 @@
         }
     }
 
-    /// Settles the claims and ends whose records were applied.
+    /// Settles the claims and ends of claims whose records were applied.
     pub fn settle_claims(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let applied = |record| members.is_duplicate(record);
@@ -255,17 +263,17 @@
             }
             Some(holder) if holder == id => {
                 self.pending_claims.let_go(operation, id);
-                self.claim_lost(now, id, operation, fx);
+                self.on_claim_lost(now, id, operation, fx);
             }
-            // A later request holds the operation and settles with its own record.
+            // A later request holds the operation; its own record settles it.
             Some(_) => {}
-            // The request was given up while its claim was on its way.
+            // The request ended before its claim was applied.
             None if won => self.end_claim(operation, ClaimOutcome::NotRun),
             None => {}
         }
     }
 
-    fn claim_lost(
+    fn on_claim_lost(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -281,7 +289,7 @@
         } else {
             ErrorKind::CutOff
         };
-        let refusal = Refusal::new(kind, "the claim was not taken").after(LOG_RETRY_MS);
+        let refusal = Refusal::new(kind, "the claim was not taken").after(LOG_RETRY_AFTER_MS);
         self.refuse(now, id, refusal, fx);
     }
 
@@ -299,10 +307,11 @@
         };
         let released = self.shared.claims.get(&end.operation).is_none();
         let refusal = if released { refusal } else { not_released() };
-        self.give_refusal(now, id, refusal, fx);
+        self.send_refusal(now, id, refusal, fx);
     }
 
-    /// Tells whether a request holds its operation's claim, read back and not yet ended.
+    /// Returns whether a request holds the claim of its operation: the claim is applied and has not
+    /// ended.
     pub fn holds_claim(&self, request: &HeldRequest) -> bool {
         let Some(operation) = &request.operation else {
             return false;
@@ -311,8 +320,9 @@
         claimed && self.pending_claims.holder(operation) == Some(request.head.id)
     }
 
-    /// Releases the claim of a request that did not run; its caller is told when that is read back.
-    pub fn release(&mut self, now: Millis, id: RequestId, refusal: Refusal) {
+    /// Releases the claim of a request that did not run. The refusal is sent once the release is
+    /// applied.
+    pub fn release_claim(&mut self, now: Millis, id: RequestId, refusal: Refusal) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -325,7 +335,9 @@
         self.end_claim(&operation, ClaimOutcome::NotRun);
     }
 
-    /// Keeps the answer of an operation that ran.
+    /// Keeps the answer of an operation that ran, for other requests with the same key, and ends
+    /// its claim. The state is recorded as answered without a kept answer if `answer` is `None` or
+    /// too long.
     pub fn keep_answer(&mut self, now: Millis, id: RequestId, answer: Option<KeptAnswer>) {
         let request = self.requests.get(id);
         let Some(operation) = request.and_then(|request| request.operation.clone()) else {
@@ -336,8 +348,9 @@
         self.end_claim(&operation, ClaimOutcome::Answered);
     }
 
-    /// Settles the operation of a request that is let go.
-    pub fn let_go_of_operation(&mut self, now: Millis, request: &HeldRequest) {
+    /// Ends the claim of a request that is removed: as not run while the request waits, as unknown
+    /// if it runs without an answer.
+    pub fn settle_operation(&mut self, now: Millis, request: &HeldRequest) {
         let Some(operation) = &request.operation else {
             return;
         };
@@ -351,7 +364,7 @@
                     .insert(now, operation.clone(), OperationState::Unknown);
                 self.end_claim(operation, ClaimOutcome::Unknown);
             }
-            // A claim on its way is released when it is read back.
+            // A claim that is not applied yet is released when it is applied.
             Phase::Arrived
             | Phase::Metered
             | Phase::Claiming
@@ -362,7 +375,8 @@
         self.pending_claims.let_go(operation, request.head.id);
     }
 
-    /// Tells whether the fold still lets this host run a request.
+    /// Returns whether this host may run a request: it has no operation, or the replicated state
+    /// has this host's claim without an outcome.
     pub fn may_run(&self, request: &HeldRequest) -> bool {
         let Some(operation) = &request.operation else {
             return true;
@@ -371,24 +385,25 @@
             .is_some_and(|claim| claim.outcome.is_none())
     }
 
-    /// Gives up a claim that takes too long, without which nothing may run.
+    /// Refuses a request whose claim is not applied in time; it may not run without one.
     pub fn tick_claiming(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         if now >= request.deadline_at {
             let message = "the deadline passed before the claim was read back";
-            let refusal = Refusal::new(ErrorKind::DeadlinePassed, message).after(LOG_RETRY_MS);
+            let refusal =
+                Refusal::new(ErrorKind::DeadlinePassed, message).after(LOG_RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
             return;
         }
-        let too_long = now.since(request.phase_since) > CLAIM_BOUND_MS;
-        if too_long || self.pending_claims.log_lost_ms(now) > LOG_LOST_MS {
+        let too_long = now.since(request.phase_since) > CLAIM_TIMEOUT_MS;
+        if too_long || self.pending_claims.log_lost_ms(now) > MAX_LOG_OUTAGE_MS {
             self.refuse(now, id, log_unavailable(), fx);
         }
     }
 
-    /// Asks again for the outcome of an operation, until the deadline.
+    /// Asks again for the outcome of an operation, and refuses the request at its deadline.
     pub fn tick_following(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let overdue = self
             .requests
@@ -399,18 +414,19 @@
             return;
         }
         let message = "an earlier request with this key has no outcome yet";
-        let refusal = Refusal::new(ErrorKind::OutcomeUnknown, message).after(LOG_RETRY_MS);
+        let refusal = Refusal::new(ErrorKind::OutcomeUnknown, message).after(LOG_RETRY_AFTER_MS);
         self.refuse(now, id, refusal, fx);
     }
 
-    /// Gives up waiting for a release: the key may stay claimed, so that "not run" is not said.
+    /// Stops waiting for the release of a claim. The key may remain claimed, so the caller is told
+    /// that the outcome is unknown instead of that the operation did not run.
     pub fn tick_releasing(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let waited = now.since(request.phase_since) > RELEASE_BOUND_MS;
+        let waited = now.since(request.phase_since) > MIN_RELEASE_WAIT_MS;
         if waited && now >= request.deadline_at {
-            self.give_refusal(now, id, not_released(), fx);
+            self.send_refusal(now, id, not_released(), fx);
         }
     }
 
@@ -429,15 +445,15 @@
 
 fn log_unavailable() -> Refusal {
     let message = "the log cannot be reached, and the operation is claimed there before it runs";
-    Refusal::new(ErrorKind::LogUnavailable, message).after(LOG_RETRY_MS)
+    Refusal::new(ErrorKind::LogUnavailable, message).after(LOG_RETRY_AFTER_MS)
 }
 
 fn not_released() -> Refusal {
     let message = "the operation was not run here, but its key could not be released";
-    Refusal::new(ErrorKind::OutcomeUnknown, message).after(LOG_RETRY_MS)
+    Refusal::new(ErrorKind::OutcomeUnknown, message).after(LOG_RETRY_AFTER_MS)
 }
 
-fn claimer_gone(claim: &Claim) -> Refusal {
+fn claimant_gone(claim: &Claim) -> Refusal {
     let message = match claim.outcome {
         Some(ClaimOutcome::Answered) => {
             "the operation ran and was answered; the host that has the answer is gone"
--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -1,4 +1,5 @@
-//! Predicts when a model can serve, and refuses requests that cannot wait for it.
+//! Prediction of cold starts: when a model will be ready, and the refusal of requests whose
+//! deadline is earlier.
 
 use crate::daemon::node::Node;
 use crate::placement::copies::CopyState;
@@ -6,53 +7,55 @@
 use crate::prelude::*;
 use crate::table::message::Urgency;
 
-/// How long a model stays wanted after a request was refused for its cold start.
-pub const WANTED_MS: Millis = Millis(5_000);
-/// When to come back when no engine can take the model.
-pub const NO_CAPACITY_RETRY_MS: Millis = Millis(30_000);
-/// When to come back when the log is out of reach.
-pub const LOG_RETRY_MS: Millis = Millis(2_000);
+/// How long a request that was refused for a cold start counts as demand, so that the model is
+/// loaded.
+pub const REFUSED_DEMAND_MS: Millis = Millis(5_000);
+/// The retry time in a refusal because no engine can hold the model.
+pub const NO_CAPACITY_RETRY_AFTER_MS: Millis = Millis(30_000);
+/// The retry time in a refusal because the log is unreachable.
+pub const LOG_RETRY_AFTER_MS: Millis = Millis(2_000);
 
-/// When a model can be ready.
+/// The prediction of when a model is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ready {
-    /// A copy is ready, or nothing is known against one soon.
+    /// A copy is ready, or may be ready soon as far as is known.
     Soon,
-    /// After about this time.
+    /// A copy is ready after about this time.
     After(Millis),
-    /// No engine can take it.
+    /// No engine can hold the model.
     Never,
 }
 
 impl Node {
-    /// Predicts when a model can serve.
+    /// Predicts when a model is ready, from its copies or, without one, from the expected load.
     pub fn predicted_ready(&self, now: Millis, model: &str) -> Ready {
         let placement = &self.shared.placement;
-        let mut left_ms = None;
+        let mut remaining_ms = None;
         for (_, copy) in placement.copies_of(model) {
             match copy.state {
                 CopyState::Ready => return Ready::Soon,
                 CopyState::Loading => {
                     let load_ms = self.demand.uses.load_ms(model).unwrap_or_default();
-                    let gone_ms = self.shared.log_ms.max(now).since(copy.decided_ms);
-                    left_ms = Some(load_ms - gone_ms);
+                    let elapsed_ms = self.shared.log_ms.max(now).since(copy.decided_ms);
+                    remaining_ms = Some(load_ms - elapsed_ms);
                 }
                 CopyState::Unloading | CopyState::Ended => {}
             }
         }
-        if let Some(left_ms) = left_ms {
-            return Ready::After(left_ms);
+        if let Some(remaining_ms) = remaining_ms {
+            return Ready::After(remaining_ms);
         }
-        match self.choose(now, model) {
-            Choice::Never if self.is_engine_coming(model) => Ready::Soon,
+        match self.choose_load(now, model) {
+            Choice::Never if self.is_engine_expected(model) => Ready::Soon,
             Choice::Never => Ready::Never,
             Choice::Wait => Ready::Soon,
             Choice::Load(_) | Choice::MakeRoom { .. } => Ready::After(self.cold_start_ms(model)),
         }
     }
 
-    /// Tells whether the platform's list has, or may have, an engine for a model that is not on the log yet.
-    fn is_engine_coming(&self, model: &str) -> bool {
+    /// Returns whether the platform's list names an engine that can hold a model and whose record
+    /// is not on the log yet. True if the list was not read yet.
+    fn is_engine_expected(&self, model: &str) -> bool {
         let wanted = self.demand.decided.of(model) > 0;
         let bytes = self
             .shared
@@ -61,34 +64,37 @@
             .map(|spec| spec.reserved_bytes);
         let known = &self.shared.placement.upstreams;
         let places = self.demand.decided.places_of(model);
-        let may_list = self.platform.may_list(|entry| {
+        let may_be_listed = self.platform.may_list_upstream(|entry| {
             !known.contains_key(&entry.name)
                 && places.allow(&entry.data_centre)
                 && Some(entry.memory_bytes) >= bytes
         });
-        wanted && may_list
+        wanted && may_be_listed
     }
 
     fn cold_start_ms(&self, model: &str) -> Millis {
         let Some(spec) = self.shared.table.model(model) else {
             return Millis::ZERO;
         };
-        let view = self.load_view(model);
+        let context = self.load_context(model);
         let reports = self.shared.placement.upstreams.keys();
         let reports = reports.filter_map(|name| self.routing.get(name)?.report.as_ref());
-        let nearest_ms = reports
-            .map(|report| fetch_ms(&view, model, spec, Some(report)))
+        let shortest_ms = reports
+            .map(|report| fetch_ms(&context, model, spec, Some(report)))
             .min();
-        let load_ms = nearest_ms.unwrap_or_else(|| fetch_ms(&view, model, spec, None));
+        let load_ms = shortest_ms.unwrap_or_else(|| fetch_ms(&context, model, spec, None));
         let limits = &self.shared.table.store.value;
         load_ms + store_wait_ms(self.shared.placement.loading(), limits, load_ms)
     }
 
-    /// Checks that a model can be ready before a request's deadline.
+    /// Checks that a model can be ready before the deadline of a request that arrives now. Names
+    /// that are not models, such as services, pass.
     ///
     /// # Errors
     ///
-    /// Refuses with the time after which the model can be ready. It is loaded all the same.
+    /// Returns a refusal if no engine can hold the model, if it has no copy and the log is
+    /// unreachable, or if its cold start takes longer than `deadline_ms`. In the last case the
+    /// refusal gives the predicted time, and the model is loaded nevertheless.
     pub fn check_cold_start(
         &mut self,
         now: Millis,
@@ -107,16 +113,16 @@
         if !has_copy && !self.driver.is_reachable() {
             let message = "the model is not loaded, and the log that decides loads is out of reach";
             let refusal = Refusal::new(ErrorKind::LogUnavailable, message);
-            return Err(refusal.after(LOG_RETRY_MS));
+            return Err(refusal.after(LOG_RETRY_AFTER_MS));
         }
         match ready {
             Ready::Never => {
                 let message = format!("no engine can take model {model}");
-                Err(Refusal::new(ErrorKind::NoCapacity, message).after(NO_CAPACITY_RETRY_MS))
+                Err(Refusal::new(ErrorKind::NoCapacity, message).after(NO_CAPACITY_RETRY_AFTER_MS))
             }
             Ready::After(ready_ms) if ready_ms > deadline_ms => {
                 self.demand
-                    .want(now, model, Urgency::Normal, 0, now + WANTED_MS);
+                    .note_demand(now, model, Urgency::Normal, 0, now + REFUSED_DEMAND_MS);
                 let message = format!("model {model} can be ready in {ready_ms}");
                 Err(Refusal::new(ErrorKind::ColdStartTooLong, message).after(ready_ms))
             }
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -1,8 +1,9 @@
-//! Turns demand into proposals: who proposes a load, in which order, and when a request is refused.
+//! Demand for models, and the proposals of loads and unloads that follow from it.
 //!
-//! The home of a model proposes its loads; other hosts tell it of their demand and propose themselves
-//! when no record appears. The home of an upstream decides what is unloaded there, so that hosts tell
-//! it of their use of the models on it.
+//! The home of a model proposes its loads. Other hosts send it hints of their demand, and propose a
+//! load themselves if the home does not within [`HOME_PRIORITY_MS`]. The home of an upstream
+//! decides which copies are unloaded there, so the other hosts also send it hints of their use of
+//! the models on that upstream.
 
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::home;
@@ -18,86 +19,105 @@
 use crate::table::message::Urgency;
 use std::cmp::Reverse;
 
-/// How long a host waits for a proposal to be read back before it proposes again.
-pub const PROPOSAL_REST_MS: Millis = Millis(1_000);
-/// How long a model that cannot be loaded now is left before it is looked at again.
-pub const LOOK_REST_MS: Millis = Millis(100);
-/// How long a model whose load the weight store's limits refused is left.
-pub const STORE_REST_MS: Millis = Millis(500);
-/// How long a host that is not the model's home waits for the home's proposal.
-pub const HOME_FIRST_MS: Millis = Millis(200);
-/// How often a host tells others of its use of models.
+/// How long a host waits, after it proposed the load of a model or requested memory for it, before
+/// it does so again.
+pub const PROPOSAL_RETRY_MS: Millis = Millis(1_000);
+/// How long a host waits before it checks a model again that cannot be loaded now.
+pub const CHOICE_RETRY_MS: Millis = Millis(100);
+/// How long a host waits before it proposes a load again that the weight store's limits rejected.
+pub const STORE_LIMIT_RETRY_MS: Millis = Millis(500);
+/// How long a host that is not the home of a model waits for the home's proposal before it proposes
+/// the load itself.
+pub const HOME_PRIORITY_MS: Millis = Millis(200);
+/// The interval at which a host sends hints of its use of models.
 pub const HINT_INTERVAL_MS: Millis = Millis(1_000);
-/// How long after a use it is told.
-pub const HINT_RECENT_MS: Millis = Millis(3_000);
-/// How far back uses are told again when the homes change.
-pub const HINT_AGAIN_MS: Millis = Millis(900_000);
-/// Most models in one hint.
+/// How long a use of a model is included in hints.
+pub const HINT_WINDOW_MS: Millis = Millis(3_000);
+/// How long a use of a model is included in hints until the homes are settled after a change, so
+/// that new homes learn of earlier uses.
+pub const HINT_RESEND_WINDOW_MS: Millis = Millis(900_000);
+/// Most models, and most memory requests, that are sent or accepted in the hints of one message.
 pub const MAX_HINTS: usize = 64;
-/// How long homes must have been settled before a copy is unloaded for want of use.
-pub const SETTLE_MS: Millis = Millis(3_000);
-/// How long a copy must be idle before it goes for another model.
-pub const LEAST_IDLE_MS: Millis = Millis(3_000);
+/// How long the homes must have been unchanged before a copy is unloaded for lack of use; within
+/// this time the hints of other hosts reach a new home.
+pub const HOMES_SETTLE_MS: Millis = Millis(3_000);
+/// How long a copy must be idle before it may be unloaded for lack of use or for another model.
+pub const MIN_IDLE_TIME_MS: Millis = Millis(3_000);
 
-/// What this host knows of the demand for models.
+/// The demand for models as known to this host, and its proposals of loads.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Demand {
+    /// The use of models, at this host and as hinted by others.
     pub(super) uses: Uses,
+    /// Which ready copies the engines still report.
     pub(super) presence: Presence,
+    /// The number of copies and the data centres that the table configures for each model.
     pub(super) decided: DecidedCopies,
+    /// The index of the copy at which the next check for unloads starts.
     pub(super) cursor: usize,
+    /// The weight store's last report.
     store: Option<StoreReport>,
-    wanted: IndexMap<Name, Wanted>,
+    /// The models for which requests wait and that need a copy or another copy.
+    wanted: IndexMap<Name, WantedModel>,
+    /// When this host last proposed the load of a model, or requested memory for it. Removed once
+    /// the record of a load is applied.
     proposed_at: IndexMap<Name, Millis>,
-    /// Since when the weight store has room for a load.
+    /// Since when the weight store's limits allow another load.
     store_room_since: Option<Millis>,
+    /// The memory needed on upstreams, to be sent to the homes of those upstreams.
     room_wanted: Vec<RoomWanted>,
     next_hints_at: Millis,
-    /// When the loads under way were decided, by the log's clock.
+    /// When the loads under way were decided, by the timestamps of the log.
     loads_since: IndexMap<Offset, Millis>,
+    /// A hash of the hosts among which homes are chosen.
     homes: u64,
+    /// When that hash last changed.
     homes_since: Millis,
 }
 
-/// A model that is waited for.
+/// A model for which requests wait and that needs a copy or another copy.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Wanted {
+struct WantedModel {
     since: Millis,
+    /// When the demand expires unless it is renewed.
     until: Millis,
     urgency: Urgency,
+    /// The number of waiting requests.
     waiting: usize,
+    /// The earliest time at which a load is considered again.
     look_at: Millis,
 }
 
 impl Demand {
-    /// Takes note of a request for a model.
+    /// Records that a request of this host uses a model.
     pub fn note_use(&mut self, now: Millis, model: &Name) {
         self.uses.note_own(now, model);
     }
 
-    /// Takes the weight store's report.
-    pub fn on_store(&mut self, report: Option<StoreReport>) {
+    /// Replaces the weight store's report; `None` if the store did not answer.
+    pub fn on_store_reported(&mut self, report: Option<StoreReport>) {
         self.store = report;
     }
 
-    /// Takes note that a load of a model was read back.
-    pub(super) fn on_load(&mut self, model: &Name) {
+    /// Records that the record of a load was applied, accepted or not, so that another one may be
+    /// proposed.
+    pub(super) fn on_load_applied(&mut self, model: &Name) {
         self.proposed_at.swap_remove(model);
     }
 
-    /// Takes note that a load was refused for the weight store's limits: it rests until there may be room.
+    /// Delays the next proposal of a load that the weight store's limits rejected.
     pub(super) fn on_store_busy(&mut self, now: Millis, model: &Name) {
         if let Some(wanted) = self.wanted.get_mut(model) {
-            wanted.look_at = now + STORE_REST_MS;
+            wanted.look_at = now + STORE_LIMIT_RETRY_MS;
         }
     }
 
-    /// Takes note that a load was decided.
+    /// Records the start of a load that was accepted.
     pub(super) fn on_load_decided(&mut self, id: Offset, decided_at: Millis) {
         self.loads_since.insert(id, decided_at);
     }
 
-    /// Takes the end of an order, and learns from it how long loads take.
+    /// Records the duration of a load if the order that ended was one and made the copy ready.
     pub(super) fn on_outcome(&mut self, ended_at: Millis, id: Offset, placement: &Placement) {
         let Some(decided_at) = self.loads_since.swap_remove(&id) else {
             return;
@@ -112,12 +132,14 @@
             .retain(|id, _| placement.copies.contains_key(id));
     }
 
-    /// Tells whether the homes have stayed the same for long enough to have been told of all use.
-    pub(super) fn is_settled(&self, now: Millis) -> bool {
-        now.since(self.homes_since) >= SETTLE_MS
+    /// Returns whether the homes have been unchanged for long enough to know the use of models at
+    /// all hosts.
+    pub(super) fn are_homes_settled(&self, now: Millis) -> bool {
+        now.since(self.homes_since) >= HOMES_SETTLE_MS
     }
 
-    pub(super) fn want(
+    /// Records that requests wait for a model, or renews that record until `until`.
+    pub(super) fn note_demand(
         &mut self,
         now: Millis,
         model: &Name,
@@ -125,7 +147,7 @@
         waiting: usize,
         until: Millis,
     ) {
-        let wanted = self.wanted.entry(model.clone()).or_insert(Wanted {
+        let wanted = self.wanted.entry(model.clone()).or_insert(WantedModel {
             since: now,
             until,
             urgency,
@@ -139,12 +161,12 @@
 
     fn may_propose(&mut self, now: Millis, model: &Name) -> bool {
         let proposed_at = self.proposed_at.get(model);
-        proposed_at.is_none_or(|at| now.since(*at) >= PROPOSAL_REST_MS)
+        proposed_at.is_none_or(|at| now.since(*at) >= PROPOSAL_RETRY_MS)
     }
 }
 
 impl Node {
-    /// Takes note that requests wait for a model without a usable copy.
+    /// Records that requests of this host wait for a model that needs a copy or another copy.
     pub fn ensure_loading(&mut self, now: Millis, model: &Name) {
         let urgency = self.queues.most_urgent(model).unwrap_or_default();
         let waiting = self.queues.waiting(model);
@@ -152,24 +174,25 @@
             self.demand.next_hints_at = now;
         }
         self.demand
-            .want(now, model, urgency, waiting, now + HINT_INTERVAL_MS);
+            .note_demand(now, model, urgency, waiting, now + HINT_INTERVAL_MS);
     }
 
-    /// Proposes loads in the order of urgency and demand, and tells other hosts of the demand here.
+    /// Proposes loads in the order of urgency and demand, and sends hints of this host's demand to
+    /// the homes.
     pub fn tick_demand(&mut self, now: Millis, fx: &mut Effects) {
-        self.note_homes(now);
-        self.want_further_copies(now);
+        self.update_homes(now);
+        self.request_more_copies(now);
         self.demand.wanted.retain(|_, wanted| wanted.until > now);
         self.demand
             .proposed_at
-            .retain(|_, at| now.since(*at) < PROPOSAL_REST_MS);
+            .retain(|_, at| now.since(*at) < PROPOSAL_RETRY_MS);
         if self.life == Life::Serving {
             self.propose_loads(now);
         }
         self.send_hints(now, fx);
     }
 
-    fn note_homes(&mut self, now: Millis) {
+    fn update_homes(&mut self, now: Millis) {
         let members = self.shared.members.iter();
         let homes = members
             .filter(|(host, _)| !self.probes.is_suspected(**host))
@@ -182,8 +205,9 @@
         }
     }
 
-    /// A further copy is wanted where more requests wait than a copy runs at once.
-    fn want_further_copies(&mut self, now: Millis) {
+    /// Records demand for another copy of each model that has more waiting requests than its ready
+    /// copies have slots.
+    fn request_more_copies(&mut self, now: Millis) {
         for model in self.queues.targets() {
             let waiting = self.queues.waiting(&model);
             let ready_slots = self.ready_slots(&model);
@@ -193,7 +217,7 @@
         }
     }
 
-    /// Returns the slots of the ready copies, or nothing when there is none.
+    /// Returns the number of slots of all ready copies of a model, or `None` without a ready copy.
     fn ready_slots(&self, model: &str) -> Option<u32> {
         let upstreams = &self.shared.placement.upstreams;
         let slots = self
@@ -208,11 +232,11 @@
 
     fn propose_loads(&mut self, now: Millis) {
         self.demand.decided.refresh(&self.shared.table);
-        let room_since = self.note_store_room(now);
+        let available_since = self.note_store_availability(now);
         let limits = &self.shared.table.store.value;
-        let room = self.shared.placement.store_room(self.log_now(now), limits);
-        let mut free = room.saturating_sub(self.demand.proposed_at.len());
-        let mut models: Vec<(Name, Wanted)> = self
+        let available = self.shared.placement.store_room(self.log_now(now), limits);
+        let mut free = available.saturating_sub(self.demand.proposed_at.len());
+        let mut models: Vec<(Name, WantedModel)> = self
             .demand
             .wanted
             .iter()
@@ -226,43 +250,45 @@
             if now < wanted.look_at {
                 continue;
             }
-            let home_had_ms = now.since(wanted.since.max(room_since));
-            let is_due = home_had_ms >= HOME_FIRST_MS || self.is_home(&model);
+            let possible_for_ms = now.since(wanted.since.max(available_since));
+            let is_due = possible_for_ms >= HOME_PRIORITY_MS || self.is_home(&model);
             if !is_due {
                 continue;
             }
             if self.propose_load(now, &model) {
                 free -= 1;
             } else if let Some(wanted) = self.demand.wanted.get_mut(&model) {
-                wanted.look_at = now + LOOK_REST_MS;
+                wanted.look_at = now + CHOICE_RETRY_MS;
             }
         }
     }
 
-    /// Returns the log's clock as far as this host can tell.
+    /// Returns the later of the newest timestamp of the log and this host's clock.
     fn log_now(&self, now: Millis) -> Millis {
         self.shared.log_ms.max(now)
     }
 
-    /// Returns since when the weight store has room for a load, so that homes get it first.
-    fn note_store_room(&mut self, now: Millis) -> Millis {
+    /// Returns since when the weight store's limits allow another load, or `now` if they do not.
+    /// The time for which the home of a model goes first counts from then.
+    fn note_store_availability(&mut self, now: Millis) -> Millis {
         let limits = &self.shared.table.store.value;
-        let room = self.shared.placement.store_room(self.log_now(now), limits);
-        if room == 0 {
+        let available = self.shared.placement.store_room(self.log_now(now), limits);
+        if available == 0 {
             self.demand.store_room_since = None;
             return now;
         }
         *self.demand.store_room_since.get_or_insert(now)
     }
 
-    /// Tells whether a load was proposed.
+    /// Proposes a load of a model if one is possible. If memory must be freed first, requests that
+    /// instead. Returns whether a load was proposed.
     fn propose_load(&mut self, now: Millis, model: &Name) -> bool {
         let mut copies = self.shared.placement.copies_of(model);
         let is_under_way = copies.any(|(_, copy)| copy.action_under_way().is_some());
         if is_under_way || !self.demand.may_propose(now, model) {
             return false;
         }
-        match self.choose(now, model) {
+        match self.choose_load(now, model) {
             Choice::Load(load) => {
                 self.demand.proposed_at.insert(load.model.clone(), now);
                 self.demand.proposed_at.insert(model.clone(), now);
@@ -278,9 +304,9 @@
         }
     }
 
-    pub(super) fn choose(&self, now: Millis, model: &str) -> Choice {
-        let view = self.load_view(model);
-        choose(&view, model, |upstream| UpstreamHint {
+    pub(super) fn choose_load(&self, now: Millis, model: &str) -> Choice {
+        let context = self.load_context(model);
+        choose(&context, model, |upstream| UpstreamHint {
             usable: self.routing.is_usable(now, upstream),
             report: self
                 .routing
@@ -289,7 +315,7 @@
         })
     }
 
-    pub(super) fn load_view(&self, model: &str) -> LoadView<'_> {
+    pub(super) fn load_context(&self, model: &str) -> LoadView<'_> {
         LoadView {
             placement: &self.shared.placement,
             table: &self.shared.table,
@@ -309,8 +335,8 @@
         }
         if now >= self.demand.next_hints_at {
             self.demand.next_hints_at = now + HINT_INTERVAL_MS;
-            self.touch_busy(now);
-            self.add_uses(now, &mut hints);
+            self.note_models_in_use(now);
+            self.add_use_hints(now, &mut hints);
         }
         for (host, hints) in hints {
             if host == self.config.me {
@@ -333,21 +359,21 @@
         home(key, self.config.me, &self.shared.members, &self.probes)
     }
 
-    fn add_uses(&self, now: Millis, hints: &mut IndexMap<Incarnation, DemandHints>) {
-        let recent_ms = if self.demand.is_settled(now) {
-            HINT_RECENT_MS
+    fn add_use_hints(&self, now: Millis, hints: &mut IndexMap<Incarnation, DemandHints>) {
+        let recent_ms = if self.demand.are_homes_settled(now) {
+            HINT_WINDOW_MS
         } else {
-            HINT_AGAIN_MS
+            HINT_RESEND_WINDOW_MS
         };
-        let running = self.running_by_model();
-        let mut told: Vec<(&Name, Millis)> = self
+        let running = self.requests_by_model();
+        let mut recent: Vec<(&Name, Millis)> = self
             .demand
             .uses
             .own_since(now - recent_ms)
             .map(|(model, used)| (model, used.own_use_at))
             .collect();
-        told.sort_by_key(|(_, at)| Reverse(*at));
-        for (model, at) in told {
+        recent.sort_by_key(|(_, at)| Reverse(*at));
+        for (model, at) in recent {
             let hint = UseHint {
                 model: model.clone(),
                 idle_ms: now.since(at),
@@ -355,25 +381,27 @@
                 running: running.get(model).copied().unwrap_or(0),
                 urgency: self.queues.most_urgent(model).unwrap_or_default(),
             };
-            for host in self.hosts_to_tell(model) {
+            for host in self.hint_recipients(model) {
                 let uses = &mut hints.entry(host).or_default().uses;
-                let is_told = uses.iter().any(|other| other.model == hint.model);
-                if uses.len() < MAX_HINTS && !is_told {
+                let is_included = uses.iter().any(|other| other.model == hint.model);
+                if uses.len() < MAX_HINTS && !is_included {
                     uses.push(hint.clone());
                 }
             }
         }
     }
 
-    /// A model in use stays used while its requests wait or run.
-    fn touch_busy(&mut self, now: Millis) {
-        let busy: Vec<Name> = self.running_by_model().into_keys().cloned().collect();
-        for model in busy {
+    /// Records that models whose requests wait or run here are in use now.
+    fn note_models_in_use(&mut self, now: Millis) {
+        let in_use: Vec<Name> = self.requests_by_model().into_keys().cloned().collect();
+        for model in in_use {
             self.demand.uses.touch_own(now, &model);
         }
     }
 
-    fn hosts_to_tell(&self, model: &str) -> IndexSet<Incarnation> {
+    /// Returns the hosts that decide on the copies of a model: the home of the model and the homes
+    /// of the upstreams that hold its copies.
+    fn hint_recipients(&self, model: &str) -> IndexSet<Incarnation> {
         let copies = self.shared.placement.copies_of(model);
         let upstreams = copies.map(|(_, copy)| &*copy.load.upstream);
         std::iter::once(model)
@@ -382,7 +410,8 @@
             .collect()
     }
 
-    fn running_by_model(&self) -> IndexMap<&Name, u32> {
+    /// Counts the requests of this host by model or service, waiting ones included.
+    fn requests_by_model(&self) -> IndexMap<&Name, u32> {
         let mut running = IndexMap::new();
         for request in self.requests.iter() {
             *running.entry(&request.head.name).or_default() += 1;
@@ -390,7 +419,7 @@
         running
     }
 
-    /// Takes another host's demand.
+    /// Handles the demand hints of another host, or of this host itself.
     pub fn on_demand(&mut self, now: Millis, hints: &DemandHints) {
         for hint in hints.uses.iter().take(MAX_HINTS) {
             self.demand.uses.note_hint(now, hint);
@@ -399,28 +428,29 @@
                 let until = now + HINT_INTERVAL_MS + HINT_INTERVAL_MS;
                 let waiting = hint.waiting as usize;
                 self.demand
-                    .want(now, &hint.model, hint.urgency, waiting, until);
+                    .note_demand(now, &hint.model, hint.urgency, waiting, until);
             }
         }
         for room in hints.room.iter().take(MAX_HINTS) {
-            self.free_room(now, room);
+            self.free_memory(now, room);
         }
     }
 
-    /// Unloads the least valuable idle copies of an upstream, as many as the room wanted takes.
-    fn free_room(&mut self, now: Millis, room: &RoomWanted) {
-        let Some(upstream) = self.shared.placement.upstreams.get(&room.upstream) else {
+    /// Proposes to unload idle copies of an upstream, the least valuable ones first, until the
+    /// memory that a load needs is free.
+    fn free_memory(&mut self, now: Millis, request: &RoomWanted) {
+        let Some(upstream) = self.shared.placement.upstreams.get(&request.upstream) else {
             return;
         };
-        let reserved_bytes = self.shared.placement.reserved_bytes(&room.upstream);
-        let left_bytes = upstream.memory_bytes.saturating_sub(reserved_bytes);
-        let mut missing_bytes = room.bytes.saturating_sub(left_bytes);
+        let reserved_bytes = self.shared.placement.reserved_bytes(&request.upstream);
+        let free_bytes = upstream.memory_bytes.saturating_sub(reserved_bytes);
+        let mut missing_bytes = request.bytes.saturating_sub(free_bytes);
         let mut idle: Vec<(f64, Offset, u64)> = self
             .shared
             .placement
-            .copies_on(&room.upstream)
+            .copies_on(&request.upstream)
             .filter(|(_, copy)| self.may_evict(now, copy))
-            .map(|(id, copy)| (self.value(now, copy), *id, copy.load.reserved_bytes))
+            .map(|(id, copy)| (self.keep_value(now, copy), *id, copy.load.reserved_bytes))
             .collect();
         idle.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
         for (_, copy, bytes) in idle {
@@ -429,7 +459,7 @@
             }
             missing_bytes = missing_bytes.saturating_sub(bytes);
             if self.platform.may_propose(now, &format!("unload {copy}")) {
-                LogEvent::CopyEvicted.write(&format!("copy={copy} for={}", room.upstream));
+                LogEvent::CopyEvicted.write(&format!("copy={copy} for={}", request.upstream));
                 self.driver.queue(RecordBody::Unload { copy });
             }
         }
@@ -440,23 +470,27 @@
             && !self.shared.placement.is_base_in_use(copy)
             && self
                 .idle_ms(now, &copy.load.model)
-                .is_some_and(|idle_ms| idle_ms >= LEAST_IDLE_MS)
+                .is_some_and(|idle_ms| idle_ms >= MIN_IDLE_TIME_MS)
     }
 
-    /// Returns how long a model is idle, or nothing while it is in use or too little is known.
+    /// Returns how long a model has been idle, or `None` if it is in use, no use of it is known, or
+    /// the homes are not settled.
     pub(super) fn idle_ms(&self, now: Millis, model: &str) -> Option<Millis> {
         let used = self.demand.uses.get(model)?;
         let is_waited_for = self.queues.waiting(model) > 0;
-        let is_idle = !is_waited_for && used.busy_until <= now && self.demand.is_settled(now);
+        let is_idle =
+            !is_waited_for && used.busy_until <= now && self.demand.are_homes_settled(now);
         is_idle.then(|| now.since(used.last_used_at))
     }
 
-    fn value(&self, now: Millis, copy: &Copy) -> f64 {
+    /// Returns the value of keeping an idle copy by the keep-warm rule; the copies with the lowest
+    /// values are unloaded first, and a copy in use has the highest.
+    fn keep_value(&self, now: Millis, copy: &Copy) -> f64 {
         let idle = self.idle_copy(now, copy);
         idle.map_or(f64::MAX, |idle| self.config.keep_warm.value(&idle))
     }
 
-    /// Returns what the keep-warm rules need of a copy, or nothing while it is in use.
+    /// Returns the input of the keep-warm rule for a copy, or `None` while its model is in use.
     pub(super) fn idle_copy(&self, now: Millis, copy: &Copy) -> Option<IdleCopy<'_>> {
         let idle_ms = self.idle_ms(now, &copy.load.model)?;
         let used = self.demand.uses.get(&copy.load.model)?;
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -1,16 +1,17 @@
-//! Joins waiting requests to upstreams: which request goes next, and where.
+//! Dispatch of waiting requests to upstreams: which request is sent next, and to which upstream.
 
 use crate::attempt::message::{Attempt, ConnectionChoice, Repeatable, RequestId};
 use crate::attempt::requests::{HeldRequest, MAX_FAILURES, Phase};
 use crate::daemon::node::Node;
-use crate::daemon::request_flow::RETRY_MS;
+use crate::daemon::request_flow::RETRY_AFTER_MS;
 use crate::placement::copies::CopyState;
 use crate::prelude::*;
 use std::net::SocketAddr;
 
-/// How long after its decision an attempt may begin.
-pub const BEGIN_WITHIN_MS: Millis = Millis(500);
-/// How many requests of one host a service upstream may have at once.
+/// The longest time between the decision on an attempt and its start.
+pub const MAX_BEGIN_DELAY_MS: Millis = Millis(500);
+/// The number of concurrent requests of one host at an upstream whose entry names no slots, as that
+/// of a service.
 pub const SERVICE_SLOTS: u32 = 256;
 
 /// An upstream that can take a request.
@@ -21,15 +22,15 @@
 }
 
 impl Node {
-    /// Begins every attempt that can begin.
-    pub fn pump(&mut self, now: Millis, fx: &mut Effects) {
+    /// Begins an attempt for each waiting request for which an upstream has a free slot.
+    pub fn begin_attempts(&mut self, now: Millis, fx: &mut Effects) {
         self.demand.decided.refresh(&self.shared.table);
         for target in self.queues.targets() {
-            self.pump_target(now, &target, fx);
+            self.begin_attempts_for(now, &target, fx);
         }
     }
 
-    fn pump_target(&mut self, now: Millis, target: &Name, fx: &mut Effects) {
+    fn begin_attempts_for(&mut self, now: Millis, target: &Name, fx: &mut Effects) {
         if !self.is_fresh(now) {
             return;
         }
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Asks for a copy, or refuses whoever waits when the log, which decides on copies, is out of reach.
+    /// Requests a copy of a model without a usable one. If the model has no copy at all and the
+    /// log, on which loads are decided, is unreachable, refuses all its waiting requests instead.
     fn load_or_refuse(&mut self, now: Millis, model: &Name, fx: &mut Effects) {
         let has_copy = self.shared.placement.copies_of(model).next().is_some();
         if has_copy || self.driver.is_reachable() {
@@ -65,7 +67,7 @@
         }
         while let Some(waiting) = self.queues.pop(now, model) {
             let message = format!("{model} has no copy, and the log is out of reach");
-            let refusal = Refusal::new(ErrorKind::LogUnavailable, message).after(RETRY_MS);
+            let refusal = Refusal::new(ErrorKind::LogUnavailable, message).after(RETRY_AFTER_MS);
             self.refuse(now, waiting.request, refusal, fx);
         }
     }
@@ -131,7 +133,7 @@
             upstream: chosen.name.clone(),
             address: chosen.address,
             connection,
-            begin_by: now + BEGIN_WITHIN_MS,
+            begin_by: now + MAX_BEGIN_DELAY_MS,
             deadline_at: request.deadline_at,
             first_byte_ms,
             urgency: request.urgency,
@@ -140,7 +142,7 @@
         fx.push(Effect::Begin { attempt });
     }
 
-    /// Takes the start of an attempt's answer.
+    /// Records the time to the first byte of an attempt's answer for its upstream.
     pub fn on_attempt_started(&mut self, id: RequestId, number: u32, first_byte_ms: Millis) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -156,16 +158,20 @@
         }
     }
 
+    /// Returns how long to wait for the first byte: the bound for the upstream, doubled for each
+    /// failed attempt of the request, but not beyond the deadline. A request that must not run
+    /// twice waits until its deadline.
     fn first_byte_bound(&self, request: &HeldRequest, upstream: &Name) -> Millis {
         let to_deadline_ms = request.deadline_at.since(request.phase_since);
         if request.head.repeatable == Repeatable::No {
-            // Giving up early would only turn an answer into an unknown outcome.
+            // The request cannot be retried, so a timeout before the deadline would only replace a
+            // possible answer by an unknown outcome.
             return to_deadline_ms;
         }
         let bound_ms = self
             .routing
             .first_byte_bound(upstream, request.head.streamed);
-        let patience = 1 << request.failures.min(MAX_FAILURES);
-        Millis(bound_ms.0 * patience).min(to_deadline_ms)
+        let backoff_factor = 1 << request.failures.min(MAX_FAILURES);
+        Millis(bound_ms.0 * backoff_factor).min(to_deadline_ms)
     }
 }
--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -1,4 +1,5 @@
-//! Joins operators' edits to the log.
+//! Edits of the table by operators: they are appended to the shared log, and answered once in
+//! force.
 
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
@@ -6,10 +7,12 @@
 use crate::table::acceptance::{CallId, refusal};
 use crate::table::message::Edit;
 
-const EDIT_RETRY_MS: Millis = Millis(1_000);
+/// The retry time in refusals of edits.
+const EDIT_RETRY_AFTER_MS: Millis = Millis(1_000);
 
 impl Node {
-    /// Takes an operator's edit.
+    /// Handles an operator's edit. An edit that is on the log already, which its id shows, is not
+    /// appended again.
     pub fn on_edit_asked(&mut self, now: Millis, call: CallId, edit: Edit, fx: &mut Effects) {
         match self.start_edit(now, call, edit) {
             Ok(()) => {}
@@ -31,15 +34,15 @@
         }
         if self.life != Life::Serving {
             let message = "this host is not serving; ask another one";
-            return Err(Refusal::new(ErrorKind::Starting, message).after(EDIT_RETRY_MS));
+            return Err(Refusal::new(ErrorKind::Starting, message).after(EDIT_RETRY_AFTER_MS));
         }
         if !self.driver.is_reachable() {
             let message = "the log is out of reach; nothing was appended";
-            return Err(Refusal::new(ErrorKind::LogUnavailable, message).after(EDIT_RETRY_MS));
+            return Err(Refusal::new(ErrorKind::LogUnavailable, message).after(EDIT_RETRY_AFTER_MS));
         }
         if !self.acceptance.has_room() {
             let message = "too many edits are under way at this host";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(EDIT_RETRY_MS));
+            return Err(Refusal::new(ErrorKind::Overloaded, message).after(EDIT_RETRY_AFTER_MS));
         }
         if edit.changes.len() > MAX_CHANGES {
             let message = format!("more than {MAX_CHANGES} changes in one edit");
@@ -49,13 +52,14 @@
         if record.is_none() {
             let message =
                 "the edit is too long for one record, or too many records wait for the log";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(EDIT_RETRY_MS));
+            return Err(Refusal::new(ErrorKind::Overloaded, message).after(EDIT_RETRY_AFTER_MS));
         }
         self.acceptance.start(now, call, &edit, record, None);
         Ok(())
     }
 
-    /// Answers the operators whose edits are in force, or overdue, and asks for missing confirmations.
+    /// Answers the operators whose edits are in force or whose waiting time has passed, and probes
+    /// the hosts whose confirmations are missing. Runs at each tick.
     pub fn tick_edits(&mut self, now: Millis, fx: &mut Effects) {
         let bound_ms = self.freshness.bound_ms();
         let confirmed: IndexMap<Incarnation, Offset> = self.applied_offsets();
--- a/src/daemon/life_flow.rs
+++ b/src/daemon/life_flow.rs
@@ -1,15 +1,16 @@
-//! A host's life: its join, a planned stop, and its return after it was taken for dead.
+//! The lifecycle of a host: its join, its planned stop, and its rejoin after it was evicted.
 
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::ENTRY_TTL_MS;
 use crate::prelude::*;
 use rapidhash::v3::rapidhash_v3;
 
-/// How long a stopping host tries to append its leave; after that the others evict it.
-pub const LEAVE_BOUND_MS: Millis = Millis(3_000);
+/// How long a stopping host waits until the record of its departure is applied. After that it
+/// exits, and the other hosts evict it.
+pub const MAX_LEAVE_MS: Millis = Millis(3_000);
 
 impl Node {
-    /// Begins a planned stop.
+    /// Starts a planned stop. A host that has not joined yet ends immediately.
     pub fn on_stop_asked(&mut self, now: Millis) {
         match self.life {
             Life::CatchingUp => self.life = Life::Ended,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Moves through the host's life.
+    /// Advances the lifecycle if the condition for its next phase is met. Runs at each tick.
     pub fn tick_life(&mut self, now: Millis, fx: &mut Effects) {
         match self.life {
             Life::CatchingUp => {
@@ -35,13 +36,14 @@
                 self.try_rejoin(now);
             }
             Life::Stopping { since } => self.try_leave(now, since, fx),
-            Life::Leaving { since } if now.since(since) > LEAVE_BOUND_MS => self.life = Life::Ended,
+            Life::Leaving { since } if now.since(since) > MAX_LEAVE_MS => self.life = Life::Ended,
             Life::Ended => fx.push(Effect::Exit),
             Life::Joining | Life::Serving | Life::Leaving { .. } => {}
         }
     }
 
-    /// A host that was taken for dead comes back as another incarnation, once no order is in its hands.
+    /// Rejoins under a new incarnation after an eviction, once no call to an engine and no append
+    /// of the former incarnation is in flight.
     fn try_rejoin(&mut self, now: Millis) {
         if self.executor.is_calling(now) || self.driver.is_appending() || self.driver.is_halted() {
             return;
@@ -54,6 +56,8 @@
         self.life = Life::CatchingUp;
     }
 
+    /// Leaves once the entry answers that name this host have expired, its requests and orders are
+    /// finished, and its records are on the log. It does not wait for an unreachable log.
     fn try_leave(&mut self, now: Millis, since: Millis, fx: &mut Effects) {
         let entries_expired = now.since(since) > ENTRY_TTL_MS;
         let executing = self
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -1,4 +1,5 @@
-//! Joins the rows' limits over all hosts to membership: who grants, and who asks.
+//! The rate limits of table rows over all hosts: the home of a row grants slices of its limit to
+//! the hosts that have requests for it.
 
 use crate::admission::slices::Slice;
 use crate::attempt::message::RequestId;
@@ -9,13 +10,14 @@
 use crate::prelude::*;
 use crate::table::message::RowKey;
 
-/// How long a request waits for a slice of its row's limit.
-pub const SLICE_BOUND_MS: Millis = Millis(1_500);
+/// How long a request waits for a slice of its row's rate limit; then it is refused.
+pub const SLICE_TIMEOUT_MS: Millis = Millis(1_500);
 
-const RETRY_MS: Millis = Millis(1_000);
+/// The retry time when no better estimate is known.
+const RETRY_AFTER_MS: Millis = Millis(1_000);
 
 impl Node {
-    /// Asks for the slices that are due, and forgets old ones.
+    /// Requests the slices that are needed, and forgets expired grants.
     pub fn tick_limits(&mut self, now: Millis, fx: &mut Effects) {
         self.note_members(now);
         self.granting.expire(now);
@@ -24,12 +26,12 @@
 
     fn note_members(&mut self, now: Millis) {
         let present = self.shared.members.iter();
-        let members = present.fold(0, |sum: u64, (host, _)| sum.wrapping_add(host.0));
-        self.granting.note_members(now, members);
+        let members_hash = present.fold(0, |sum: u64, (host, _)| sum.wrapping_add(host.0));
+        self.granting.note_members(now, members_hash);
     }
 
-    /// Lets a request of a limited row wait for a slice.
-    pub fn meter(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
+    /// Makes a request of a row with a rate limit wait for a slice.
+    pub fn wait_for_slice(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -61,15 +63,16 @@
         }
     }
 
-    /// Returns the home of a row. It depends on the members alone, so that hosts that have applied the
-    /// same records agree.
+    /// Returns the home of a row. It depends only on the present members, so hosts that have
+    /// applied the same records agree on it.
     fn home_of_row(&self, row: &RowKey) -> Option<Incarnation> {
         let key = format!("limit {}\n{}", row.brand, row.model);
         let members = self.shared.members.iter().map(|(host, _)| *host);
         rank_hosts(&key, members).first().copied()
     }
 
-    /// Grants a slice of a row's limit, if this host is the row's home.
+    /// Grants a slice of a row's rate limit. Grants nothing if this host is not the home of the
+    /// row, is not fresh, or grants of a former home may still be valid.
     pub fn grant_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> Slice {
         self.note_members(now);
         let is_home = self.home_of_row(row) == Some(self.config.me);
@@ -78,19 +81,20 @@
         match limit {
             Some(None) => Slice {
                 granted: wanted,
-                retry_after_ms: RETRY_MS,
+                retry_after_ms: RETRY_AFTER_MS,
             },
             Some(Some(limit)) if is_home && settled && self.is_fresh(now) => {
                 self.granting.grant(now, row, limit, wanted)
             }
             Some(Some(_)) | None => Slice {
                 granted: 0,
-                retry_after_ms: RETRY_MS,
+                retry_after_ms: RETRY_AFTER_MS,
             },
         }
     }
 
-    /// Takes a home's answer.
+    /// Handles the answer of a row's home to a request for `wanted` requests that was made at
+    /// `asked_at`.
     pub fn on_slice(
         &mut self,
         now: Millis,
@@ -110,19 +114,19 @@
             self.refuse(now, id, refusal.after(slice.retry_after_ms), fx);
         }
         for id in decided.begin {
-            self.proceed(now, id, fx);
+            self.claim_or_enqueue(now, id, fx);
         }
     }
 
-    /// Refuses a request whose row's home does not answer.
+    /// Refuses a request if the home of its row does not answer in time.
     pub fn tick_metered(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let waited = now.since(request.phase_since) > SLICE_BOUND_MS;
+        let waited = now.since(request.phase_since) > SLICE_TIMEOUT_MS;
         if waited || now >= request.deadline_at {
             let message = "the row's limit cannot be checked now";
-            let refusal = Refusal::new(ErrorKind::RowLimit, message).after(RETRY_MS);
+            let refusal = Refusal::new(ErrorKind::RowLimit, message).after(RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -1,4 +1,5 @@
-//! Joins the log's driver and the fold to the other slices.
+//! Reading of the shared log: records are applied to the replicated state, checkpoints are read and
+//! written, and records are exchanged with peers.
 
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
@@ -7,27 +8,28 @@
 use crate::shared_log::fold::{Applied, Shared, Step};
 use crate::shared_log::record::LoggedRecord;
 
-/// Most applied records kept for peers.
+/// Most applied records that are kept for requests of peers.
 pub const MAX_RECENT_RECORDS: usize = 4096;
 
-/// The key whose home writes the checkpoints.
+/// The key whose home writes checkpoints.
 const CHECKPOINT_KEY: &str = "checkpoint";
 
-/// Whether the records after one may be applied too.
+/// Whether the record after the current one may be applied too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Onward {
-    Yes,
-    No,
+enum NextRecord {
+    Apply,
+    Stop,
 }
 
 impl Node {
-    /// Returns the offset to read next.
+    /// Returns the offset to read next: that of the search for a checkpoint, if one is under way,
+    /// else that of the next record to apply.
     pub fn next_read_offset(&self) -> Offset {
         let scanned = self.scan.as_ref().map(|scan| scan.next_offset());
         scanned.unwrap_or(self.shared.next_offset)
     }
 
-    /// Takes a page of the log.
+    /// Handles the answer to a read of the log that was sent at `asked_at`.
     pub fn on_log_read(&mut self, now: Millis, asked_at: Millis, page: LogPage, fx: &mut Effects) {
         if page.next_offset > page.end_offset {
             self.on_log_shorter(now, page.end_offset);
@@ -39,7 +41,7 @@
             return;
         }
         for logged in &page.records {
-            if self.apply_logged(now, logged, fx) == Onward::No {
+            if self.apply_logged(now, logged, fx) == NextRecord::Stop {
                 self.scan_after_gap(logged);
                 break;
             }
@@ -52,7 +54,8 @@
         }
     }
 
-    /// A log that ends before what was applied lost records; what it holds is not followed.
+    /// Handles a log that ends before the records that this host applied: it has lost records. The
+    /// page is ignored, and the read counts as failed.
     fn on_log_shorter(&mut self, now: Millis, end_offset: Offset) {
         let next_offset = self.shared.next_offset;
         if self.driver.is_reachable() {
@@ -61,7 +64,8 @@
         self.driver.on_read_failed(now);
     }
 
-    /// Takes a failed read.
+    /// Handles a failed read. If the log no longer keeps the next record, the search for a
+    /// checkpoint starts.
     pub fn on_log_read_failed(&mut self, now: Millis, error: &LogCallError) {
         if let LogCallError::Trimmed(oldest) = error {
             self.start_scan(*oldest);
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Goes on from the state of a checkpoint.
+    /// Replaces the replicated state by that of a checkpoint, unless the present one is newer.
     fn replace_state(&mut self, shared: Shared, fx: &mut Effects) {
         self.scan = None;
         if shared.next_offset < self.shared.next_offset {
@@ -118,7 +122,8 @@
         self.driver.halt();
     }
 
-    /// Appends a checkpoint when one is due and this host is its preferred writer.
+    /// Writes a checkpoint if one is due and this host is the home of the checkpoints. Runs at each
+    /// tick.
     pub fn tick_checkpoint(&mut self, now: Millis) {
         let shared = &self.shared;
         let due = shared
@@ -145,10 +150,10 @@
         self.driver.queue_background(bodies);
     }
 
-    /// Applies records that a peer passed on.
+    /// Applies records that a peer returned. A search for a checkpoint ends if they close the gap.
     pub fn apply_relayed(&mut self, now: Millis, records: &[LoggedRecord], fx: &mut Effects) {
         for logged in records {
-            if self.apply_logged(now, logged, fx) == Onward::No {
+            if self.apply_logged(now, logged, fx) == NextRecord::Stop {
                 break;
             }
         }
@@ -159,13 +164,13 @@
         }
     }
 
-    fn apply_logged(&mut self, now: Millis, logged: &LoggedRecord, fx: &mut Effects) -> Onward {
+    fn apply_logged(&mut self, now: Millis, logged: &LoggedRecord, fx: &mut Effects) -> NextRecord {
         match self.shared.apply_logged(logged) {
-            Step::Known => return Onward::Yes,
-            Step::Gap => return Onward::No,
+            Step::Known => return NextRecord::Apply,
+            Step::Gap => return NextRecord::Stop,
             Step::Newer { format } => {
                 self.halt(logged.offset, format);
-                return Onward::No;
+                return NextRecord::Stop;
             }
             Step::Applied(applied) => self.after_applied(now, &applied, fx),
             Step::Garbage { why } => {
@@ -176,7 +181,7 @@
         while self.recent.len() > MAX_RECENT_RECORDS {
             self.recent.pop_front();
         }
-        Onward::Yes
+        NextRecord::Apply
     }
 
     fn after_applied(&mut self, now: Millis, applied: &Applied, fx: &mut Effects) {
@@ -187,7 +192,8 @@
         self.requests_applied(now, applied, fx);
     }
 
-    /// Returns the applied records from an offset on, if they are still kept.
+    /// Returns up to `most` applied records from an offset on, or none if that offset is not kept
+    /// any more.
     pub fn records_from(&self, from: Offset, most: usize) -> Vec<LoggedRecord> {
         let kept_from = self.recent.front().map(|logged| logged.offset);
         if kept_from.is_none_or(|kept| from < kept) {
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -1,4 +1,5 @@
-//! Joins membership to the log and the platform's list, and drives a host's life.
+//! Membership of hosts: heartbeat probes, the platform's list, evictions, changes of the voters,
+//! and the requests of peers.
 
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::{entry_answer, home};
@@ -10,69 +11,77 @@
 use crate::table::acceptance::CallId;
 use crate::table::message::RowKey;
 
-/// How often the platform's list is read.
+/// The interval at which the platform's list is read.
 pub const LIST_INTERVAL_MS: Millis = Millis(500);
-/// How often this host renews its line in the platform's list.
+/// The interval at which this host renews its entry in the platform's list.
 pub const REGISTER_INTERVAL_MS: Millis = Millis(1_000);
-/// How long the home of a host waits before it proposes the same change again.
-pub const PROPOSAL_REST_MS: Millis = Millis(2_000);
-/// How old the platform's list may be to speak against a host.
+/// How long a host waits before it proposes the same change again.
+pub const PROPOSAL_RETRY_MS: Millis = Millis(2_000);
+/// The greatest age at which the platform's list counts as evidence that a host is dead.
 pub const LIST_MAX_AGE_MS: Millis = Millis(3_000);
-/// The longest time that a request or order may still be on its way after its sender is gone.
+/// The longest time for which a request or an order may still be in flight after its sender has
+/// ended.
 pub const LONGEST_FLIGHT_MS: Millis = Millis(5_000);
-/// How long a departed host that still counts must be missing from the list before it is gone: only when
-/// no majority of the counted hosts is left to confirm its departure.
-pub const COUNTED_GONE_MS: Millis = Millis(30_000);
+/// How long a departed host that is still a voter must be missing from the list before it is
+/// forgotten. Usually a majority of the voters confirms its departure earlier; this is for the case
+/// that no such majority is left.
+pub const VOTER_GONE_MS: Millis = Millis(30_000);
 
-/// What this host knows from the platform, and what it proposed.
+/// The state of the platform's list at this host, and recent proposals.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Platform {
+pub struct PlatformState {
+    /// The list as last read.
     list: Option<PlatformList>,
+    /// Whether a read of the list is in flight.
     list_under_way: bool,
     next_list_at: Millis,
     next_register_at: Millis,
     listed_at: Option<Millis>,
+    /// When a change was last proposed, by a key of the change.
     proposed_at: IndexMap<Name, Millis>,
+    /// Since when a departed host has been missing from the list.
     missing_since: IndexMap<Incarnation, Millis>,
 }
 
-impl Platform {
-    /// Takes the failure to read the list.
-    pub fn on_failed(&mut self) {
+impl PlatformState {
+    /// Records that a read of the list failed.
+    pub fn on_list_failed(&mut self) {
         self.list_under_way = false;
     }
 
-    /// Returns the list as last read.
+    /// Returns the list as last read, or `None` if it was not read yet.
     pub fn list(&self) -> Option<&PlatformList> {
         self.list.as_ref()
     }
 
-    /// Tells whether the list has an upstream of some kind, or was not read yet.
-    pub fn may_list(&self, is_meant: impl Fn(&UpstreamEntry) -> bool) -> bool {
+    /// Returns whether the list has an upstream for which `matches` is true, or was not read yet.
+    pub fn may_list_upstream(&self, matches: impl Fn(&UpstreamEntry) -> bool) -> bool {
         let list = self.list.as_ref();
-        list.is_none_or(|list| list.upstreams.iter().any(is_meant))
+        list.is_none_or(|list| list.upstreams.iter().any(matches))
     }
 
-    /// Tells whether something may be proposed now, and takes note of it.
-    pub fn may_propose(&mut self, now: Millis, what: &str) -> bool {
+    /// Returns whether a change may be proposed now, that is, was not proposed recently. If so, the
+    /// change, which `key` identifies, counts as proposed.
+    pub fn may_propose(&mut self, now: Millis, key: &str) -> bool {
         self.proposed_at
-            .retain(|_, at| now.since(*at) < PROPOSAL_REST_MS);
-        if self.proposed_at.contains_key(what) {
+            .retain(|_, at| now.since(*at) < PROPOSAL_RETRY_MS);
+        if self.proposed_at.contains_key(key) {
             return false;
         }
-        self.proposed_at.insert(what.into(), now);
+        self.proposed_at.insert(key.into(), now);
         true
     }
 
-    /// Tells whether a list read lately lacks a host.
-    fn misses(&self, now: Millis, name: &str, host: Incarnation) -> bool {
+    /// Returns whether the list was read recently and does not contain a host.
+    fn is_host_missing(&self, now: Millis, name: &str, host: Incarnation) -> bool {
         let recent = self
             .listed_at
             .is_some_and(|at| now.since(at) <= LIST_MAX_AGE_MS);
-        recent && !self.lists(name, host)
+        recent && !self.may_list_host(name, host)
     }
 
-    fn lists(&self, name: &str, host: Incarnation) -> bool {
+    /// Returns whether the list contains a host, or was not read yet.
+    fn may_list_host(&self, name: &str, host: Incarnation) -> bool {
         self.list.as_ref().is_none_or(|list| {
             list.hosts
                 .iter()
@@ -82,21 +91,22 @@
 }
 
 impl Node {
-    /// Sends probes, reads the list, and proposes what it shows.
+    /// Sends probes, reads the platform's list, and proposes the changes that follow from both.
+    /// Runs at each tick.
     pub fn tick_membership(&mut self, now: Millis, fx: &mut Effects) {
         self.ask_platform(now, fx);
         let probe = self.own_probe(now);
         self.probes.on_tick(now, &self.shared.members, &probe, fx);
         self.freshness.retain_members(&self.shared.members);
         self.tick_leaving(now);
-        self.ask_counted(now, fx);
+        self.probe_voters(now, fx);
         let able = self.life == Life::Serving && self.is_fresh(now);
-        // What was proposed during an outage would be stale when the log takes it.
+        // Records queued while the log is unreachable would be outdated when it accepts them.
         if !able || !self.driver.is_reachable() {
             return;
         }
         self.propose_upstreams(now);
-        self.propose_counted(now);
+        self.propose_voter_changes(now);
         self.propose_evictions(now);
         self.propose_gone(now);
     }
@@ -115,7 +125,7 @@
         }
     }
 
-    /// Returns what this host tells its peers.
+    /// Returns the state that this host reports in probes and in its answers to probes.
     pub fn own_probe(&self, now: Millis) -> Probe {
         Probe {
             from: self.config.me,
@@ -130,7 +140,7 @@
         }
     }
 
-    /// Takes the platform's list.
+    /// Handles the platform's list: stores it, and marks the upstreams that it lists as leaving.
     pub fn on_hosts_listed(&mut self, now: Millis, list: PlatformList) {
         self.platform.list_under_way = false;
         self.platform.listed_at = Some(now);
@@ -142,25 +152,26 @@
         self.platform.list = Some(list);
     }
 
-    /// Tells whether this host is the preferred proposer for a key.
+    /// Returns whether this host is the home of a key, that is, proposes the changes for it.
     pub fn is_home(&self, key: &str) -> bool {
         let me = self.config.me;
         home(key, me, &self.shared.members, &self.probes) == Some(me)
     }
 
-    /// Proposes the changes of who counts that a majority knows. Departures come first, and a host that joined counts only
-    /// once it answered this one: a host that reaches the log but no peer joins again and again, and each of its
-    /// incarnations that counted would be one more that never confirms anything.
-    fn propose_counted(&mut self, now: Millis) {
+    /// Proposes the changes of the set of voters that a majority of the voters has applied,
+    /// departures first. A host that joined becomes a voter only once it has answered this host: a
+    /// host that reaches the log but no peer joins again and again, and each of its incarnations
+    /// that became a voter would be one more that never confirms anything.
+    fn propose_voter_changes(&mut self, now: Millis) {
         let members = &self.shared.members;
-        let may_count = |host: Incarnation, member: &Member| {
+        let may_change = |host: Incarnation, member: &Member| {
             member.state == MemberState::Departed
                 || host == self.config.me
                 || self.probes.answers(host)
         };
         let mut changes: Vec<(MemberState, Incarnation, Offset)> = members
             .pending_changes()
-            .filter(|(host, member)| may_count(**host, member))
+            .filter(|(host, member)| may_change(**host, member))
             .map(|(host, member)| (member.state, *host, members.needed_offset(member)))
             .collect();
         changes.sort_by_key(|(state, ..)| *state != MemberState::Departed);
@@ -178,8 +189,8 @@
         }
     }
 
-    /// Asks the counted hosts for their offsets while a change waits for them.
-    fn ask_counted(&mut self, now: Millis, fx: &mut Effects) {
+    /// Probes the voters whose applied offsets a change of the set of voters waits for.
+    fn probe_voters(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let newest = members
             .pending_changes()
@@ -197,18 +208,21 @@
             .probe_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
     }
 
+    /// Returns whether a majority of the voters is known to have reached a next offset. True
+    /// without voters.
     fn majority_applied(&self, needed: Offset) -> bool {
-        let counted = self.shared.members.voters().count();
-        let with_it = self
+        let voters = self.shared.members.voters().count();
+        let confirming = self
             .shared
             .members
             .voters()
             .filter(|host| self.applied_by(*host) >= needed)
             .count();
-        counted == 0 || with_it * 2 > counted
+        voters == 0 || confirming * 2 > voters
     }
 
-    /// Returns the next offset of a host, as far as it is known here.
+    /// Returns the highest next offset to apply that a host is known to have reached; zero if
+    /// unknown.
     pub fn applied_by(&self, host: Incarnation) -> Offset {
         if host == self.config.me {
             return self.shared.next_offset;
@@ -234,13 +248,18 @@
         }
     }
 
-    /// One silent link proves nothing: the platform, other hosts or the host's successor must agree.
+    /// Returns whether a host is dead. A suspicion of this host alone does not suffice, since only
+    /// the link between the two may be broken: other hosts must agree, the platform's list must
+    /// lack the host, or another incarnation must answer at its address.
     fn is_dead(&self, now: Millis, host: Incarnation, name: &str) -> bool {
         let agreed = self.probes.is_agreed_dead(now, host, &self.shared.members);
-        let missing = self.probes.is_suspected(host) && self.platform.misses(now, name, host);
+        let missing =
+            self.probes.is_suspected(host) && self.platform.is_host_missing(now, name, host);
         agreed || missing || self.probes.is_replaced(host)
     }
 
+    /// Proposes to forget the departed hosts that have been missing from the platform's list for so
+    /// long that nothing sent by them can still be in flight, voters only after `VOTER_GONE_MS`.
     fn propose_gone(&mut self, now: Millis) {
         let departed: Vec<(Incarnation, Name, bool)> = self
             .shared
@@ -249,25 +268,25 @@
             .map(|(host, member)| (*host, member.entry.name.clone(), member.counted))
             .collect();
         for (host, name, counted) in departed {
-            if self.platform.lists(&name, host) {
+            if self.platform.may_list_host(&name, host) {
                 self.platform.missing_since.shift_remove(&host);
                 continue;
             }
             let since = *self.platform.missing_since.entry(host).or_insert(now);
             let key = format!("gone {host}");
-            let rest_ms = if counted {
-                COUNTED_GONE_MS
+            let wait_ms = if counted {
+                VOTER_GONE_MS
             } else {
                 LONGEST_FLIGHT_MS
             };
-            let flown = now.since(since) > rest_ms;
-            if flown && self.is_home(&key) && self.platform.may_propose(now, &key) {
+            let has_ended = now.since(since) > wait_ms;
+            if has_ended && self.is_home(&key) && self.platform.may_propose(now, &key) {
                 self.driver.queue(RecordBody::Gone { host });
             }
         }
     }
 
-    /// Takes an applied record.
+    /// Updates the lifecycle and the upstreams after a record was applied to the replicated state.
     pub fn membership_applied(&mut self, now: Millis, applied: &Applied) {
         let own = applied.record.id.host == self.config.me;
         if own && applied.record.body == RecordBody::Leave {
@@ -295,7 +314,7 @@
         }
     }
 
-    /// Takes a peer's answer.
+    /// Handles the reply of a peer to a request of this host that was made at `asked_at`.
     pub fn on_peer_answered(
         &mut self,
         now: Millis,
@@ -333,7 +352,7 @@
             return;
         }
         self.probes.on_answer(now, peer, asked_at, probe);
-        self.take_hints(now, probe);
+        self.merge_leaving_hints(now, probe);
         let own_offset = self.shared.next_offset;
         let log_known_at = probe.log_age_ms.map(|age_ms| asked_at - age_ms);
         self.freshness
@@ -362,7 +381,7 @@
         });
     }
 
-    /// Takes a peer's call.
+    /// Handles the request of a peer and replies to it.
     pub fn on_peer_asked(
         &mut self,
         now: Millis,
@@ -373,7 +392,7 @@
         let reply = match request {
             PeerRequest::Probe(probe) => {
                 self.probes.on_probe(now, &probe);
-                self.take_hints(now, &probe);
+                self.merge_leaving_hints(now, &probe);
                 PeerReply::Probe(self.own_probe(now))
             }
             PeerRequest::Demand(hints) => {
@@ -397,7 +416,7 @@
         fx.push(Effect::AnswerPeer { call, reply });
     }
 
-    /// Answers a caller that asks which hosts to use.
+    /// Answers a caller that asked which hosts it may connect to.
     pub fn on_entry_asked(
         &mut self,
         now: Millis,
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,4 +1,4 @@
-//! All decisions of one host as one pure state machine.
+//! The state of one host and its handling of events, as a deterministic state machine.
 
 use crate::admission::limits::Limits;
 use crate::admission::queue::Queues;
@@ -22,103 +22,103 @@
 use crate::table::acceptance::Acceptance;
 use std::collections::VecDeque;
 
-/// What a node is made from.
+/// The configuration of a [`Node`], from the settings and the start of the process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeConfig {
-    /// This process.
+    /// The incarnation under which this host runs; a new one replaces it when the host rejoins.
     pub me: Incarnation,
-    /// Its addresses and place.
+    /// The host's name, data centre and addresses, as published to other hosts.
     pub entry: HostEntry,
-    /// How long a host may serve without learning the newest offset.
+    /// The freshness bound: how long a host may serve without evidence that its state is current.
     pub fresh_bound_ms: Millis,
-    /// The longest gap in the clock that is not a pause.
+    /// The longest time between two events that does not count as a pause of the process.
     pub pause_ms: Millis,
-    /// The time between rounds of probes.
+    /// The time between two rounds of heartbeat probes.
     pub probe_interval_ms: Millis,
-    /// How long a silent peer is not suspected.
+    /// How long a peer may be silent before it is suspected.
     pub suspect_after_ms: Millis,
-    /// Partners in a round of probes.
+    /// The number of peers probed in one round.
     pub probes_per_round: u32,
-    /// When idle copies are unloaded.
+    /// The rule by which idle copies are unloaded.
     pub keep_warm: KeepWarmRule,
 }
 
-/// Where a host is in its life.
+/// The phase of a host's lifecycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Life {
-    /// It reads the log for the first time.
+    /// The host reads the shared log until it reaches its end.
     #[default]
     CatchingUp,
-    /// It appended its join.
+    /// The host queued the record of its join and waits until it is applied.
     Joining,
-    /// It serves when fresh.
+    /// The host serves requests while its state is fresh.
     Serving,
-    /// It finishes what it has.
+    /// A planned stop was requested; the host finishes its requests and orders.
     Stopping {
-        /// Since when.
+        /// When the stop was requested.
         since: Millis,
     },
-    /// It appended its leave.
+    /// The host queued the record of its departure and waits until it is applied.
     Leaving {
-        /// Since when.
+        /// When the record was queued.
         since: Millis,
     },
-    /// It is done.
+    /// The host has stopped; the process exits with the next tick.
     Ended,
 }
 
-/// The state of a host.
+/// The state of a host. State dumps and traces contain it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Node {
-    /// What it was made from.
+    /// The configuration; its incarnation changes when the host rejoins.
     pub config: NodeConfig,
-    /// Where it is in its life.
+    /// The phase of the host's lifecycle.
     pub life: Life,
-    /// What all hosts agree on.
+    /// The replicated state, which every host derives from the shared log.
     pub shared: Shared,
-    /// The log's driver.
+    /// The reads of the shared log and the appends to it.
     pub driver: Driver,
-    /// The search for a checkpoint, while the next record is no longer kept.
+    /// The search for a checkpoint, while the log no longer keeps the next record to apply.
     pub scan: Option<Scan>,
-    /// The oldest record that the log kept at the last read.
+    /// The offset of the oldest record that the log kept at the last read.
     pub log_oldest: Offset,
-    /// The newest applied records, for peers.
+    /// The newest applied records, which peers may request.
     pub recent: VecDeque<LoggedRecord>,
-    /// Whether this host's state is current.
+    /// The evidence that this host's state is current.
     pub freshness: Freshness,
-    /// Probes between hosts.
+    /// The heartbeat probes between hosts.
     pub probes: Probes,
-    /// Upstreams that are leaving.
+    /// The marks of upstreams that are leaving.
     pub leaving: Leaving,
-    /// Edits that operators wait for.
+    /// The edits of the table that operators wait for.
     pub acceptance: Acceptance,
-    /// Orders that this host executes.
+    /// The orders to engines that this host executes.
     pub executor: Executor,
-    /// What is known of upstreams.
+    /// What this host observed of each upstream.
     pub routing: Routing,
-    /// The rows' limits.
+    /// The limits of requests in flight, by table row.
     pub limits: Limits,
-    /// Requests that wait for a slice of their row's limit.
+    /// The requests that wait for a slice of their row's rate limit.
     pub metered: Metered,
-    /// Slices that this host granted as a row's home.
+    /// The slices of rate limits that this host granted as the home of a row.
     pub granting: Granting,
-    /// Waiting requests.
+    /// The queues of requests that wait for an upstream.
     pub queues: Queues,
-    /// Requests held.
+    /// All requests without a final answer.
     pub requests: Requests,
-    /// Claims on their way to the log.
+    /// The claims of this host and their ends that are not applied yet.
     pub pending_claims: PendingClaims,
-    /// Finished operations with their answers.
+    /// The operations that this host finished, with their answers.
     pub finished: FinishedOperations,
-    /// Placement's own state at this host.
+    /// The demand for models as known to this host.
     pub demand: crate::daemon::demand_flow::Demand,
-    /// Membership's own state at this host.
-    pub platform: crate::daemon::membership_flow::Platform,
+    /// The last list of the platform, and recent proposals of this host.
+    pub platform: crate::daemon::membership_flow::PlatformState,
 }
 
 impl Node {
-    /// Makes the state of a host that starts.
+    /// Creates the state of a host that starts.
     pub fn new(config: NodeConfig) -> Self {
         Self {
             life: Life::default(),
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Takes an event and returns what to do about it.
+    /// Handles an event and returns the effects to carry out.
     ///
-    /// The same events at the same times give the same effects.
+    /// The same events at the same times, on the same state, give the same effects.
     pub fn handle(&mut self, now: Millis, event: Event) -> Effects {
         let mut fx = Effects::new();
         if self.freshness.note_time(now) {
@@ -161,8 +161,8 @@
         self.dispatch(now, event, &mut fx);
         let fresh = self.is_fresh(now);
         self.freshness.note_change(fresh);
-        self.pump(now, &mut fx);
-        self.send_claims();
+        self.begin_attempts(now, &mut fx);
+        self.queue_claim_records();
         self.driver.drive(now, self.next_read_offset(), &mut fx);
         fx
     }
@@ -175,8 +175,8 @@
             Event::Appended => self.driver.on_appended(),
             Event::AppendFailed { error } => self.driver.on_append_failed(now, &error),
             Event::HostsListed { list } => self.on_hosts_listed(now, list),
-            Event::HostsFailed => self.platform.on_failed(),
-            Event::StoreReported { report } => self.demand.on_store(report),
+            Event::HostsFailed => self.platform.on_list_failed(),
+            Event::StoreReported { report } => self.demand.on_store_reported(report),
             Event::EngineReported {
                 upstream,
                 asked_at,
@@ -237,7 +237,8 @@
         self.tick_life(now, fx);
     }
 
-    /// Tells whether this host's state is current.
+    /// Returns whether this host's state is fresh, and no record of a newer release stopped the
+    /// reading of the log.
     pub fn is_fresh(&self, now: Millis) -> bool {
         let current = self
             .freshness
--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -1,6 +1,7 @@
-//! Joins demand, placement policy and the executor to the log.
+//! Placement of copies on engines: reports, orders, takeovers, and unloads. Loads are proposed in
+//! [`crate::daemon::demand_flow`].
 
-use crate::daemon::demand_flow::LEAST_IDLE_MS;
+use crate::daemon::demand_flow::MIN_IDLE_TIME_MS;
 use crate::daemon::node::{Life, Node};
 use crate::membership::message::UpstreamRole;
 use crate::placement::copies::CopyState;
@@ -9,11 +10,12 @@
 use crate::prelude::*;
 use crate::shared_log::fold::Applied;
 
-/// Most copies that are looked at in one tick, to find those that are to go.
+/// Most copies that are checked in one tick for whether to unload them.
 pub const COPIES_PER_TICK: usize = 64;
 
 impl Node {
-    /// Proposes loads and unloads, sends orders, and asks engines for reports.
+    /// Requests reports of engines, sends due orders, and proposes loads, unloads and takeovers.
+    /// Runs at each tick.
     pub fn tick_placement(&mut self, now: Millis, fx: &mut Effects) {
         self.ask_engines(now, fx);
         self.relinquish_lost_orders(now);
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Takes an engine's report.
+    /// Handles the report of an engine; `None` if it did not answer.
     pub fn on_engine_reported(
         &mut self,
         now: Millis,
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Takes an engine's answer to an order.
+    /// Handles the answer of an engine to an order, and queues the record of its outcome if the
+    /// order ended.
     pub fn on_order_answered(
         &mut self,
         now: Millis,
@@ -91,7 +94,9 @@
         }
     }
 
-    /// A departed host does this too: only the record must not be held up, no order is sent.
+    /// Records that this host sends no more orders for copies that another host took over. Unlike
+    /// the sending of orders, this needs no fresh state: the record must not be delayed, and a
+    /// departed host writes it too.
     fn relinquish_lost_orders(&mut self, now: Millis) {
         let me = self.config.me;
         for copy in self.executor.relinquished(now, me, &self.shared.placement) {
@@ -120,7 +125,7 @@
     fn propose_unloads(&mut self, now: Millis) {
         self.demand.decided.refresh(&self.shared.table);
         self.demand.presence.retain(&self.shared.placement);
-        for id in self.next_copies() {
+        for id in self.next_copies_to_check() {
             let Some(copy) = self.shared.placement.copies.get(&id) else {
                 continue;
             };
@@ -142,8 +147,8 @@
         }
     }
 
-    /// Returns the copies to look at in this tick, each in its turn.
-    fn next_copies(&mut self) -> Vec<Offset> {
+    /// Returns the copies to check in this tick; all copies are checked in turn.
+    fn next_copies_to_check(&mut self) -> Vec<Offset> {
         let copies = &self.shared.placement.copies;
         let count = copies.len().min(COPIES_PER_TICK);
         let from = self.demand.cursor;
@@ -170,7 +175,7 @@
         retired_by_table(copy, &self.demand.decided, &self.shared.table)
     }
 
-    /// Tells whether anyone says that an upstream is leaving.
+    /// Returns whether an upstream is leaving, by its record on the log or by a mark at this host.
     pub fn is_leaving(&self, upstream: &str) -> bool {
         let entry = self.shared.placement.upstreams.get(upstream);
         let view = self.routing.get(upstream);
@@ -184,16 +189,16 @@
         self.demand.uses.meet(now, &copy.load.model);
         let idle = self.idle_copy(now, copy);
         idle.is_some_and(|idle| {
-            idle.idle_ms >= LEAST_IDLE_MS && self.config.keep_warm.is_due(&idle)
+            idle.idle_ms >= MIN_IDLE_TIME_MS && self.config.keep_warm.is_due(&idle)
         })
     }
 
-    /// Takes an applied record.
+    /// Updates demand and writes log events after a record was applied to the replicated state.
     pub fn placement_applied(&mut self, now: Millis, applied: &Applied) {
         let offset = applied.offset;
         match &applied.record.body {
             RecordBody::Load { load } => {
-                self.demand.on_load(&load.model);
+                self.demand.on_load_applied(&load.model);
                 if applied.verdict == Verdict::Rejected(Rejection::StoreBusy) {
                     self.demand.on_store_busy(now, &load.model);
                 }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -1,4 +1,4 @@
-//! Joins a request's way: admission, the ends of its attempts, the final answer.
+//! The lifecycle of a request: admission, the results of its attempts, and its final answer.
 
 use crate::admission::queue::Waiting;
 use crate::attempt::message::{AttemptOutcome, Repeatable, RequestHead, RequestId, TargetKind};
@@ -11,11 +11,11 @@
 use crate::shared_log::fold::Applied;
 use crate::table::message::RowKey;
 
-/// When to come back, where nothing better is known.
-pub const RETRY_MS: Millis = Millis(1_000);
+/// The retry time that a refusal gives to the caller when no better estimate is known.
+pub const RETRY_AFTER_MS: Millis = Millis(1_000);
 
 impl Node {
-    /// Takes a caller's request.
+    /// Handles the arrival of a caller's request.
     pub fn on_request(&mut self, now: Millis, head: RequestHead, fx: &mut Effects) {
         let request = head.id;
         if let Err(refusal) = self.admit(now, head) {
@@ -25,13 +25,14 @@
         let held = self.requests.get(request);
         let row = held.and_then(|held| self.shared.table.row(&held.row));
         match row.is_some_and(|row| row.requests_per_s.is_some()) {
-            true => self.meter(now, request, fx),
-            false => self.proceed(now, request, fx),
+            true => self.wait_for_slice(now, request, fx),
+            false => self.claim_or_enqueue(now, request, fx),
         }
     }
 
-    /// Lets an admitted request go on to its claim or its queue.
-    pub fn proceed(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
+    /// Continues with an admitted request that no rate limit holds back: claims its operation if it
+    /// has an idempotency key, else puts it into its queue.
+    pub fn claim_or_enqueue(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -54,11 +55,11 @@
         };
         if !self.requests.has_room() {
             let message = "this host holds too many requests";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(RETRY_MS));
+            return Err(Refusal::new(ErrorKind::Overloaded, message).after(RETRY_AFTER_MS));
         }
         let deadline_ms = head
             .deadline_ms
-            .map_or(row.deadline_ms, |own| own.min(row.deadline_ms));
+            .map_or(row.deadline_ms, |requested| requested.min(row.deadline_ms));
         self.check_cold_start(now, &head.name, deadline_ms)?;
         if let Err(retry_after_ms) = self.limits.admit(&key, &row) {
             let message = format!(
@@ -108,14 +109,15 @@
         };
         let target = request.head.name.clone();
         if self.queues.push(&target, waiting).is_err() {
-            let refusal = Refusal::new(ErrorKind::Overloaded, "the queue is full").after(RETRY_MS);
+            let refusal =
+                Refusal::new(ErrorKind::Overloaded, "the queue is full").after(RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
 
     fn check_serving(&self, now: Millis) -> Result<(), Refusal> {
         let refusal = |kind, message: &str| {
-            let mut refusal = Refusal::new(kind, message).after(RETRY_MS);
+            let mut refusal = Refusal::new(kind, message).after(RETRY_AFTER_MS);
             refusal.try_hosts = self.other_hosts();
             Err(refusal)
         };
@@ -123,7 +125,7 @@
             Life::CatchingUp | Life::Joining => {
                 refusal(ErrorKind::Starting, "this host is still starting")
             }
-            // Entry answers given earlier may still lead here while this host stops.
+            // Callers may still use entry answers from before the stop, which name this host.
             Life::Serving | Life::Stopping { .. } if !self.is_fresh(now) => refusal(
                 ErrorKind::CutOff,
                 "this host cannot tell whether its state is current",
@@ -146,11 +148,11 @@
             .collect()
     }
 
-    /// Returns the brand of an API key.
+    /// Returns the brand to which an API key belongs, by the SHA-256 of the key in hex digits.
     ///
     /// # Errors
     ///
-    /// Refuses a key that no brand has.
+    /// Returns a refusal if no brand has the key.
     pub fn brand_of(&self, key_sha256: &str) -> Result<Name, Refusal> {
         self.shared
             .table
@@ -159,11 +161,11 @@
             .ok_or_else(|| Refusal::new(ErrorKind::BadCredential, "no brand has this API key"))
     }
 
-    /// Acts on what is due by time alone.
+    /// Handles all requests whose deadline or waiting time has passed. Runs at each tick.
     pub fn tick_requests(&mut self, now: Millis, fx: &mut Effects) {
         self.pending_claims
             .note_log(now, self.driver.is_reachable());
-        self.note_incarnation(now, fx);
+        self.restart_claims_after_rejoin(now, fx);
         self.settle_claims(now, fx);
         self.finished.expire(now);
         for id in self.requests.due(now) {
@@ -174,12 +176,13 @@
         self.queues.tidy();
     }
 
-    /// Refuses whoever cannot be served by the deadline, with the time by which the queue is through.
+    /// Refuses the waiting requests that cannot be served by their deadlines at the present rate.
+    /// The retry time is the time in which the queue is expected to be served.
     fn refuse_hopeless(&mut self, now: Millis, fx: &mut Effects) {
         for hopeless in self.queues.hopeless(now) {
             let message = "the queue is longer than the request's deadline allows";
             let refusal = Refusal::new(ErrorKind::Overloaded, message);
-            let refusal = refusal.after(hopeless.wait_ms.max(RETRY_MS));
+            let refusal = refusal.after(hopeless.wait_ms.max(RETRY_AFTER_MS));
             self.refuse(now, hopeless.request, refusal, fx);
         }
     }
@@ -195,7 +198,8 @@
             Phase::Releasing { .. } => self.tick_releasing(now, id, fx),
             Phase::Arrived | Phase::Waiting => {
                 let message = "the deadline passed in the queue";
-                let refusal = Refusal::new(ErrorKind::DeadlinePassed, message).after(RETRY_MS);
+                let refusal =
+                    Refusal::new(ErrorKind::DeadlinePassed, message).after(RETRY_AFTER_MS);
                 self.refuse(now, id, refusal, fx);
             }
             Phase::Running { .. } => {
@@ -207,7 +211,8 @@
         }
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt: finishes, retries or refuses the request. The result of an
+    /// attempt that is not the request's latest one is ignored.
     pub fn on_attempt_ended(
         &mut self,
         now: Millis,
@@ -300,10 +305,10 @@
         } else {
             ErrorKind::DeadlinePassed
         };
-        self.refuse(now, id, Refusal::new(kind, why).after(RETRY_MS), fx);
+        self.refuse(now, id, Refusal::new(kind, why).after(RETRY_AFTER_MS), fx);
     }
 
-    /// Takes the end of a request's task: whatever is still held of the request is let go.
+    /// Drops a request whose task has ended, if it has no final answer yet.
     pub fn on_caller_gone(&mut self, now: Millis, id: RequestId) {
         self.end_in_flight(id);
         self.finish(now, id);
@@ -319,22 +324,23 @@
         }
     }
 
-    /// Gives a request its final answer; one that claimed its operation and did not run releases the
-    /// claim first.
+    /// Refuses a request. If the request holds a claim and certainly did not run, the claim is
+    /// released first, and the refusal is sent once the release is applied.
     pub fn refuse(&mut self, now: Millis, id: RequestId, refusal: Refusal, fx: &mut Effects) {
         let must_release = self
             .requests
             .get(id)
             .is_some_and(|request| !request.may_have_run && self.holds_claim(request));
         if must_release && refusal.ran == Ran::NotRun {
-            self.release(now, id, refusal);
+            self.release_claim(now, id, refusal);
             return;
         }
-        self.give_refusal(now, id, refusal, fx);
+        self.send_refusal(now, id, refusal, fx);
     }
 
-    /// Gives a request its final answer now.
-    pub fn give_refusal(
+    /// Sends the refusal of a request and forgets the request. The outcome is given as unknown if
+    /// an attempt may have run.
+    pub fn send_refusal(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -353,12 +359,13 @@
         });
     }
 
-    /// Lets a request go.
+    /// Forgets a request and frees what it holds: its claim, its place in queues and its share of
+    /// limits.
     pub fn finish(&mut self, now: Millis, id: RequestId) {
         let Some(request) = self.requests.remove(id) else {
             return;
         };
-        self.let_go_of_operation(now, &request);
+        self.settle_operation(now, &request);
         self.queues.remove(&request.head.name, id);
         self.metered.remove(&request.row, id);
         self.limits.end(&request.row);
@@ -368,7 +375,8 @@
         }
     }
 
-    /// Takes an applied record.
+    /// Updates the requests after a record was applied to the replicated state: claims settle with
+    /// records of this host.
     pub fn requests_applied(&mut self, now: Millis, applied: &Applied, fx: &mut Effects) {
         if applied.record.id.host == self.config.me {
             self.settle_claims(now, fx);
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the joined decisions.
+//! Tests of the refusal of requests for models that are not loaded.
 
 use crate::membership::message::{PlatformList, UpstreamEntry, UpstreamRole};
 use crate::membership::tests::cluster::Cluster;
@@ -55,7 +55,7 @@
     }
 }
 
-fn cold_request_with_listed(upstreams: Vec<UpstreamEntry>) -> Result<(), Refusal> {
+fn check_cold_start_with_list(upstreams: Vec<UpstreamEntry>) -> Result<(), Refusal> {
     let mut cluster = Cluster::new(1);
     cluster.edit(0, table_with_a_row());
     cluster.run_for(Millis(500));
@@ -66,16 +66,18 @@
     node.check_cold_start(now, &MODEL.into(), DEADLINE_MS)
 }
 
+/// Guards against a refusal for lack of capacity while a listed engine is not registered on the
+/// log.
 #[test]
-fn a_cold_request_waits_for_a_listed_engine_that_is_not_on_the_log_yet() {
-    assert_eq!(cold_request_with_listed(vec![engine(BYTES)]), Ok(()));
+fn a_request_for_an_unloaded_model_waits_for_a_listed_engine_that_is_not_on_the_log_yet() {
+    assert_eq!(check_cold_start_with_list(vec![engine(BYTES)]), Ok(()));
 }
 
 #[test]
-fn a_cold_request_that_no_engine_can_take_is_refused_at_once() {
+fn a_request_for_a_model_that_no_engine_can_hold_is_refused_immediately() {
     let refused = |outcome: Result<(), Refusal>| outcome.map_err(|refusal| refusal.kind);
-    let too_small = cold_request_with_listed(vec![engine(BYTES - 1)]);
+    let too_small = check_cold_start_with_list(vec![engine(BYTES - 1)]);
     assert_eq!(refused(too_small), Err(ErrorKind::NoCapacity));
-    let none = cold_request_with_listed(Vec::new());
+    let none = check_cold_start_with_list(Vec::new());
     assert_eq!(refused(none), Err(ErrorKind::NoCapacity));
 }
--- a/src/daemon/upstream_flow.rs
+++ b/src/daemon/upstream_flow.rs
@@ -1,4 +1,5 @@
-//! Joins the platform's list and the upstreams' own words to the log and to routing.
+//! Registration of upstreams: the platform's list and the reports that an upstream is leaving
+//! become records on the shared log.
 
 use crate::daemon::node::Node;
 use crate::membership::leaving::{LEAVING_MARK_MS, MAX_HINTS};
@@ -6,7 +7,8 @@
 use crate::prelude::*;
 
 impl Node {
-    /// Takes the upstream's or the platform's word that an upstream is leaving.
+    /// Marks an upstream as leaving, after a report of the upstream itself or of the platform's
+    /// list.
     pub fn mark_leaving(&mut self, upstream: &Name) {
         self.mark_leaving_at(upstream, self.freshness.now());
     }
@@ -18,8 +20,9 @@
         self.routing.view(upstream).leaving = true;
     }
 
-    /// Takes a peer's hints.
-    pub fn take_hints(&mut self, now: Millis, probe: &Probe) {
+    /// Marks the upstreams that a peer's probe names as leaving, with the time of the report behind
+    /// each hint.
+    pub fn merge_leaving_hints(&mut self, now: Millis, probe: &Probe) {
         for hint in probe.leaving_upstreams.iter().take(MAX_HINTS) {
             let known = self.shared.placement.upstreams.contains_key(&hint.upstream);
             if known && hint.age_ms < LEAVING_MARK_MS {
@@ -28,19 +31,20 @@
         }
     }
 
-    /// Ends the marks that are over.
+    /// Removes the marks of leaving upstreams that have expired.
     pub fn tick_leaving(&mut self, now: Millis) {
         for upstream in self.leaving.expire(now) {
             self.routing.view(&upstream).leaving = false;
         }
     }
 
-    /// Proposes upstreams that are new, or whose entry changed.
+    /// Proposes the records of upstreams that are new or whose entry changed, if this host is their
+    /// home.
     pub fn propose_upstreams(&mut self, now: Millis) {
         let known = &self.shared.placement.upstreams;
         let wanted: Vec<UpstreamEntry> = self
             .listed_upstreams()
-            .map(|entry| self.with_own_word(entry))
+            .map(|entry| self.with_leaving_mark(entry))
             .filter(|entry| known.get(&entry.name) != Some(entry))
             .collect();
         for entry in wanted {
@@ -50,7 +54,8 @@
         }
     }
 
-    /// Returns the list's upstreams; without a list those that the fold knows.
+    /// Returns the upstreams of the platform's list or, before it was read, those of the replicated
+    /// state.
     fn listed_upstreams(&self) -> impl Iterator<Item = &UpstreamEntry> {
         let listed = self.platform.list().map(|list| &list.upstreams);
         let known = &self.shared.placement.upstreams;
@@ -61,8 +66,9 @@
             .chain(unlisted.into_iter().flatten())
     }
 
-    /// The list lags, so an upstream that said it is leaving is leaving whatever the list shows.
-    fn with_own_word(&self, entry: &UpstreamEntry) -> UpstreamEntry {
+    /// Returns an entry as leaving if its upstream is marked as leaving, since the platform's list
+    /// may lag behind the report of the upstream itself.
+    fn with_leaving_mark(&self, entry: &UpstreamEntry) -> UpstreamEntry {
         UpstreamEntry {
             leaving: entry.leaving || self.leaving.is_marked(&entry.name),
             ..entry.clone()
