--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -21,7 +21,7 @@
 pub const LIST_MAX_AGE_MS: Millis = Millis(3_000);
 /// The longest time for which a request or an order may still be in flight after its sender has
 /// ended.
-pub const LONGEST_FLIGHT_MS: Millis = Millis(5_000);
+pub const MAX_IN_FLIGHT_MS: Millis = Millis(5_000);
 /// How long a departed host that is still a voter must be missing from the list before it is
 /// forgotten. Usually a majority of the voters confirms its departure earlier; this is for the case
 /// that no such majority is left.
@@ -277,7 +277,7 @@
             let wait_ms = if counted {
                 VOTER_GONE_MS
             } else {
-                LONGEST_FLIGHT_MS
+                MAX_IN_FLIGHT_MS
             };
             let has_ended = now.since(since) > wait_ms;
             if has_ended && self.is_home(&key) && self.platform.may_propose(now, &key) {
--- a/src/placement/executor.rs
+++ b/src/placement/executor.rs
@@ -4,7 +4,7 @@
 //! over on an engine that ignores fencing numbers is only asked about while a former executor may still
 //! send it. A former executor, once it learns that it is one, records that it sends no more.
 
-use crate::daemon::membership_flow::LONGEST_FLIGHT_MS;
+use crate::daemon::membership_flow::MAX_IN_FLIGHT_MS;
 use crate::placement::copies::{Copy, Placement};
 use crate::placement::message::{EngineOrder, OrderAction, OrderAnswer, OrderOutcome};
 use crate::prelude::*;
@@ -52,7 +52,7 @@
         self.call_under_way
             || self
                 .lost_at
-                .is_some_and(|at| now.since(at) <= LONGEST_FLIGHT_MS)
+                .is_some_and(|at| now.since(at) <= MAX_IN_FLIGHT_MS)
     }
 
     fn take(&mut self, now: Millis, answer: &OrderAnswer) -> Option<OrderOutcome> {
--- a/src/placement/interleaving_tests.rs
+++ b/src/placement/interleaving_tests.rs
@@ -4,7 +4,7 @@
 //! are lost, hosts are evicted while they live. The engines enforce nothing, so that each order
 //! too many shows.
 
-use crate::daemon::membership_flow::LONGEST_FLIGHT_MS;
+use crate::daemon::membership_flow::MAX_IN_FLIGHT_MS;
 use crate::placement::executor::{Executor, ORDER_POLL_MS};
 use crate::placement::message::{EngineOrder, OrderAction, OrderAnswer};
 use crate::placement::test_site::{A, B, C, MEMORY_BYTES, TestLog};
@@ -240,7 +240,7 @@
         let now = self.log.now;
         self.calls.retain(|call| {
             call.lost_at
-                .is_none_or(|at| now.since(at) <= LONGEST_FLIGHT_MS)
+                .is_none_or(|at| now.since(at) <= MAX_IN_FLIGHT_MS)
         });
         if self.calls.is_empty() {
             return Ok(());
@@ -324,7 +324,7 @@
                     call.lost_at = call.lost_at.or(Some(now));
                 }
             }
-            Some(at) if now.since(at) > LONGEST_FLIGHT_MS => {
+            Some(at) if now.since(at) > MAX_IN_FLIGHT_MS => {
                 let confirmed_offset = self.log.shared.next_offset;
                 let counted = RecordBody::Counted {
                     host,
