--- a/bench/tests/tool.rs
+++ b/bench/tests/tool.rs
@@ -243,7 +243,7 @@
     let file: TraceFile = serde_json::from_str(text).expect("a trace");
     let mut node = Node::new(file.config.clone());
     let bytes = file.events.len() * size_of::<TracedEvent>();
-    let mut trace = Trace::with_bound(file.config, bytes);
+    let mut trace = Trace::with_max_bytes(file.config, bytes);
     for TracedEvent { at, event } in file.events {
         trace.push(at, &event, &node);
         node.handle(at, event);
--- a/src/daemon/trace.rs
+++ b/src/daemon/trace.rs
@@ -66,11 +66,11 @@
 impl Trace {
     /// Creates an empty trace of a new node, with at most [`MAX_TRACE_BYTES`].
     pub fn new(config: NodeConfig) -> Self {
-        Self::with_bound(config, MAX_TRACE_BYTES)
+        Self::with_max_bytes(config, MAX_TRACE_BYTES)
     }
 
     /// Creates an empty trace of a new node, with at most about `max_bytes` of events.
-    pub fn with_bound(config: NodeConfig, max_bytes: usize) -> Self {
+    pub fn with_max_bytes(config: NodeConfig, max_bytes: usize) -> Self {
         Self {
             config,
             max_bytes,
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -50,7 +50,7 @@
 /// Drives a node through `steps` pairs of a tick and a host list, and records them.
 fn record(steps: u64) -> (Trace, Node) {
     let mut node = Node::new(config());
-    let mut trace = Trace::with_bound(config(), BOUND_BYTES);
+    let mut trace = Trace::with_max_bytes(config(), BOUND_BYTES);
     for step in 0..steps {
         let at = STARTED_AT + Millis(step * 20);
         for event in [Event::Tick, host_list((step % 7) as usize)] {
