--- a/src/daemon/metrics.rs
+++ b/src/daemon/metrics.rs
@@ -96,7 +96,7 @@
     }
 
     /// Records the time from a request's arrival to the first byte of its answer.
-    pub fn first_byte(&self, target: TargetKind, span_ms: Millis) {
+    pub fn record_first_byte(&self, target: TargetKind, span_ms: Millis) {
         let target = match target {
             TargetKind::Model => "model",
             TargetKind::Service => "service",
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -249,7 +249,7 @@
     ) -> Result<Answer, AttemptOutcome> {
         let started = call.start().await?;
         let span_ms = self.clock.now().since(arrival.at);
-        self.metrics.first_byte(arrival.target, span_ms);
+        self.metrics.record_first_byte(arrival.target, span_ms);
         self.gate
             .send(Event::AttemptStarted {
                 request: open.id,
