--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -22,7 +22,7 @@
     Soon,
     /// A copy is ready after about this time.
     After(Millis),
-    /// No engine can hold the model.
+    /// No engine can hold the model, or the table configures no copy of it.
     Never,
 }
 
@@ -92,9 +92,10 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal if no engine can hold the model, if it has no copy and the log is
-    /// unreachable, or if its cold start takes longer than `deadline_ms`. In the last case the
-    /// refusal gives the predicted time, and the model is loaded nevertheless.
+    /// Returns a refusal if no engine can hold the model or the table configures no copy of it, if
+    /// it has no copy and the log is unreachable, or if its cold start takes longer than
+    /// `deadline_ms`. In the last case the refusal gives the predicted time, and the model is
+    /// loaded nevertheless.
     pub fn check_cold_start(
         &mut self,
         now: Millis,
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -57,7 +57,8 @@
     pub(super) cursor: usize,
     /// The weight store's last report.
     store: Option<StoreReport>,
-    /// The models for which requests wait and that need a copy or another copy.
+    /// The models that need a copy, or another copy, for requests that wait or were refused for a
+    /// cold start.
     wanted: IndexMap<Name, WantedModel>,
     /// When this host last proposed the load of a model, or requested memory for it. Removed once
     /// the record of a load is applied.
@@ -69,15 +70,17 @@
     next_hints_at: Millis,
     /// When the loads under way were decided, by the timestamps of the log.
     loads_since: IndexMap<Offset, Millis>,
-    /// A hash of the hosts among which homes are chosen.
+    /// A hash of the present hosts that are not suspected, by which changes of the homes are
+    /// detected.
     homes: u64,
     /// When that hash last changed.
     homes_since: Millis,
 }
 
-/// A model for which requests wait and that needs a copy or another copy.
+/// The demand for a model that needs a copy or another copy.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct WantedModel {
+    /// When the demand began.
     since: Millis,
     /// When the demand expires unless it is renewed.
     until: Millis,
@@ -290,6 +293,7 @@
         }
         match self.choose_load(now, model) {
             Choice::Load(load) => {
+                // For an adapter, this may be the load of its base model.
                 self.demand.proposed_at.insert(load.model.clone(), now);
                 self.demand.proposed_at.insert(model.clone(), now);
                 self.driver.queue(RecordBody::Load { load });
@@ -365,7 +369,7 @@
         } else {
             HINT_RESEND_WINDOW_MS
         };
-        let running = self.requests_by_model();
+        let requests = self.requests_by_model();
         let mut recent: Vec<(&Name, Millis)> = self
             .demand
             .uses
@@ -378,7 +382,7 @@
                 model: model.clone(),
                 idle_ms: now.since(at),
                 waiting: self.queues.waiting(model) as u32,
-                running: running.get(model).copied().unwrap_or(0),
+                running: requests.get(model).copied().unwrap_or(0),
                 urgency: self.queues.most_urgent(model).unwrap_or_default(),
             };
             for host in self.hint_recipients(model) {
@@ -412,11 +416,11 @@
 
     /// Counts the requests of this host by model or service, waiting ones included.
     fn requests_by_model(&self) -> IndexMap<&Name, u32> {
-        let mut running = IndexMap::new();
+        let mut counts = IndexMap::new();
         for request in self.requests.iter() {
-            *running.entry(&request.head.name).or_default() += 1;
+            *counts.entry(&request.head.name).or_default() += 1;
         }
-        running
+        counts
     }
 
     /// Handles the demand hints of another host, or of this host itself.
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -279,8 +279,8 @@
             } else {
                 MAX_IN_FLIGHT_MS
             };
-            let has_ended = now.since(since) > wait_ms;
-            if has_ended && self.is_home(&key) && self.platform.may_propose(now, &key) {
+            let is_gone = now.since(since) > wait_ms;
+            if is_gone && self.is_home(&key) && self.platform.may_propose(now, &key) {
                 self.driver.queue(RecordBody::Gone { host });
             }
         }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -125,7 +125,8 @@
             Life::CatchingUp | Life::Joining => {
                 refusal(ErrorKind::Starting, "this host is still starting")
             }
-            // Callers may still use entry answers from before the stop, which name this host.
+            // A stopping host serves as well, since entry answers given before the stop still name
+            // it.
             Life::Serving | Life::Stopping { .. } if !self.is_fresh(now) => refusal(
                 ErrorKind::CutOff,
                 "this host cannot tell whether its state is current",
@@ -137,6 +138,8 @@
         }
     }
 
+    /// Returns the addresses of up to `MAX_OTHERS` other hosts that are not suspected, which the
+    /// caller may try instead of this one.
     fn other_hosts(&self) -> Vec<Name> {
         const MAX_OTHERS: usize = 4;
         self.shared
@@ -172,18 +175,18 @@
             self.tick_request(now, id, fx);
         }
         self.tick_limits(now, fx);
-        self.refuse_hopeless(now, fx);
+        self.refuse_unservable(now, fx);
         self.queues.tidy();
     }
 
     /// Refuses the waiting requests that cannot be served by their deadlines at the present rate.
     /// The retry time is the time in which the queue is expected to be served.
-    fn refuse_hopeless(&mut self, now: Millis, fx: &mut Effects) {
-        for hopeless in self.queues.hopeless(now) {
+    fn refuse_unservable(&mut self, now: Millis, fx: &mut Effects) {
+        for unservable in self.queues.hopeless(now) {
             let message = "the queue is longer than the request's deadline allows";
             let refusal = Refusal::new(ErrorKind::Overloaded, message);
-            let refusal = refusal.after(hopeless.wait_ms.max(RETRY_AFTER_MS));
-            self.refuse(now, hopeless.request, refusal, fx);
+            let refusal = refusal.after(unservable.wait_ms.max(RETRY_AFTER_MS));
+            self.refuse(now, unservable.request, refusal, fx);
         }
     }
 
