--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -117,6 +117,7 @@
         self.follow(now, id, &OperationState::Running, fx);
     }
 
+    /// Acts on the state of the operation that a request follows: waits on, answers or refuses.
     fn follow(&mut self, now: Millis, id: RequestId, state: &OperationState, fx: &mut Effects) {
         match state {
             // If the claim was released, its record shows that, and the next check claims the
@@ -253,6 +254,7 @@
         }
     }
 
+    /// Continues with the request of an applied claim: it is queued if the claim won.
     fn settle_claim(&mut self, now: Millis, pending: &PendingClaim, fx: &mut Effects) {
         let (id, operation) = (pending.request, &pending.claim.operation);
         let won = self.own_claim(operation).is_some();
@@ -273,6 +275,8 @@
         }
     }
 
+    /// Handles a claim that did not win: the request follows the claim that did, or is refused if
+    /// the record had no effect.
     fn on_claim_lost(
         &mut self,
         now: Millis,
@@ -293,6 +297,7 @@
         self.refuse(now, id, refusal, fx);
     }
 
+    /// Handles the applied end of a claim: a request that waited for the release is refused now.
     fn settle_end(&mut self, now: Millis, end: &ClaimEnd, fx: &mut Effects) {
         let details = format!("key={} outcome={:?}", end.operation.key, end.outcome);
         LogEvent::ClaimEnded.write(&details);
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -81,12 +81,15 @@
         self.scan = Some(Scan::new(oldest));
     }
 
+    /// Starts a search for a checkpoint if a record could not be applied because earlier ones are
+    /// missing from the log.
     fn scan_after_gap(&mut self, logged: &LoggedRecord) {
         if logged.offset > self.shared.next_offset {
             self.start_scan(logged.offset);
         }
     }
 
+    /// Passes the records of a page to the search for a checkpoint.
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
         self.driver.on_page_unused();
         for logged in &page.records {
@@ -115,6 +118,8 @@
         self.acceptance.on_state_replaced(&self.shared.table, fx);
     }
 
+    /// Stops reading and appending for good at a record of a newer release, which this one cannot
+    /// apply.
     fn halt(&mut self, offset: Offset, format: u32) {
         if !self.driver.is_halted() {
             LogEvent::RecordNewer.write(&format!("offset={offset} format={format}"));
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -287,6 +287,8 @@
         }
     }
 
+    /// Queues a request again after a failed attempt, or refuses it if it may not be retried: it
+    /// may have run and must not run twice, has failed too often, or is past its deadline.
     fn retry_or_refuse(&mut self, now: Millis, id: RequestId, why: &str, fx: &mut Effects) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -317,6 +319,7 @@
         self.finish(now, id);
     }
 
+    /// Removes a running request from the count of requests in flight at its upstream.
     fn end_in_flight(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
