--- a/src/placement/checks.rs
+++ b/src/placement/checks.rs
@@ -1,4 +1,4 @@
-//! What a load must satisfy before the fold accepts it.
+//! The checks that a load must pass before it is accepted into the placement state.
 
 use crate::membership::message::UpstreamRole;
 use crate::placement::copies::{CopyState, MAX_COPIES, Placement};
@@ -7,14 +7,16 @@
 use crate::table::Table;
 use crate::table::message::StoreLimits;
 
-const SECOND_MS: Millis = Millis(1_000);
+/// The span over which the weight store's limit of loads per second counts.
+const RATE_WINDOW_MS: Millis = Millis(1_000);
 
 impl Placement {
-    /// Checks a load against the table, the copies, the memory and the weight store's limits.
+    /// Checks a load against the table, the existing copies, the engine's memory, an adapter's base
+    /// model and the weight store's limits.
     ///
     /// # Errors
     ///
-    /// Returns the first thing that it breaks.
+    /// Returns the rejection of the first check that fails.
     pub(super) fn check_load(
         &mut self,
         now: Millis,
@@ -33,7 +35,8 @@
         Ok(())
     }
 
-    /// An engine unloads and fences by model, so that it takes one copy of each model.
+    /// Checks the number of copies of the model. Engines unload and check fencing numbers by model,
+    /// so an engine holds at most one copy of each model.
     fn check_count(&self, load: &LoadDecision) -> Result<(), Rejection> {
         let mut count = 0;
         for (_, copy) in self.copies_of(&load.model) {
@@ -43,8 +46,8 @@
             }
             count += 1;
         }
-        let allowed = self.decided.of(&load.model);
-        if count >= allowed || load.copy_index >= allowed {
+        let configured = self.decided.of(&load.model);
+        if count >= configured || load.copy_index >= configured {
             return Err(Rejection::CopiesReached);
         }
         Ok(())
@@ -85,19 +88,20 @@
         }
     }
 
-    /// Returns how many loads the weight store's limits allow to begin now, by the log's clock.
+    /// Returns how many more loads may start now under the weight store's limits of parallel loads
+    /// and loads per second. `now` is a time of the log's clock.
     pub fn store_room(&self, now: Millis, limits: &StoreLimits) -> usize {
-        let began_lately = |at: &&Millis| now.since(**at) < SECOND_MS;
-        let begun = self.recent_loads.iter().filter(began_lately).count();
+        let is_recent = |at: &&Millis| now.since(**at) < RATE_WINDOW_MS;
+        let started = self.recent_loads.iter().filter(is_recent).count();
         let parallel = (limits.parallel_loads as usize).saturating_sub(self.loading());
-        parallel.min((limits.loads_per_s as usize).saturating_sub(begun))
+        parallel.min((limits.loads_per_s as usize).saturating_sub(started))
     }
 
     fn check_store(&mut self, now: Millis, table: &Table) -> Result<(), Rejection> {
         while self
             .recent_loads
             .front()
-            .is_some_and(|at| now.since(*at) >= SECOND_MS)
+            .is_some_and(|at| now.since(*at) >= RATE_WINDOW_MS)
         {
             self.recent_loads.pop_front();
         }
--- a/src/placement/copies.rs
+++ b/src/placement/copies.rs
@@ -1,4 +1,9 @@
-//! The fold's part of placement: upstreams, copies, and the memory reserved for them.
+//! The placement state derived from the log: upstreams, copies, and the memory reserved for them.
+//!
+//! Like all state that is folded from the log, it is the same at every host that has applied the
+//! same records. An order is a request to an engine to load or unload a copy. Each order has an
+//! executor, the host that sends it; when the executor departs, another host takes the order over
+//! under a higher fencing number.
 
 use crate::membership::members::Members;
 use crate::membership::message::UpstreamEntry;
@@ -9,49 +14,50 @@
 use crate::table::Table;
 use std::collections::VecDeque;
 
-/// Most upstreams in the fold.
+/// Most upstreams in the state.
 pub const MAX_UPSTREAMS: usize = 16_384;
-/// Most copies in the fold.
+/// Most copies in the state.
 pub const MAX_COPIES: usize = 131_072;
 
 /// The state of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CopyState {
-    /// Its load order is under way.
+    /// The copy's load order is under way.
     Loading,
-    /// It serves.
+    /// The copy is loaded and serves requests.
     Ready,
-    /// Its unload order is under way.
+    /// The copy's unload order is under way.
     Unloading,
-    /// The engine holds nothing of it, but a former executor may still send its last order.
+    /// The load failed or the unload is done, so that the engine holds no memory for the copy. A
+    /// former executor may still send the last order, so its memory stays reserved.
     Ended,
 }
 
 /// A copy of a model on an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Copy {
-    /// The decision that made it.
+    /// The decision that created the copy.
     pub load: LoadDecision,
-    /// The base model that it needs beside it.
+    /// The base model that an adapter needs on the same engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Name>,
-    /// Its state.
+    /// The state of the copy.
     pub state: CopyState,
-    /// The order under way, or the last one: the offset of its decision.
+    /// The id of the order under way, or of the last one: the offset of the record that decided it.
     pub order: Offset,
-    /// The fencing number of that order.
+    /// The fencing number of that order: the offset of its decision or of its latest takeover.
     pub fence: Offset,
-    /// Who sends that order.
+    /// The host that sends that order.
     pub executor: Incarnation,
-    /// Earlier executors that may still have that order in their hands.
+    /// Earlier executors of that order that may still send it.
     pub former: Vec<Incarnation>,
-    /// When the order was decided, by the log's clock.
+    /// When the order was decided, or when the load was done, by the log's clock.
     pub decided_ms: Millis,
 }
 
 impl Copy {
-    /// Returns the action of the order under way.
+    /// Returns the action of the order under way, or `None` if there is no order under way.
     pub fn action_under_way(&self) -> Option<OrderAction> {
         match self.state {
             CopyState::Loading => Some(OrderAction::Load),
@@ -60,21 +66,22 @@
         }
     }
 
-    /// Tells whether an order is under way, or a former executor may still send one.
+    /// Returns whether an order is under way, or a former executor may still send one.
     pub fn is_unsettled(&self) -> bool {
         self.action_under_way().is_some() || !self.former.is_empty()
     }
 }
 
-/// Upstreams and copies.
+/// The upstreams and copies, as all hosts agree on them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredPlacement")]
 pub struct Placement {
-    /// The upstreams by name.
+    /// The registered upstreams by name.
     pub upstreams: IndexMap<Name, UpstreamEntry>,
-    /// The copies by the offset of their load. Only this module changes them.
+    /// The copies by id, which is the offset of their load decision. Only this module changes them,
+    /// since the index must follow.
     pub copies: IndexMap<Offset, Copy>,
-    /// When the loads of the last second were decided, by the log's clock.
+    /// When the loads of the last second were decided, by the log's clock, oldest first.
     pub(super) recent_loads: VecDeque<Millis>,
     #[serde(skip)]
     pub(super) index: Index,
@@ -82,7 +89,7 @@
     pub(super) decided: DecidedCopies,
 }
 
-/// What a checkpoint holds of [`Placement`]; the index is made anew.
+/// The part of [`Placement`] that a checkpoint holds; the index is rebuilt from it.
 #[derive(Deserialize)]
 struct StoredPlacement {
     upstreams: IndexMap<Name, UpstreamEntry>,
@@ -108,7 +115,8 @@
     ///
     /// # Errors
     ///
-    /// Rejects an entry that changes nothing, and one too many.
+    /// Returns [`Rejection::WrongHostState`] if the entry changes nothing, and [`Rejection::Full`]
+    /// if there are [`MAX_UPSTREAMS`] already.
     pub fn put_upstream(&mut self, entry: &UpstreamEntry) -> Result<(), Rejection> {
         if self.upstreams.get(&entry.name) == Some(entry) {
             return Err(Rejection::WrongHostState);
@@ -121,11 +129,11 @@
         Ok(())
     }
 
-    /// Forgets an upstream that is gone, with its copies.
+    /// Removes an upstream that no longer exists, and its copies.
     ///
     /// # Errors
     ///
-    /// Rejects an upstream that is not known.
+    /// Returns [`Rejection::UnknownUpstream`] if the upstream is not known.
     pub fn upstream_gone(&mut self, name: &str) -> Result<(), Rejection> {
         if self.upstreams.swap_remove(name).is_none() {
             return Err(Rejection::UnknownUpstream);
@@ -136,34 +144,35 @@
         Ok(())
     }
 
-    /// Returns the memory reserved on an upstream.
+    /// Returns the accelerator memory that is reserved for copies on an upstream.
     pub fn reserved_bytes(&self, upstream: &str) -> u64 {
         self.index.reserved_bytes(upstream)
     }
 
-    /// Returns the copies of a model, all versions.
+    /// Returns the copies of a model, of all versions, in the order of their ids.
     pub fn copies_of<'a>(&'a self, model: &str) -> impl Iterator<Item = (&'a Offset, &'a Copy)> {
         self.entries(self.index.of_model(model))
     }
 
-    /// Returns the copies on an upstream.
+    /// Returns the copies on an upstream, in the order of their ids.
     pub fn copies_on<'a>(&'a self, upstream: &str) -> impl Iterator<Item = (&'a Offset, &'a Copy)> {
         self.entries(self.index.on_upstream(upstream))
     }
 
-    /// Returns the copies with an order under way, or with a former executor that may still send one.
+    /// Returns the copies for which [`Copy::is_unsettled`] holds: an order is under way, or a
+    /// former executor may still send one.
     pub fn unsettled(&self) -> impl Iterator<Item = (&Offset, &Copy)> {
         self.index
             .unsettled()
             .filter_map(|id| self.copies.get_key_value(id))
     }
 
-    /// Returns how many loads are under way.
+    /// Returns the number of loads under way.
     pub fn loading(&self) -> usize {
         self.index.loading()
     }
 
-    /// Tells whether another model's copy on the same engine needs this copy as its base.
+    /// Returns whether an adapter on the same engine needs this copy as its base model.
     pub fn is_base_in_use(&self, copy: &Copy) -> bool {
         self.copies_on(&copy.load.upstream)
             .any(|(_, other)| other.base.as_ref() == Some(&copy.load.model))
@@ -184,17 +193,19 @@
         }
     }
 
-    /// Replaces a copy that is there.
-    fn put(&mut self, id: Offset, copy: Copy) {
+    /// Replaces an existing copy.
+    fn replace(&mut self, id: Offset, copy: Copy) {
         self.remove(id);
         self.insert(id, copy);
     }
 
-    /// Decides a load.
+    /// Applies the decision to load a copy, and reserves its memory. The copy's id is `offset`.
     ///
     /// # Errors
     ///
-    /// Rejects a load that breaks the decided count, the memory or the weight store's limits.
+    /// Rejects a load that does not fit the table, the configured number of copies, the engine's
+    /// memory, an adapter's base model or the weight store's limits, and any load once there are
+    /// [`MAX_COPIES`].
     pub fn load(
         &mut self,
         offset: Offset,
@@ -222,12 +233,13 @@
         Ok(())
     }
 
-    /// Decides the unload of a ready copy.
+    /// Applies the decision to unload a ready copy.
     ///
     /// # Errors
     ///
-    /// Rejects a copy that is not ready, a base whose adapters are still there, and on an engine that
-    /// ignores fencing numbers a copy whose load may still be sent by a former executor.
+    /// Rejects the unload of a copy that is not ready, of a base model that adapters on the engine
+    /// still need, and, on an engine that ignores fencing numbers, of a copy whose load order a
+    /// former executor may still send.
     pub fn unload(
         &mut self,
         offset: Offset,
@@ -251,15 +263,18 @@
         copy.executor = executor;
         copy.former.clear();
         copy.decided_ms = now;
-        self.put(id, copy);
+        self.replace(id, copy);
         Ok(())
     }
 
-    /// Gives the order under way to another executor.
+    /// Makes the writer the executor of the order under way; `offset` becomes the fencing number.
+    ///
+    /// The previous executor is kept as a former one until it relinquishes the order or its process
+    /// is known to have ended.
     ///
     /// # Errors
     ///
-    /// Rejects a copy without an order under way, and one whose executor is still a member.
+    /// Rejects the takeover if no order is under way, and if its executor is still a member.
     pub fn takeover(
         &mut self,
         offset: Offset,
@@ -279,19 +294,20 @@
         }
         copy.executor = writer;
         copy.fence = offset;
-        self.put(id, copy);
+        self.replace(id, copy);
         Ok(())
     }
 
-    /// Takes the end of an order.
+    /// Applies the outcome of an order.
     ///
-    /// An order that leaves no copy behind frees the memory, unless a former executor may still send
-    /// it to an engine that ignores fencing numbers.
+    /// A load that failed and an unload that is done remove the copy and free its memory, unless a
+    /// former executor may still send the order to an engine that ignores fencing numbers.
     ///
     /// # Errors
     ///
-    /// Rejects the outcome of an order that is no longer the present one, and the word that an order
-    /// was never sent while a former executor may still send it.
+    /// Rejects the outcome if its fencing number is not the current one or no order is under way,
+    /// and [`OrderOutcome::NotSent`] while a former executor may still send the order to an engine
+    /// that ignores fencing numbers.
     pub fn outcome(
         &mut self,
         now: Millis,
@@ -303,25 +319,25 @@
         if copy.fence != fence {
             return Err(Rejection::StaleFence);
         }
-        let is_held = !copy.former.is_empty() && !self.checks_fencing(&copy);
-        if is_held && outcome == OrderOutcome::NotSent {
+        let may_still_be_sent = !copy.former.is_empty() && !self.checks_fencing(&copy);
+        if may_still_be_sent && outcome == OrderOutcome::NotSent {
             return Err(Rejection::ExecutorAlive);
         }
         match (copy.state, outcome) {
             (CopyState::Loading, OrderOutcome::Done) => {
                 copy.state = CopyState::Ready;
                 copy.decided_ms = now;
-                self.put(id, copy);
+                self.replace(id, copy);
             }
             (CopyState::Unloading, OrderOutcome::Failed | OrderOutcome::NotSent) => {
                 copy.state = CopyState::Ready;
-                self.put(id, copy);
+                self.replace(id, copy);
             }
             (CopyState::Loading, OrderOutcome::Failed | OrderOutcome::NotSent)
             | (CopyState::Unloading, OrderOutcome::Done) => {
                 copy.state = CopyState::Ended;
-                self.put(id, copy);
-                if !is_held {
+                self.replace(id, copy);
+                if !may_still_be_sent {
                     self.remove(id);
                 }
             }
@@ -330,39 +346,40 @@
         Ok(())
     }
 
-    /// Takes a former executor's word that it sends an order no more.
+    /// Applies a former executor's statement that it will not send the order any more.
     ///
     /// # Errors
     ///
-    /// Rejects a host that is not a former executor of the copy's order.
+    /// Returns [`Rejection::WrongCopyState`] if the writer is not a former executor of the copy's
+    /// order.
     pub fn relinquish(&mut self, writer: Incarnation, id: Offset) -> Result<(), Rejection> {
         if !self.copy(id)?.former.contains(&writer) {
             return Err(Rejection::WrongCopyState);
         }
-        self.drop_former(id, writer);
+        self.remove_former_executor(id, writer);
         Ok(())
     }
 
-    /// Takes note that a host's process no longer exists, so that it sends nothing any more.
+    /// Records that a host's process has ended, so that it cannot send any order any more.
     pub fn executor_gone(&mut self, host: Incarnation) {
-        let held: Vec<Offset> = self
+        let affected: Vec<Offset> = self
             .unsettled()
             .filter(|(_, copy)| copy.former.contains(&host))
             .map(|(id, _)| *id)
             .collect();
-        for id in held {
-            self.drop_former(id, host);
+        for id in affected {
+            self.remove_former_executor(id, host);
         }
     }
 
-    fn drop_former(&mut self, id: Offset, host: Incarnation) {
+    fn remove_former_executor(&mut self, id: Offset, host: Incarnation) {
         let Some(mut copy) = self.copies.get(&id).cloned() else {
             return;
         };
         copy.former.retain(|former| *former != host);
-        let is_over = copy.state == CopyState::Ended && copy.former.is_empty();
-        self.put(id, copy);
-        if is_over {
+        let is_settled = copy.state == CopyState::Ended && copy.former.is_empty();
+        self.replace(id, copy);
+        if is_settled {
             self.remove(id);
         }
     }
--- a/src/placement/decided.rs
+++ b/src/placement/decided.rs
@@ -1,19 +1,23 @@
-//! How many copies of each model the table asks for, and where they may be.
+//! How many copies of each model the table configures, and in which data centres they may run.
 
 use crate::prelude::*;
 use crate::table::Table;
 
-/// The counts of all models, made anew when the table changes. A base is needed beside each adapter.
+/// The configured number of copies and the allowed data centres of each model, rebuilt when the
+/// table changes.
+///
+/// An adapter needs its base model on the same engine, so a base model has at least as many copies
+/// as each of its adapters, and its data centres are restricted by their rows too.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DecidedCopies {
     version: Offset,
     counts: IndexMap<Name, u32>,
-    /// The data centres of the targets that are not allowed everywhere.
+    /// The allowed data centres of the models and services that are not allowed in all.
     places: IndexMap<Name, Vec<Name>>,
 }
 
 impl DecidedCopies {
-    /// Follows the table.
+    /// Rebuilds the counts and data centres if the table's version has changed.
     pub fn refresh(&mut self, table: &Table) {
         if self.version == table.version {
             return;
@@ -23,58 +27,60 @@
         self.places.clear();
         for (key, row) in &table.rows {
             let copies = row.value.copies;
-            let places = &row.value.data_centres;
-            self.raise(&key.model, copies);
-            self.restrict(&key.model, places);
+            let data_centres = &row.value.data_centres;
+            self.raise_count(&key.model, copies);
+            self.restrict_data_centres(&key.model, data_centres);
             if let Some(base) = table.model(&key.model).and_then(|spec| spec.base.as_ref()) {
-                self.raise(base, copies);
-                self.restrict(base, places);
+                self.raise_count(base, copies);
+                self.restrict_data_centres(base, data_centres);
             }
         }
     }
 
-    /// Returns the count of a model.
+    /// Returns the configured number of copies of a model; 0 if no row names it.
     pub fn of(&self, model: &str) -> u32 {
         self.counts.get(model).copied().unwrap_or(0)
     }
 
-    /// Returns the data centres in which a model or service may run; all when there are none.
+    /// Returns the data centres in which a model or service may run.
     ///
-    /// Rows of several brands share copies, so a copy stands where all of them allow it.
+    /// The rows of several brands share the copies of a model, so only the data centres that all of
+    /// these rows allow are allowed. A row that lists no data centre allows all.
     pub fn places_of(&self, target: &str) -> Places<'_> {
         Places(self.places.get(target).map(Vec::as_slice))
     }
 
-    fn restrict(&mut self, target: &Name, places: &[Name]) {
-        if places.is_empty() {
+    fn restrict_data_centres(&mut self, target: &Name, data_centres: &[Name]) {
+        if data_centres.is_empty() {
             return;
         }
         match self.places.get_mut(target) {
-            Some(allowed) => allowed.retain(|place| places.contains(place)),
+            Some(allowed) => allowed.retain(|data_centre| data_centres.contains(data_centre)),
             None => {
-                self.places.insert(target.clone(), places.to_vec());
+                self.places.insert(target.clone(), data_centres.to_vec());
             }
         }
     }
 
-    fn raise(&mut self, model: &Name, copies: u32) {
+    fn raise_count(&mut self, model: &Name, copies: u32) {
         let count = self.counts.entry(model.clone()).or_default();
         *count = copies.max(*count);
     }
 }
 
-/// Where a model or service may run.
+/// The data centres in which a model or service may run; `None` stands for all.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Places<'a>(Option<&'a [Name]>);
 
 impl Places<'_> {
-    /// Tells whether a data centre is allowed.
+    /// Returns whether a data centre is allowed.
     pub fn allow(&self, data_centre: &Name) -> bool {
-        self.0.is_none_or(|places| places.contains(data_centre))
+        self.0.is_none_or(|allowed| allowed.contains(data_centre))
     }
 }
 
-/// Derived from the table, so that it makes no difference between two states.
+/// Always equal: the counts are derived from the table, so they must not make two states that are
+/// otherwise equal differ.
 impl PartialEq for DecidedCopies {
     fn eq(&self, _other: &Self) -> bool {
         true
--- a/src/placement/executor.rs
+++ b/src/placement/executor.rs
@@ -1,43 +1,48 @@
-//! Sends the orders that this host decided, and records how they ended.
+//! Sends the orders that this host executes to the engines, and determines their outcomes.
 //!
-//! An order is sent only after its record was read back, and while this host is fresh. An order taken
-//! over on an engine that ignores fencing numbers is only asked about while a former executor may still
-//! send it. A former executor, once it learns that it is one, records that it sends no more.
+//! An order is sent only after this host has read its record back from the log, and only while this
+//! host is fresh. While a former executor may still send an order that was taken over, and the
+//! engine ignores fencing numbers, this host only asks the engine for the order's state. A former
+//! executor, once it learns that its order was taken over, records that it will not send it again.
 
 use crate::daemon::membership_flow::LONGEST_FLIGHT_MS;
 use crate::placement::copies::{Copy, Placement};
 use crate::placement::message::{EngineOrder, OrderAction, OrderAnswer, OrderOutcome};
 use crate::prelude::*;
 
-/// How long to wait before an order is asked about again.
+/// The pause after an engine's answer, before the order is sent or asked about again.
 pub const ORDER_POLL_MS: Millis = Millis(100);
-/// How long after its decision a call to an engine may begin.
-pub const CALL_BEGIN_MS: Millis = Millis(500);
-/// How long an order that cannot be delivered is tried before it is given up.
-pub const GIVE_UP_MS: Millis = Millis(2_000);
+/// How long after this host decided on a call to an engine the call may still be started.
+pub const CALL_START_TIMEOUT_MS: Millis = Millis(500);
+/// How long an order that does not reach its engine is retried before it ends as not sent.
+pub const DELIVERY_TIMEOUT_MS: Millis = Millis(2_000);
 
-/// What this host knows of an order that it executes, or executed last.
+/// The progress of an order that this host executes or executed, as far as this host knows.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct OrderView {
+struct OrderProgress {
+    /// The fencing number under which this host executes the order.
     fence: Offset,
     call_under_way: bool,
-    /// Whether the call under way was made while no former executor was left.
+    /// Whether the last call was made when the order had no former executors any more.
     alone: bool,
-    /// Whether the order could have been sent when the call under way was made.
+    /// Whether this host was allowed to send the order, not only to ask about it, when it made the
+    /// last call.
     may_send: bool,
-    /// Whether to ask about the order before it is sent again.
+    /// Whether to ask the engine for the order's state instead of sending the order.
     ask_first: bool,
-    /// Whether no call of any host can have reached the engine.
+    /// Whether it is certain that no host's call with this order has reached the engine.
     unseen: bool,
-    /// When the last call without a known effect ended.
+    /// When the last call ended whose answer was lost, so that its effect is unknown.
     lost_at: Option<Millis>,
-    /// Since when the order cannot be delivered.
+    /// When the first of the latest unbroken series of calls that did not reach the engine ended.
     undelivered_since: Option<Millis>,
+    /// The earliest time of the next call.
     retry_at: Millis,
+    /// Whether the outcome of the order was handed over to be recorded on the log.
     outcome_queued: bool,
 }
 
-impl OrderView {
+impl OrderProgress {
     fn new(copy: &Copy, checks_fencing: bool) -> Self {
         let is_own = copy.fence == copy.order;
         Self {
@@ -48,21 +53,23 @@
         }
     }
 
-    fn is_flying(&self, now: Millis) -> bool {
+    /// Returns whether a call is under way, or one whose answer was lost may still be on its way.
+    fn is_in_flight(&self, now: Millis) -> bool {
         self.call_under_way
             || self
                 .lost_at
                 .is_some_and(|at| now.since(at) <= LONGEST_FLIGHT_MS)
     }
 
-    fn take(&mut self, now: Millis, answer: &OrderAnswer) -> Option<OrderOutcome> {
+    /// Updates the progress by an engine's answer, and returns the outcome if the order ended.
+    fn apply_answer(&mut self, now: Millis, answer: &OrderAnswer) -> Option<OrderOutcome> {
         if !matches!(answer, OrderAnswer::NotSent(_)) {
             self.undelivered_since = None;
         }
         match answer {
             OrderAnswer::Done => Some(OrderOutcome::Done),
-            // A call without an answer may still arrive after this one.
-            OrderAnswer::Failed(_) if self.is_flying(now) => {
+            // An earlier call whose answer was lost may still reach the engine, and succeed.
+            OrderAnswer::Failed(_) if self.is_in_flight(now) => {
                 self.ask_first = true;
                 None
             }
@@ -73,9 +80,10 @@
                 None
             }
             OrderAnswer::NeverSeen => {
-                // Asked earlier, a former executor may have sent it since.
+                // If this host was only allowed to ask, a former executor may have sent the order
+                // since, so this host asks again before it sends the order.
                 self.ask_first = !self.may_send;
-                self.unseen = self.alone && !self.is_flying(now);
+                self.unseen = self.alone && !self.is_in_flight(now);
                 None
             }
             OrderAnswer::Lost(_) => {
@@ -86,22 +94,24 @@
             }
             OrderAnswer::NotSent(_) => {
                 let since = *self.undelivered_since.get_or_insert(now);
-                let give_up = self.unseen && now.since(since) >= GIVE_UP_MS;
-                give_up.then_some(OrderOutcome::NotSent)
+                let is_given_up = self.unseen && now.since(since) >= DELIVERY_TIMEOUT_MS;
+                is_given_up.then_some(OrderOutcome::NotSent)
             }
         }
     }
 }
 
-/// The orders that this host executes or executed, by copy.
+/// The orders that this host executes or executed, by the id of the copy.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Executor {
-    orders: IndexMap<Offset, OrderView>,
+    orders: IndexMap<Offset, OrderProgress>,
+    /// The copies already returned by [`Executor::relinquished`].
     relinquished: IndexSet<Offset>,
 }
 
 impl Executor {
-    /// Sends what is due.
+    /// Sends, or asks about, every order of this host whose next call is due. Call only while this
+    /// host is fresh.
     pub fn on_tick(
         &mut self,
         now: Millis,
@@ -113,12 +123,13 @@
             .retain(|id, _| placement.copies.contains_key(id));
         for (id, copy) in placement.unsettled() {
             if copy.executor == me {
-                self.drive(now, *id, copy, placement, fx);
+                self.call_engine(now, *id, copy, placement, fx);
             }
         }
     }
 
-    fn drive(
+    /// Sends an order to its engine or asks for the order's state, if a call is due.
+    fn call_engine(
         &mut self,
         now: Millis,
         id: Offset,
@@ -132,33 +143,35 @@
         let Some(upstream) = placement.upstreams.get(&copy.load.upstream) else {
             return;
         };
-        let view = self.view(id, copy, upstream.checks_fencing);
-        if view.call_under_way || view.outcome_queued || now < view.retry_at {
+        let progress = self.progress(id, copy, upstream.checks_fencing);
+        if progress.call_under_way || progress.outcome_queued || now < progress.retry_at {
             return;
         }
         let alone = copy.former.is_empty();
         let may_send = upstream.checks_fencing || alone;
-        view.call_under_way = true;
-        view.alone = alone;
-        view.may_send = may_send;
+        progress.call_under_way = true;
+        progress.alone = alone;
+        progress.may_send = may_send;
         fx.push(Effect::OrderEngine {
             copy: id,
             address: upstream.address,
             order: engine_order(copy, action),
-            watch_only: view.ask_first || !may_send,
-            begin_by: now + CALL_BEGIN_MS,
+            watch_only: progress.ask_first || !may_send,
+            begin_by: now + CALL_START_TIMEOUT_MS,
         });
     }
 
-    fn view(&mut self, id: Offset, copy: &Copy, checks_fencing: bool) -> &mut OrderView {
-        let view = self.orders.entry(id).or_default();
-        if view.fence != copy.fence {
-            *view = OrderView::new(copy, checks_fencing);
+    /// Returns the progress of a copy's order, reset if the order or its fencing number is new.
+    fn progress(&mut self, id: Offset, copy: &Copy, checks_fencing: bool) -> &mut OrderProgress {
+        let progress = self.orders.entry(id).or_default();
+        if progress.fence != copy.fence {
+            *progress = OrderProgress::new(copy, checks_fencing);
         }
-        view
+        progress
     }
 
-    /// Takes an engine's answer and returns the outcome to record, if the order ended.
+    /// Handles an engine's answer to the call for a copy's order with this fencing number. Returns
+    /// the outcome to record on the log, if the order ended.
     pub fn on_answer(
         &mut self,
         now: Millis,
@@ -166,24 +179,25 @@
         fence: Offset,
         answer: &OrderAnswer,
     ) -> Option<OrderOutcome> {
-        let view = self.orders.get_mut(&id)?;
-        if view.fence != fence {
+        let progress = self.orders.get_mut(&id)?;
+        if progress.fence != fence {
             return None;
         }
-        view.call_under_way = false;
-        view.retry_at = now + ORDER_POLL_MS;
-        let outcome = view.take(now, answer)?;
-        view.outcome_queued = true;
+        progress.call_under_way = false;
+        progress.retry_at = now + ORDER_POLL_MS;
+        let outcome = progress.apply_answer(now, answer)?;
+        progress.outcome_queued = true;
         Some(outcome)
     }
 
-    /// Tells whether an order may be on its way to an engine.
+    /// Returns whether a call of this host may still reach an engine.
     pub fn is_calling(&self, now: Millis) -> bool {
-        self.orders.values().any(|view| view.is_flying(now))
+        self.orders.values().any(|one| one.is_in_flight(now))
     }
 
-    /// Returns the copies whose last order this host was to send and, having lost it to another host,
-    /// certainly sends no more. Each is returned once.
+    /// Returns the copies whose order was taken over from this host, once no call of this host with
+    /// the order may still reach the engine, so that this host can record that it relinquishes the
+    /// order. Each copy is returned once.
     pub fn relinquished(
         &mut self,
         now: Millis,
@@ -192,18 +206,18 @@
     ) -> Vec<Offset> {
         self.relinquished
             .retain(|id| placement.copies.contains_key(id));
-        let lost: Vec<Offset> = placement
+        let newly_relinquished: Vec<Offset> = placement
             .unsettled()
             .filter(|(_, copy)| copy.executor != me && copy.former.contains(&me))
             .map(|(id, _)| *id)
             .filter(|id| !self.relinquished.contains(id))
-            .filter(|id| !self.orders.get(id).is_some_and(|view| view.is_flying(now)))
+            .filter(|id| !self.orders.get(id).is_some_and(|one| one.is_in_flight(now)))
             .collect();
-        self.relinquished.extend(lost.iter().copied());
-        lost
+        self.relinquished.extend(newly_relinquished.iter().copied());
+        newly_relinquished
     }
 
-    /// Tells whether an order of this host is under way.
+    /// Returns whether an order of which this host is the executor is under way.
     pub fn is_busy(&self, me: Incarnation, placement: &Placement) -> bool {
         placement
             .unsettled()
--- a/src/placement/index.rs
+++ b/src/placement/index.rs
@@ -1,25 +1,25 @@
-//! Where the copies are, derived from the copies themselves.
+//! Indexes of the copies by model and by upstream, derived from the copies themselves.
 
 use crate::placement::copies::{Copy, CopyState};
 use crate::prelude::*;
 
-/// The copies by model and by upstream, with sums.
+/// The ids of the copies by model and by upstream, with the memory reserved on each upstream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Index {
     by_model: IndexMap<Name, Vec<Offset>>,
-    by_upstream: IndexMap<Name, UpstreamSum>,
+    by_upstream: IndexMap<Name, UpstreamTotals>,
     unsettled: IndexSet<Offset>,
     loading: usize,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-struct UpstreamSum {
+struct UpstreamTotals {
     copies: Vec<Offset>,
     reserved_bytes: u64,
 }
 
 impl Index {
-    /// Makes the index of the copies.
+    /// Builds the index of the copies.
     pub fn new(copies: &IndexMap<Offset, Copy>) -> Self {
         let mut index = Self::default();
         for (id, copy) in copies {
@@ -33,9 +33,11 @@
         let model = copy.load.model.clone();
         insert_sorted(self.by_model.entry(model).or_default(), id);
         let upstream = copy.load.upstream.clone();
-        let sum = self.by_upstream.entry(upstream).or_default();
-        insert_sorted(&mut sum.copies, id);
-        sum.reserved_bytes = sum.reserved_bytes.saturating_add(copy.load.reserved_bytes);
+        let totals = self.by_upstream.entry(upstream).or_default();
+        insert_sorted(&mut totals.copies, id);
+        totals.reserved_bytes = totals
+            .reserved_bytes
+            .saturating_add(copy.load.reserved_bytes);
         if copy.is_unsettled() {
             self.unsettled.insert(id);
         }
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Takes out a copy in the state in which it was added.
+    /// Removes a copy. `copy` must be the same as when it was added, or the sums become wrong.
     pub fn remove(&mut self, id: Offset, copy: &Copy) {
         if let Some(ids) = self.by_model.get_mut(&copy.load.model) {
             ids.retain(|other| *other != id);
@@ -52,10 +54,12 @@
                 self.by_model.swap_remove(&copy.load.model);
             }
         }
-        if let Some(sum) = self.by_upstream.get_mut(&copy.load.upstream) {
-            sum.copies.retain(|other| *other != id);
-            sum.reserved_bytes = sum.reserved_bytes.saturating_sub(copy.load.reserved_bytes);
-            if sum.copies.is_empty() {
+        if let Some(totals) = self.by_upstream.get_mut(&copy.load.upstream) {
+            totals.copies.retain(|other| *other != id);
+            totals.reserved_bytes = totals
+                .reserved_bytes
+                .saturating_sub(copy.load.reserved_bytes);
+            if totals.copies.is_empty() {
                 self.by_upstream.swap_remove(&copy.load.upstream);
             }
         }
@@ -65,37 +69,38 @@
         }
     }
 
-    /// Returns the copies of a model.
+    /// Returns the ids of the copies of a model, in ascending order.
     pub fn of_model(&self, model: &str) -> &[Offset] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the copies on an upstream.
+    /// Returns the ids of the copies on an upstream, in ascending order.
     pub fn on_upstream(&self, upstream: &str) -> &[Offset] {
         self.by_upstream
             .get(upstream)
-            .map_or(&[], |sum| sum.copies.as_slice())
+            .map_or(&[], |totals| totals.copies.as_slice())
     }
 
-    /// Returns the memory reserved on an upstream.
+    /// Returns the accelerator memory that is reserved for copies on an upstream.
     pub fn reserved_bytes(&self, upstream: &str) -> u64 {
         self.by_upstream
             .get(upstream)
-            .map_or(0, |sum| sum.reserved_bytes)
+            .map_or(0, |totals| totals.reserved_bytes)
     }
 
-    /// Returns the copies whose last order may still change something.
+    /// Returns the ids of the copies for which [`Copy::is_unsettled`] holds, in no fixed order.
     pub fn unsettled(&self) -> impl Iterator<Item = &Offset> {
         self.unsettled.iter()
     }
 
-    /// Returns how many copies are being loaded.
+    /// Returns the number of copies that are being loaded.
     pub fn loading(&self) -> usize {
         self.loading
     }
 }
 
-/// Keeps the order of a list equal at hosts that began from a checkpoint.
+/// Inserts an id in ascending order, so that a host that started from a checkpoint has the same
+/// list as one that applied all records.
 fn insert_sorted(ids: &mut Vec<Offset>, id: Offset) {
     if let Err(at) = ids.binary_search(&id) {
         ids.insert(at, id);
--- a/src/placement/interleaving_tests.rs
+++ b/src/placement/interleaving_tests.rs
@@ -1,8 +1,8 @@
-//! Executors, engines and calls on the way, in any interleaving.
+//! Tests of executors, engines and calls between them, in random interleavings.
 //!
-//! Hosts read the log as late as they like, calls stay in the hands of frozen or slow hosts, answers
-//! are lost, hosts are evicted while they live. The engines enforce nothing, so that each order
-//! too many shows.
+//! Hosts read the log with any delay, calls of frozen or slow hosts arrive late, answers are lost,
+//! and hosts are evicted while they are alive. The engines enforce neither their memory nor one copy
+//! per model, so that every superfluous order shows up in the checks.
 
 use crate::daemon::membership_flow::LONGEST_FLIGHT_MS;
 use crate::placement::executor::{Executor, ORDER_POLL_MS};
@@ -15,17 +15,22 @@
 const MODELS: [&str; 3] = ["m", "n", "o"];
 const ENGINES: [&str; 2] = ["checks", "ignores"];
 
+/// A simulated engine.
 #[derive(Clone, Debug, Default)]
 struct Engine {
     checks_fencing: bool,
+    /// The copies: model, the order that created it, bytes.
     copies: Vec<(Name, Offset, u64)>,
+    /// Whether each executed order succeeded, by order and fencing number.
     orders: IndexMap<(Offset, Offset), bool>,
-    highest: IndexMap<Name, Offset>,
+    /// The highest fencing number seen for each model.
+    highest_fence: IndexMap<Name, Offset>,
     loads: u32,
 }
 
 impl Engine {
-    fn ask(&self, order: Offset) -> OrderAnswer {
+    /// Answers a question for the state of an order.
+    fn order_state(&self, order: Offset) -> OrderAnswer {
         let last = self
             .orders
             .iter()
@@ -38,25 +43,26 @@
         }
     }
 
-    fn take(&mut self, order: &EngineOrder, fails: bool) -> OrderAnswer {
+    /// Executes an order, unless it was executed before under the same fencing number.
+    fn execute(&mut self, order: &EngineOrder, fails: bool) -> OrderAnswer {
         let key = (order.order, order.fence);
         if self.checks_fencing {
-            let highest = self.highest.entry(order.model.clone()).or_default();
+            let highest = self.highest_fence.entry(order.model.clone()).or_default();
             if order.fence < *highest {
                 return OrderAnswer::Fenced;
             }
             *highest = order.fence;
         }
         if self.orders.contains_key(&key) {
-            return self.ask(order.order);
+            return self.order_state(order.order);
         }
-        let adopts = self
+        let has_copy = self
             .copies
             .iter()
-            .any(|(_, made_by, _)| *made_by == order.order);
+            .any(|(_, created_by, _)| *created_by == order.order);
         match order.action {
             OrderAction::Unload => self.copies.retain(|(model, ..)| *model != order.model),
-            OrderAction::Load if self.checks_fencing && adopts => {}
+            OrderAction::Load if self.checks_fencing && has_copy => {}
             OrderAction::Load if fails => {
                 self.orders.insert(key, false);
                 return OrderAnswer::Failed(String::new());
@@ -73,10 +79,15 @@
 
     fn check(&self) {
         let used: u64 = self.copies.iter().map(|(.., bytes)| bytes).sum();
-        assert!(used <= MEMORY_BYTES, "overcommitted: {:?}", self.copies);
+        assert!(
+            used <= MEMORY_BYTES,
+            "memory overcommitted by copies {:?}",
+            self.copies
+        );
     }
 }
 
+/// A call of a host to an engine that has not arrived yet.
 #[derive(Clone, Debug)]
 struct Call {
     host: Incarnation,
@@ -84,10 +95,11 @@
     engine: &'static str,
     order: EngineOrder,
     watch_only: bool,
-    /// Since when its host takes it for lost.
+    /// When the call's host gave it up as lost, if it did. The call may still arrive.
     lost_at: Option<Millis>,
 }
 
+/// A host with the state as far as it has read the log.
 #[derive(Clone, Debug, Default)]
 struct Host {
     shared: Shared,
@@ -95,6 +107,7 @@
     killed_at: Option<Millis>,
 }
 
+/// The log, the hosts, the engines and the calls under way.
 #[derive(Clone)]
 struct World {
     log: TestLog,
@@ -131,16 +144,16 @@
             0 => self.propose_load(u, host)?,
             1 => self.propose_unload(u, host)?,
             2 => self.evict(u, host)?,
-            3 => self.kill_or_bury(host),
+            3 => self.kill_or_record_gone(host),
             4..=6 => {
                 if u.ratio(3, 4)? {
-                    self.read(host);
+                    self.read_log(host);
                 }
                 self.tick(host);
             }
-            7 | 8 => self.deliver(u)?,
-            9 => self.lose(u)?,
-            10..=12 => self.run(u, host)?,
+            7 | 8 => self.deliver_any(u)?,
+            9 => self.lose_call(u)?,
+            10..=12 => self.run_undisturbed(u, host)?,
             _ => self.log.now += Millis(u.int_in_range(0..=6_000)?),
         }
         self.check();
@@ -164,13 +177,15 @@
         Ok(())
     }
 
+    /// Appends a record of a host, unless the host was killed.
     fn append(&mut self, host: Incarnation, body: RecordBody) {
         if self.hosts[&host].killed_at.is_none() {
             self.log.append(host, body);
         }
     }
 
-    fn read(&mut self, host: Incarnation) {
+    /// Makes a host read the log to its end.
+    fn read_log(&mut self, host: Incarnation) {
         let records = &self.log.records;
         let shared = &mut self.hosts[&host].shared;
         for logged in &records[shared.next_offset.0 as usize..] {
@@ -179,6 +194,7 @@
         }
     }
 
+    /// Runs a tick of a host's executor, unless the host was killed.
     fn tick(&mut self, id: Incarnation) {
         let now = self.log.now;
         let host = &mut self.hosts[&id];
@@ -190,14 +206,15 @@
         host.executor.on_tick(now, id, placement, &mut fx);
         let relinquished = host.executor.relinquished(now, id, placement);
         for effect in fx {
-            self.call(id, effect);
+            self.start_call(id, effect);
         }
         for copy in relinquished {
             self.append(id, RecordBody::Relinquish { copy });
         }
     }
 
-    fn call(&mut self, host: Incarnation, effect: Effect) {
+    /// Puts an order that an executor sends under way to its engine.
+    fn start_call(&mut self, host: Incarnation, effect: Effect) {
         let Effect::OrderEngine {
             copy,
             order,
@@ -220,12 +237,12 @@
         });
     }
 
-    /// Lets a host run undisturbed for a while.
-    fn run(&mut self, u: &mut Unstructured<'_>, host: Incarnation) -> Result<()> {
+    /// Runs a host for a few ticks, in which it reads the whole log and all its calls arrive.
+    fn run_undisturbed(&mut self, u: &mut Unstructured<'_>, host: Incarnation) -> Result<()> {
         const ROUNDS: usize = 3;
         for _ in 0..ROUNDS {
             self.log.now += ORDER_POLL_MS;
-            self.read(host);
+            self.read_log(host);
             self.tick(host);
             let is_awaited = |call: &Call| call.host == host && call.lost_at.is_none();
             while let Some(index) = self.calls.iter().position(is_awaited) {
@@ -236,7 +253,8 @@
     }
 
     /// Lets a call reach its engine, and its answer the host if the host still waits.
-    fn deliver(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Delivers a random call. Calls that were lost too long ago do not arrive any more.
+    fn deliver_any(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let now = self.log.now;
         self.calls.retain(|call| {
             call.lost_at
@@ -249,14 +267,15 @@
         self.deliver_one(u, index)
     }
 
+    /// Delivers a call to its engine. The order may fail and the answer may get lost.
     fn deliver_one(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         let call = self.calls.swap_remove(index);
         let fails = u.ratio(1, 8)?;
         let engine = &mut self.engines[call.engine];
         let mut answer = if call.watch_only {
-            engine.ask(call.order.order)
+            engine.order_state(call.order.order)
         } else {
-            engine.take(&call.order, fails)
+            engine.execute(&call.order, fails)
         };
         if u.ratio(1, 8)? {
             answer = OrderAnswer::Lost(String::new());
@@ -267,8 +286,8 @@
         Ok(())
     }
 
-    /// Lets a host take a call for lost that may still arrive.
-    fn lose(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Makes a host give up a random call as lost that may still arrive.
+    fn lose_call(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let waiting: Vec<usize> = (0..self.calls.len())
             .filter(|index| self.calls[*index].lost_at.is_none())
             .collect();
@@ -282,6 +301,7 @@
         Ok(())
     }
 
+    /// Hands an engine's answer to the calling host, which records the outcome if there is one.
     fn answer(&mut self, call: &Call, answer: &OrderAnswer) {
         let fence = call.order.fence;
         let host = &mut self.hosts[&call.host];
@@ -299,7 +319,8 @@
         }
     }
 
-    /// Evicts a host that may live on, and takes its orders over. C stays.
+    /// Evicts a host that may still be alive, and proposes takeovers of all orders by a random
+    /// host. Host C is never evicted.
     fn evict(&mut self, u: &mut Unstructured<'_>, host: Incarnation) -> Result<()> {
         if host == C {
             return Ok(());
@@ -313,8 +334,9 @@
         Ok(())
     }
 
-    /// Kills a host, or folds that a departed one that was killed long ago is gone. C stays.
-    fn kill_or_bury(&mut self, host: Incarnation) {
+    /// Kills a host, or if it was killed long enough ago that its calls cannot arrive any more,
+    /// records that its process has ended. Host C is never killed.
+    fn kill_or_record_gone(&mut self, host: Incarnation) {
         let now = self.log.now;
         match self.hosts[&host].killed_at {
             _ if host == C => {}
@@ -344,13 +366,13 @@
         for model in MODELS {
             let copies = self.engines.values().flat_map(|engine| &engine.copies);
             let count = copies.filter(|(name, ..)| &**name == model).count();
-            assert!(count <= 1, "{model} has {count} copies");
+            assert!(count <= 1, "model {model} has {count} copies");
         }
     }
 }
 
 #[test]
-fn no_interleaving_overcommits_memory_or_loads_a_copy_too_many() {
+fn no_interleaving_overcommits_memory_or_loads_a_model_twice() {
     let fresh = World::new();
     let (mut runs, mut loads) = (0, 0);
     arbtest::arbtest(|u| {
@@ -369,5 +391,8 @@
     .size_min(200)
     .size_max(1_000)
     .budget_ms(2_000);
-    assert!(loads > runs, "{loads} loads in {runs} runs");
+    assert!(
+        loads > runs,
+        "too few loads to test anything: {loads} loads in {runs} runs"
+    );
 }
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -1,22 +1,23 @@
-//! What is said about copies and orders.
+//! Messages about copies and orders: load decisions on the log, orders to engines and their
+//! answers, and the reports of engines and of the weight store.
 
 use crate::clock::Millis;
 use crate::shared_log::record::Offset;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A decision to load a copy. Its record's offset names the copy from then on.
+/// A decision to load a copy. The offset of its record is the id of the copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadDecision {
-    /// The model or adapter.
+    /// The name of the model or adapter.
     pub model: Arc<str>,
-    /// The version.
+    /// The version of the model, as in the table.
     pub version: Arc<str>,
-    /// Which of the decided copies, from 0.
+    /// The number of the copy among the model's copies, from 0.
     pub copy_index: u32,
-    /// The engine.
+    /// The name of the engine.
     pub upstream: Arc<str>,
-    /// The memory to reserve until the engine confirms that it is free.
+    /// The accelerator memory to reserve until the engine confirms that it is free.
     pub reserved_bytes: u64,
 }
 
@@ -24,15 +25,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// The engine did it.
+    /// The engine executed the order.
     Done,
-    /// The engine refused or failed, and holds no memory for it.
+    /// The engine refused the order or failed to execute it, and holds no memory for it.
     Failed,
-    /// The executor never sent it and never will.
+    /// The order never reached the engine, and the executor will not send it.
     NotSent,
 }
 
-/// What an order asks of an engine.
+/// The action that an order requests from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
@@ -42,57 +43,59 @@
     Unload,
 }
 
-/// An order for an engine.
+/// An order to an engine, as sent to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The order's identity at the engine: the offset of the record that decided it.
+    /// The id of the order: the offset of the record that decided it.
     pub order: Offset,
     /// The fencing number: the offset of the decision or of the latest takeover.
     pub fence: Offset,
-    /// What to do.
+    /// The requested action.
     pub action: OrderAction,
-    /// The model.
+    /// The name of the model or adapter.
     pub model: Arc<str>,
-    /// The version.
+    /// The version of the model.
     pub version: Arc<str>,
-    /// The memory reserved.
+    /// The accelerator memory reserved for the copy.
     pub bytes: u64,
-    /// The base model of an adapter.
+    /// The base model, if the order is for an adapter.
     pub base: Option<Arc<str>>,
 }
 
-/// An engine's answer to an order.
+/// An engine's answer to an order, or the reason that there is none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAnswer {
-    /// It is done.
+    /// The order was executed.
     Done,
-    /// It is still going on.
+    /// The order is still being executed.
     Running,
-    /// It failed and holds no memory.
+    /// The engine refused the order or failed to execute it, and holds no memory for it. Carries
+    /// the error.
     Failed(String),
-    /// It carried an old fencing number.
+    /// The engine refused the order, since it has seen a higher fencing number.
     Fenced,
-    /// The engine never saw it.
+    /// The engine has never received the order.
     NeverSeen,
-    /// No answer came; the order may have been taken.
+    /// No usable answer arrived; the engine may have accepted the order. Carries the error.
     Lost(String),
-    /// The order certainly did not reach the engine.
+    /// The engine certainly did not accept the order: the call was not started in time, the
+    /// connection failed, or the engine is leaving. Carries the error.
     NotSent(String),
 }
 
-/// A copy as an engine reports it.
+/// A copy as reported by its engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedCopy {
-    /// The model.
+    /// The name of the model or adapter.
     pub model: Arc<str>,
-    /// The version.
+    /// The version of the model.
     pub version: Arc<str>,
-    /// The memory it holds.
+    /// The accelerator memory that the copy occupies.
     pub bytes: u64,
-    /// Its state at the engine.
+    /// The state of the copy at the engine.
     pub state: ReportedState,
-    /// The order that made it.
+    /// The id of the load order that created the copy, which is also the id of the copy.
     pub order: Offset,
 }
 
@@ -100,62 +103,62 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportedState {
-    /// It is being loaded.
+    /// The copy is being loaded.
     Loading,
-    /// It serves.
+    /// The copy serves requests.
     Ready,
-    /// It is being removed.
+    /// The copy is being unloaded.
     Unloading,
 }
 
-/// Checkpoints that an engine holds near, as `model@version`.
+/// The checkpoints of model weights that an engine's machine caches, each as `model@version`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointCache {
-    /// In host memory.
+    /// Checkpoints in the machine's main memory.
     #[serde(default)]
     pub memory: Vec<Arc<str>>,
-    /// On disk.
+    /// Checkpoints on the machine's disk.
     #[serde(default)]
     pub disk: Vec<Arc<str>>,
 }
 
-/// An engine's report of itself.
+/// An engine's report of its own state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Accelerator memory.
+    /// The accelerator memory of the engine.
     pub memory_bytes: u64,
-    /// Accelerator memory in use.
+    /// The accelerator memory in use.
     pub used_bytes: u64,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving and accepts no more loads.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests being run.
+    /// Number of requests that the engine is running.
     #[serde(default)]
     pub running: u32,
-    /// Requests waiting at the engine.
+    /// Number of requests that wait in the engine's queue.
     #[serde(default)]
     pub queued: u32,
-    /// The time that the figures stand for, by the engine's clock.
+    /// The time as of which the figures are valid, by the engine's clock.
     #[serde(default)]
     pub as_of_ms: Millis,
-    /// The copies.
+    /// The copies on the engine.
     #[serde(default)]
     pub copies: Vec<ReportedCopy>,
-    /// The checkpoints it holds near.
+    /// The checkpoints cached on the engine's machine.
     #[serde(default)]
     pub cache: CheckpointCache,
 }
 
-/// The weight store's report of itself.
+/// The weight store's report of its own state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreReport {
-    /// Fetches going on.
+    /// Number of fetches in progress.
     #[serde(default)]
     pub running: u32,
-    /// Fetches waiting.
+    /// Number of fetches waiting.
     #[serde(default)]
     pub queued: u32,
-    /// Bytes a second for one fetch.
+    /// The rate of one fetch in bytes per second; zero if unknown.
     #[serde(default)]
     pub bytes_per_s: u64,
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,4 +1,5 @@
-//! Which copies of which models exist, on which upstreams, and the orders that make and remove them.
+//! Placement: which copies of which models exist, on which upstreams, and the orders to engines
+//! that load and unload them.
 
 mod checks;
 pub mod copies;
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -1,4 +1,5 @@
-//! Where to load a model, when it can be ready, and what must go for it.
+//! Chooses the engine on which to load a model, or the one on which memory must be freed first, and
+//! predicts how long the load takes.
 
 use crate::membership::message::{UpstreamEntry, UpstreamRole};
 use crate::placement::copies::{Copy, CopyState, Placement};
@@ -8,59 +9,62 @@
 use crate::table::Table;
 use crate::table::message::{Model, StoreLimits};
 
-/// The rate of a checkpoint in host memory, until measured.
+/// The assumed rate at which an engine reads a checkpoint that is cached in main memory.
 pub const MEMORY_BYTES_PER_S: u64 = 20_000_000_000;
-/// The rate of a checkpoint on disk, until measured.
+/// The assumed rate at which an engine reads a checkpoint that is cached on disk.
 pub const DISK_BYTES_PER_S: u64 = 2_000_000_000;
 
-/// What a choice is made from.
+/// The inputs of a choice, all for one model.
 pub struct LoadView<'a> {
-    /// The copies and upstreams.
+    /// The upstreams and copies.
     pub placement: &'a Placement,
     /// The table.
     pub table: &'a Table,
-    /// How many copies the model is to have at most.
+    /// The configured number of copies: the most that the model may have.
     pub decided: u32,
-    /// Where the model may run.
+    /// The data centres in which the model may run.
     pub places: Places<'a>,
-    /// The weight store's last report.
+    /// The weight store's last report, if there is one.
     pub store: Option<&'a StoreReport>,
-    /// How long a load of this model takes, by earlier ones.
+    /// How long a load of this model takes, estimated from earlier loads.
     pub load_ms: Option<Millis>,
 }
 
-/// What is known of an upstream beside the fold.
+/// What this host knows of an upstream beyond the log.
 #[derive(Clone, Copy)]
 pub struct UpstreamHint<'a> {
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub usable: bool,
-    /// Its last report.
+    /// The upstream's last report, if there is one.
     pub report: Option<&'a EngineReport>,
 }
 
-/// What can be done for a model.
+/// The next step to give a model a further copy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// Load this.
+    /// Load this copy, which may be one of the base model that an adapter needs.
     Load(LoadDecision),
-    /// Memory must be freed on this upstream first.
+    /// Unload idle copies on an upstream first, since no engine has enough free memory.
     MakeRoom {
         /// The upstream.
         upstream: Name,
-        /// How much must be free.
+        /// The memory that must be free on it.
         bytes: u64,
     },
-    /// Wait: copies end or a base is on its way.
+    /// Wait: the base model is being loaded, copies are being unloaded, all configured copies
+    /// exist, or no suitable engine is usable now.
     Wait,
-    /// No engine can ever take it, or the table asks for no copy.
+    /// No engine in the allowed data centres has enough memory in all, or the table configures no
+    /// copy of the model.
     Never,
 }
 
 /// Chooses what to do for the next copy of a model.
 ///
-/// Of the engines with room, the one that can have the copy ready first is taken, and of equal ones the
-/// one with the most memory left. An adapter goes where its base is ready; else its base is loaded, where
-/// both have room.
+/// Of the engines with enough free memory, the one that can have the copy ready first is chosen,
+/// and of equal ones the one with the most free memory. An adapter is loaded where its base model
+/// is ready. If the base model has no copy yet, the base model is loaded first, on an engine with
+/// enough free memory for both.
 pub fn choose<'a>(
     view: &LoadView<'a>,
     model: &str,
@@ -88,7 +92,7 @@
         _ => 0,
     };
     let bytes = spec.reserved_bytes.saturating_add(extra_bytes);
-    let fits = |upstream: &&UpstreamEntry| {
+    let is_suitable = |upstream: &&UpstreamEntry| {
         upstream.role == UpstreamRole::Engine
             && upstream.memory_bytes >= bytes
             && !upstream.leaving
@@ -100,7 +104,7 @@
         .placement
         .upstreams
         .values()
-        .filter(fits)
+        .filter(is_suitable)
         .filter(|upstream| needs_base || base.is_none() || has_ready(&base_copies, &upstream.name))
         .collect();
     if engines.is_empty() {
@@ -118,24 +122,24 @@
     }
     let best = engines
         .iter()
-        .filter(|upstream| left_bytes(view, upstream, hint(&upstream.name).report) >= bytes)
+        .filter(|upstream| free_bytes(view, upstream, hint(&upstream.name).report) >= bytes)
         .min_by_key(|upstream| {
             let report = hint(&upstream.name).report;
-            let left_bytes = left_bytes(view, upstream, report);
-            (fetch_ms(view, model, spec, report), u64::MAX - left_bytes)
+            let free_bytes = free_bytes(view, upstream, report);
+            (fetch_ms(view, model, spec, report), u64::MAX - free_bytes)
         });
     let (Some(upstream), true) = (best, !needs_base || base_spec.is_some()) else {
-        return make_room(view, &engines, bytes, &hint);
+        return choose_where_to_free(view, &engines, bytes, &hint);
     };
     match base.zip(base_spec) {
         Some((base, base_spec)) if needs_base => {
-            Choice::Load(decision(base, base_spec, 0, &upstream.name))
+            Choice::Load(load_decision(base, base_spec, 0, &upstream.name))
         }
-        _ => Choice::Load(decision(model, spec, copy_index, &upstream.name)),
+        _ => Choice::Load(load_decision(model, spec, copy_index, &upstream.name)),
     }
 }
 
-fn decision(model: &str, spec: &Model, copy_index: u32, upstream: &Name) -> LoadDecision {
+fn load_decision(model: &str, spec: &Model, copy_index: u32, upstream: &Name) -> LoadDecision {
     LoadDecision {
         model: model.into(),
         version: spec.version.clone(),
@@ -145,34 +149,36 @@
     }
 }
 
-/// Memory is freed where the least is missing.
-fn make_room<'a>(
+/// Chooses the engine with the most free memory, where the least must be freed; waits while copies
+/// are being unloaded.
+fn choose_where_to_free<'a>(
     view: &LoadView<'a>,
     engines: &[&UpstreamEntry],
     bytes: u64,
     hint: &impl Fn(&str) -> UpstreamHint<'a>,
 ) -> Choice {
-    let is_freeing = engines.iter().any(|upstream| {
+    let is_unloading = engines.iter().any(|upstream| {
         view.placement
             .copies_on(&upstream.name)
             .any(|(_, copy)| copy.state == CopyState::Unloading)
     });
-    if is_freeing {
+    if is_unloading {
         return Choice::Wait;
     }
     engines
         .iter()
-        .max_by_key(|upstream| left_bytes(view, upstream, hint(&upstream.name).report))
+        .max_by_key(|upstream| free_bytes(view, upstream, hint(&upstream.name).report))
         .map_or(Choice::Wait, |upstream| Choice::MakeRoom {
             upstream: upstream.name.clone(),
             bytes,
         })
 }
 
-/// The engine's own figure counts too: it may hold copies that the fold does not know.
-fn left_bytes(view: &LoadView<'_>, upstream: &UpstreamEntry, report: Option<&EngineReport>) -> u64 {
+/// Returns the free memory of an engine. Copies that only the engine's own report lists count too:
+/// the engine may hold copies that the placement state does not have.
+fn free_bytes(view: &LoadView<'_>, upstream: &UpstreamEntry, report: Option<&EngineReport>) -> u64 {
     let reserved_bytes = view.placement.reserved_bytes(&upstream.name);
-    let unknown_bytes: u64 = report.map_or(0, |report| {
+    let unlisted_bytes: u64 = report.map_or(0, |report| {
         report
             .copies
             .iter()
@@ -183,7 +189,7 @@
     upstream
         .memory_bytes
         .saturating_sub(reserved_bytes)
-        .saturating_sub(unknown_bytes)
+        .saturating_sub(unlisted_bytes)
 }
 
 fn has_copy(placement: &Placement, model: &str, upstream: &str) -> bool {
@@ -210,7 +216,9 @@
     })
 }
 
-/// Predicts how long the weights take to an engine, by where its nearest checkpoint is.
+/// Predicts how long an engine takes to fetch a model's weights: from its memory cache, its disk
+/// cache or the weight store, whichever is the nearest that holds the checkpoint. Without an
+/// estimate for the weight store the result is zero.
 pub fn fetch_ms(
     view: &LoadView<'_>,
     model: &str,
@@ -221,28 +229,29 @@
     let bytes = spec.checkpoint_bytes;
     let holds = |names: &[Arc<str>]| names.iter().any(|held| **held == *name);
     match report {
-        Some(report) if holds(&report.cache.memory) => at_rate(bytes, MEMORY_BYTES_PER_S),
-        Some(report) if holds(&report.cache.disk) => at_rate(bytes, DISK_BYTES_PER_S),
-        _ => remote_ms(view, bytes),
+        Some(report) if holds(&report.cache.memory) => transfer_ms(bytes, MEMORY_BYTES_PER_S),
+        Some(report) if holds(&report.cache.disk) => transfer_ms(bytes, DISK_BYTES_PER_S),
+        _ => store_fetch_ms(view, bytes),
     }
 }
 
-fn remote_ms(view: &LoadView<'_>, bytes: u64) -> Millis {
+fn store_fetch_ms(view: &LoadView<'_>, bytes: u64) -> Millis {
     let by_rate = view
         .store
         .filter(|store| store.bytes_per_s > 0)
-        .map(|store| at_rate(bytes, store.bytes_per_s));
+        .map(|store| transfer_ms(bytes, store.bytes_per_s));
     view.load_ms.or(by_rate).unwrap_or(Millis::ZERO)
 }
 
-/// Predicts how long a load waits for the weight store's slots.
+/// Predicts how long a further load waits until the weight store's limit of parallel loads admits
+/// it. `loading` is the number of loads under way, `load_ms` the duration of one.
 pub fn store_wait_ms(loading: usize, limits: &StoreLimits, load_ms: Millis) -> Millis {
     let parallel = limits.parallel_loads.max(1) as u64;
-    let ahead = (loading as u64 + 1).saturating_sub(parallel);
-    Millis(load_ms.0.saturating_mul(ahead) / parallel)
+    let loads_ahead = (loading as u64 + 1).saturating_sub(parallel);
+    Millis(load_ms.0.saturating_mul(loads_ahead) / parallel)
 }
 
-fn at_rate(bytes: u64, bytes_per_s: u64) -> Millis {
+fn transfer_ms(bytes: u64, bytes_per_s: u64) -> Millis {
     let ms = u128::from(bytes) * 1_000 / u128::from(bytes_per_s.max(1));
     Millis(u64::try_from(ms).unwrap_or(u64::MAX))
 }
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -1,81 +1,83 @@
-//! What this host knows of the use of models: its own requests, and what other hosts tell it.
+//! The use of models as known to this host: from its own requests and from the hints of other
+//! hosts.
 
-use crate::placement::policy::gaps::Gaps;
+use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::prelude::*;
 use crate::table::message::Urgency;
 
-/// Most models of which use is remembered.
+/// Most models whose use is remembered.
 pub const MAX_MODELS: usize = 65_536;
-/// The shortest pause between requests that counts as a gap.
-pub const LEAST_GAP_MS: Millis = Millis(1_000);
-/// How long another host's word that requests wait or run holds.
-pub const HINT_HOLDS_MS: Millis = Millis(3_000);
+/// The shortest time between two requests that counts as a gap.
+pub const MIN_GAP_MS: Millis = Millis(1_000);
+/// How long a model counts as in use after another host's hint that its requests wait or run.
+pub const HINT_TTL_MS: Millis = Millis(3_000);
 
-/// What one host tells another of its use of a model.
+/// A host's use of a model, as it tells other hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UseHint {
-    /// The model.
+    /// The name of the model.
     pub model: Arc<str>,
-    /// How long ago its last request was there.
+    /// The time since the sender last had a request for the model.
     pub idle_ms: Millis,
-    /// How many of its requests wait.
+    /// Number of requests that wait for the model at the sender.
     pub waiting: u32,
-    /// How many run.
+    /// Number of requests of the sender that the model is running.
     pub running: u32,
-    /// The highest urgency among those waiting.
+    /// The highest urgency of the waiting requests.
     pub urgency: Urgency,
 }
 
-/// Memory that a load needs on an upstream.
+/// A request to free memory on an upstream, so that a load fits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoomWanted {
-    /// The upstream.
+    /// The name of the upstream.
     pub upstream: Arc<str>,
-    /// How much must be free.
+    /// The accelerator memory that must be free there.
     pub bytes: u64,
 }
 
-/// What one host tells another of its demand.
+/// A host's demand, as it tells one other host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandHints {
-    /// Models in use.
+    /// The models in use.
     pub uses: Vec<UseHint>,
-    /// Memory needed.
+    /// The memory to free.
     pub room: Vec<RoomWanted>,
 }
 
-/// The use of one model.
+/// The use of one model, as known to this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct ModelUse {
-    /// When it was last used, anywhere that this host knows of.
+pub struct ModelUsage {
+    /// When the model was last used by this host or, by their hints, by others. Zero if never.
     pub last_used_at: Millis,
-    /// When it was last used here.
+    /// When the model was last used by this host. Zero if never.
     pub own_use_at: Millis,
-    /// Until when another host's requests count as waiting or running.
+    /// Until when requests of other hosts count as waiting or running.
     pub busy_until: Millis,
-    /// How many requests wait at other hosts, by the last word.
+    /// Number of requests that wait at another host, by the last hint of any host.
     pub waiting_elsewhere: u32,
-    /// The last load's duration, or zero.
+    /// The duration of the model's last load in milliseconds, or zero if none is known.
     pub load_ms: u32,
-    /// The gaps between its requests.
-    pub gaps: Gaps,
+    /// The gaps between the model's requests.
+    pub gaps: GapHistogram,
 }
 
-/// The use of all models.
+/// The use of all models, as known to this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Uses {
-    models: IndexMap<Name, ModelUse>,
+    models: IndexMap<Name, ModelUsage>,
+    /// The moving average of the durations of all loads.
     mean_load_ms: Option<f64>,
 }
 
 impl Uses {
-    /// Returns what is known of a model.
-    pub fn get(&self, model: &str) -> Option<&ModelUse> {
+    /// Returns the use of a model, if any is known.
+    pub fn get(&self, model: &str) -> Option<&ModelUsage> {
         self.models.get(model)
     }
 
-    /// Takes note of a model that is met for the first time, as if used now.
-    pub fn meet(&mut self, now: Millis, model: &Name) -> &ModelUse {
+    /// Counts a model whose use is not known yet as used now, and returns its use.
+    pub fn meet(&mut self, now: Millis, model: &Name) -> &ModelUsage {
         let used = self.entry(model);
         if used.last_used_at == Millis::ZERO {
             used.last_used_at = now;
@@ -83,40 +85,43 @@
         used
     }
 
-    /// Takes note of a request of this host.
+    /// Records a new request of this host.
     pub fn note_own(&mut self, at: Millis, model: &Name) {
         let used = self.entry(model);
         used.own_use_at = at.max(used.own_use_at);
-        used.note(at);
+        used.note_request(at);
     }
 
-    /// Takes note that a request of this host still waits or runs.
+    /// Records that requests of this host for the model still wait or run. Unlike a new request,
+    /// this counts no gap.
     pub fn touch_own(&mut self, now: Millis, model: &Name) {
         let used = self.entry(model);
         used.own_use_at = now;
         used.last_used_at = now;
     }
 
-    /// Takes another host's word.
+    /// Records a hint of another host.
     pub fn note_hint(&mut self, now: Millis, hint: &UseHint) {
         let used = self.entry(&hint.model);
-        used.note(now - hint.idle_ms);
+        used.note_request(now - hint.idle_ms);
         used.waiting_elsewhere = hint.waiting;
         if hint.waiting > 0 || hint.running > 0 {
-            used.busy_until = now + HINT_HOLDS_MS;
+            used.busy_until = now + HINT_TTL_MS;
         }
     }
 
-    /// Takes the duration of a load.
+    /// Records the duration of a load.
     pub fn note_load(&mut self, model: &Name, load_ms: Millis) {
-        const NEW_WEIGHT: f64 = 0.2;
+        /// The weight of a new duration in the moving average.
+        const NEW_DURATION_WEIGHT: f64 = 0.2;
         let load = load_ms.0 as f64;
         let mean = self.mean_load_ms.unwrap_or(load);
-        self.mean_load_ms = Some(mean + NEW_WEIGHT * (load - mean));
+        self.mean_load_ms = Some(mean + NEW_DURATION_WEIGHT * (load - mean));
         self.entry(model).load_ms = u32::try_from(load_ms.0).unwrap_or(u32::MAX);
     }
 
-    /// Returns how long a load takes: this model's last one, or the mean of all.
+    /// Returns the expected duration of a load: of this model's last load, or else the moving
+    /// average of all loads. `None` if no load is known.
     pub fn load_ms(&self, model: &str) -> Option<Millis> {
         let own = self.models.get(model).map_or(0, |used| used.load_ms);
         match own {
@@ -125,14 +130,16 @@
         }
     }
 
-    /// Returns the models that this host itself used since a point.
-    pub fn own_since(&self, since: Millis) -> impl Iterator<Item = (&Name, &ModelUse)> {
+    /// Returns the models that this host itself has used since a point in time.
+    pub fn own_since(&self, since: Millis) -> impl Iterator<Item = (&Name, &ModelUsage)> {
         self.models
             .iter()
             .filter(move |(_, used)| used.own_use_at >= since && used.own_use_at > Millis::ZERO)
     }
 
-    fn entry(&mut self, model: &Name) -> &mut ModelUse {
+    /// Returns a model's entry, which is added if missing; if there are too many, another is
+    /// removed.
+    fn entry(&mut self, model: &Name) -> &mut ModelUsage {
         if self.models.len() >= MAX_MODELS && !self.models.contains_key(model) {
             self.models.swap_remove_index(0);
         }
@@ -140,10 +147,11 @@
     }
 }
 
-impl ModelUse {
-    fn note(&mut self, at: Millis) {
+impl ModelUsage {
+    /// Records a request at a time, and the gap since the previous one.
+    fn note_request(&mut self, at: Millis) {
         let gap_ms = at.since(self.last_used_at);
-        if self.last_used_at > Millis::ZERO && gap_ms >= LEAST_GAP_MS {
+        if self.last_used_at > Millis::ZERO && gap_ms >= MIN_GAP_MS {
             self.gaps.note(gap_ms);
         }
         self.last_used_at = at.max(self.last_used_at);
--- a/src/placement/policy/keep_warm.rs
+++ b/src/placement/policy/keep_warm.rs
@@ -1,23 +1,25 @@
-//! How long an idle copy stays loaded.
+//! The rules that decide how long an idle copy stays loaded, and which one is unloaded first when
+//! memory is needed.
 
-use crate::placement::policy::gaps::Gaps;
+use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::prelude::*;
 
-/// The rule by which idle copies are unloaded.
+/// The rule by which idle copies are unloaded, as in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "rule", rename_all = "snake_case", deny_unknown_fields)]
 pub enum KeepWarmRule {
-    /// After a fixed time without a request.
+    /// Unload a copy after a fixed time without a request.
     FixedTimeout {
-        /// That time.
+        /// How long a copy must be idle.
         idle_ms: Millis,
     },
-    /// Only when the memory is needed, and then the copy whose last request is the longest ago.
+    /// Unload copies only when memory is needed, the least recently used first.
     #[serde(alias = "never")]
     LeastRecentlyUsed,
-    /// When the expected idle time until the next request costs more than a cold start.
+    /// Unload a copy when keeping it until its next request is expected to cost more than a cold
+    /// start, judged by the gaps between the model's requests.
     Learned {
-        /// The price of a second of cold start, in seconds of a whole accelerator.
+        /// The cost of one second of cold start, in seconds of a whole idle accelerator.
         cold_second_price: f64,
     },
 }
@@ -30,52 +32,55 @@
     }
 }
 
-/// What the rules need to know of a copy.
+/// The properties of an idle copy by which the rules decide.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleCopy<'a> {
-    /// How long it has been idle.
+    /// How long the copy has been idle.
     pub idle_ms: Millis,
     /// How long a cold start takes.
     pub cold_start_ms: Millis,
-    /// The part of an accelerator that it holds, from 0 to 1.
+    /// The share of the engine's accelerator memory that the copy holds, from 0 to 1.
     pub accelerator_share: f64,
-    /// The gaps between the model's requests.
-    pub gaps: &'a Gaps,
+    /// The gaps between the model's requests so far.
+    pub gaps: &'a GapHistogram,
 }
 
 impl KeepWarmRule {
-    /// Tells whether an idle copy is to be unloaded though nobody needs the memory.
+    /// Returns whether an idle copy is to be unloaded although its memory is not needed.
     pub fn is_due(&self, copy: &IdleCopy<'_>) -> bool {
         match self {
             Self::FixedTimeout { idle_ms } => copy.idle_ms >= *idle_ms,
             Self::LeastRecentlyUsed => false,
             Self::Learned { cold_second_price } => {
                 let cold_cost = cold_second_price * seconds(copy.cold_start_ms);
-                let idle_price = copy.accelerator_share.max(f64::EPSILON);
+                let accelerator_share = copy.accelerator_share.max(f64::EPSILON);
                 !copy
                     .gaps
-                    .is_worth_waiting(copy.idle_ms, cold_cost / idle_price)
+                    .is_worth_keeping(copy.idle_ms, cold_cost / accelerator_share)
             }
         }
     }
 
-    /// Returns what a copy is worth when memory is needed; the least valuable goes first.
+    /// Returns the value of keeping a copy; when memory is needed, the copy with the lowest value
+    /// is unloaded first.
     ///
-    /// Under the learned rule that is the cold start saved for each second and share of an accelerator
-    /// until the next request; under the others only the last request counts.
+    /// Under [`KeepWarmRule::Learned`] the value is the duration of the cold start that is saved,
+    /// divided by the accelerator time that the copy holds until its next expected request. Under
+    /// the other rules it depends only on the time since the last request.
     pub fn value(&self, copy: &IdleCopy<'_>) -> f64 {
         let idle_s = seconds(copy.idle_ms).max(0.001);
         match self {
             Self::FixedTimeout { .. } | Self::LeastRecentlyUsed => 1.0 / idle_s,
             Self::Learned { .. } => {
                 let wait_s = copy.gaps.expected_wait_s(copy.idle_ms).unwrap_or(idle_s);
-                let held = wait_s.max(0.001) * copy.accelerator_share.max(f64::EPSILON);
-                seconds(copy.cold_start_ms) / held
+                let held_accelerator_s =
+                    wait_s.max(0.001) * copy.accelerator_share.max(f64::EPSILON);
+                seconds(copy.cold_start_ms) / held_accelerator_s
             }
         }
     }
 }
 
-fn seconds(span_ms: Millis) -> f64 {
-    span_ms.0 as f64 / 1_000.0
+fn seconds(duration_ms: Millis) -> f64 {
+    duration_ms.0 as f64 / 1_000.0
 }
--- a/src/placement/policy/mod.rs
+++ b/src/placement/policy/mod.rs
@@ -1,8 +1,9 @@
-//! Placement policy: where to load, when to refuse, what to keep warm.
+//! Placement policy: on which engine to load a model, how long that takes, and how long idle copies
+//! stay loaded.
 
 pub mod choice;
 pub mod demand;
-pub mod gaps;
+pub mod gap_histogram;
 pub mod keep_warm;
 
 #[cfg(test)]
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of the policies, and their cost over a seeded trace.
+//! Tests of the placement policies, and the costs of the keep-warm rules over a seeded trace.
 
 use crate::placement::decided::Places;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
 use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose, store_wait_ms};
 use crate::placement::policy::demand::{UseHint, Uses};
-use crate::placement::policy::gaps::Gaps;
+use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::placement::policy::keep_warm::{IdleCopy, KeepWarmRule};
 use crate::placement::test_site::{A, TestLog};
 use crate::prelude::*;
 use crate::table::message::{StoreLimits, Urgency};
 
-fn gaps(seconds: &[u64]) -> Gaps {
-    let mut gaps = Gaps::default();
+fn gaps(seconds: &[u64]) -> GapHistogram {
+    let mut gaps = GapHistogram::default();
     for gap in seconds {
         gaps.note(Millis(gap * 1_000));
     }
@@ -19,38 +19,38 @@
 }
 
 #[test]
-fn without_history_a_copy_is_kept_as_long_as_a_cold_start_is_worth() {
-    let none = Gaps::default();
-    assert!(none.is_worth_waiting(Millis(99_000), 100.0));
-    assert!(!none.is_worth_waiting(Millis(100_000), 100.0));
+fn without_history_a_copy_is_kept_for_the_cost_of_a_cold_start() {
+    let none = GapHistogram::default();
+    assert!(none.is_worth_keeping(Millis(99_000), 100.0));
+    assert!(!none.is_worth_keeping(Millis(100_000), 100.0));
 }
 
 #[test]
 fn a_model_used_every_few_seconds_is_kept_and_one_used_daily_is_not() {
     let often = gaps(&[5, 6, 5, 7, 5, 6]);
-    assert!(often.is_worth_waiting(Millis(1_000), 30.0));
+    assert!(often.is_worth_keeping(Millis(1_000), 30.0));
     let daily = gaps(&[80_000, 81_000, 79_000, 82_000, 80_000]);
-    assert!(!daily.is_worth_waiting(Millis(1_000), 30.0));
+    assert!(!daily.is_worth_keeping(Millis(1_000), 30.0));
 }
 
 #[test]
-fn a_copy_past_its_usual_gap_is_given_up() {
+fn a_copy_that_is_idle_for_longer_than_its_usual_gaps_is_not_kept() {
     let often = gaps(&[5, 6, 5, 7, 5, 6]);
-    assert!(!often.is_worth_waiting(Millis(60_000), 30.0));
+    assert!(!often.is_worth_keeping(Millis(60_000), 30.0));
 }
 
 #[test]
-fn the_gap_counts_stay_bounded() {
-    let mut gaps = Gaps::default();
+fn the_gap_histogram_stays_bounded() {
+    let mut gaps = GapHistogram::default();
     for gap in 0..100_000 {
         gaps.note(Millis(gap));
     }
-    assert!(gaps.is_worth_waiting(Millis(0), 1_000.0));
-    assert!(size_of::<Gaps>() <= 32);
+    assert!(gaps.is_worth_keeping(Millis(0), 1_000.0));
+    assert!(size_of::<GapHistogram>() <= 32);
 }
 
 #[test]
-fn hints_of_other_hosts_make_gaps_and_hold_a_model_busy() {
+fn hints_of_other_hosts_count_as_use_of_a_model() {
     let mut uses = Uses::default();
     let model: Name = "m".into();
     uses.note_own(Millis(10_000), &model);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_engine_with_the_checkpoint_near_is_taken_before_one_with_more_memory() {
+fn an_engine_that_caches_the_checkpoint_is_chosen_before_one_with_more_memory() {
     let mut log = TestLog::new();
     log.put_model("other", "1", None, 1);
     log.put_model("m", "1", None, 1);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_adapter_brings_its_base_first_and_then_goes_beside_it() {
+fn the_base_model_of_an_adapter_is_loaded_first_and_the_adapter_on_the_same_engine() {
     let mut log = TestLog::new();
     log.put_model("base", "1", None, 1);
     log.put_model("adapter", "1", Some("base"), 1);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_model_too_large_for_every_engine_is_never_loaded_and_a_full_site_must_make_room() {
+fn a_model_too_large_for_every_engine_is_never_loaded_and_on_full_engines_memory_is_freed_first() {
     let mut log = TestLog::new();
     for model in ["a", "b", "c", "d", "e"] {
         log.put_model(model, "1", None, 1);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_load_waits_for_the_stores_slots() {
+fn a_load_waits_for_the_parallel_loads_of_the_weight_store() {
     let limits = StoreLimits {
         parallel_loads: 4,
         loads_per_s: 2,
@@ -167,9 +167,10 @@
     assert_eq!(store_wait_ms(4, &limits, Millis(8_000)), Millis(2_000));
 }
 
-/// The cost of a rule over a trace of one model's requests: idle seconds and cold starts.
+/// Replays the gaps between one model's requests under a rule. Returns the seconds for which the
+/// model was loaded but idle, and the number of cold starts.
 fn replay(rule: KeepWarmRule, gaps_s: &[u64], cold_start_ms: Millis) -> (u64, u64) {
-    let mut gaps = Gaps::default();
+    let mut gaps = GapHistogram::default();
     let (mut idle_s, mut cold_starts) = (0, 0);
     for gap in gaps_s {
         let kept_s = (0..*gap).find(|second| {
@@ -187,7 +188,8 @@
     (idle_s, cold_starts)
 }
 
-/// Models of three kinds: used in bursts, used regularly, used hardly ever.
+/// Returns the gaps in seconds of one of three kinds of models: used in bursts (0), used regularly
+/// (1), and rarely used (2).
 fn trace(kind: usize, rng: &mut fastrand::Rng) -> Vec<u64> {
     (0..60)
         .map(|_| match kind {
@@ -201,7 +203,8 @@
 
 #[test]
 fn the_learned_rule_costs_less_than_a_fixed_timeout_and_lru_over_a_seeded_trace() {
-    const PRICE: f64 = 10.0;
+    /// Seconds of idle accelerator that a second of cold start costs.
+    const COLD_SECOND_PRICE: f64 = 10.0;
     const COLD_START_MS: Millis = Millis(30_000);
     let rules = [
         KeepWarmRule::FixedTimeout {
@@ -209,7 +212,7 @@
         },
         KeepWarmRule::LeastRecentlyUsed,
         KeepWarmRule::Learned {
-            cold_second_price: PRICE,
+            cold_second_price: COLD_SECOND_PRICE,
         },
     ];
     let costs = rules.map(|rule| {
@@ -219,7 +222,7 @@
             let (idle_s, cold_starts) = replay(rule, &trace(model % 3, &mut rng), COLD_START_MS);
             total = (total.0 + idle_s, total.1 + cold_starts);
         }
-        let cold_s = total.1 as f64 * PRICE * COLD_START_MS.0 as f64 / 1_000.0;
+        let cold_s = total.1 as f64 * COLD_SECOND_PRICE * COLD_START_MS.0 as f64 / 1_000.0;
         println!("{rule:?}: idle {} s, cold starts {}", total.0, total.1);
         total.0 as f64 + cold_s
     });
--- a/src/placement/presence.rs
+++ b/src/placement/presence.rs
@@ -1,32 +1,34 @@
-//! Which ready copies the engines still report.
+//! Detects ready copies that their engines do not report.
 //!
-//! Reports lag, so that a copy which no report has shown yet is given longer than one that was shown
-//! and then no more. A copy that is missing is unloaded by an ordinary order: only the engine's own
-//! answer to it frees the memory.
+//! Reports lag behind the log, so a copy that no report has listed yet may be missing for longer
+//! than one that was listed before. A missing copy is unloaded by an ordinary order, since only the
+//! engine's own answer to an order frees the memory.
 
 use crate::placement::copies::{CopyState, Placement};
 use crate::placement::message::EngineReport;
 use crate::prelude::*;
 
-/// How long a copy that was reported before may be missing.
+/// How long a copy that was reported before may be absent from its engine's reports.
 pub const MISSING_MS: Millis = Millis(1_500);
-/// How long a copy that was never reported may be missing.
+/// How long a copy that was never reported may be absent from its engine's reports.
 pub const NEVER_REPORTED_MS: Millis = Millis(30_000);
 
+/// What the reports of its engine have shown of a copy.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct View {
+struct CopyReports {
     was_reported: bool,
+    /// When the first report without the copy arrived since the last one that listed it.
     missing_since: Option<Millis>,
 }
 
-/// What the engines' reports say of ready copies, by copy.
+/// For each ready copy, by id, whether and since when its engine's reports do not list it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Presence {
-    views: IndexMap<Offset, View>,
+    views: IndexMap<Offset, CopyReports>,
 }
 
 impl Presence {
-    /// Takes an engine's report.
+    /// Updates the copies on an upstream from its report, which arrived at `now`.
     pub fn on_report(
         &mut self,
         now: Millis,
@@ -39,31 +41,32 @@
                 self.views.swap_remove(id);
                 continue;
             }
-            let view = self.views.entry(*id).or_default();
+            let reports = self.views.entry(*id).or_default();
             if report.copies.iter().any(|reported| reported.order == *id) {
-                view.was_reported = true;
-                view.missing_since = None;
+                reports.was_reported = true;
+                reports.missing_since = None;
             } else {
-                view.missing_since.get_or_insert(now);
+                reports.missing_since.get_or_insert(now);
             }
         }
     }
 
-    /// Tells whether a copy has been missing for too long.
+    /// Returns whether a copy has been absent from its engine's reports for too long.
     pub fn is_missing(&self, now: Millis, copy: Offset) -> bool {
-        let Some(view) = self.views.get(&copy) else {
+        let Some(reports) = self.views.get(&copy) else {
             return false;
         };
-        let bound_ms = if view.was_reported {
+        let bound_ms = if reports.was_reported {
             MISSING_MS
         } else {
             NEVER_REPORTED_MS
         };
-        view.missing_since
+        reports
+            .missing_since
             .is_some_and(|since| now.since(since) >= bound_ms)
     }
 
-    /// Forgets copies that are gone.
+    /// Removes the copies that no longer exist.
     pub fn retain(&mut self, placement: &Placement) {
         self.views.retain(|id, _| placement.copies.contains_key(id));
     }
--- a/src/placement/retire.rs
+++ b/src/placement/retire.rs
@@ -1,27 +1,28 @@
-//! Why a ready copy is to go whatever the demand for it.
+//! The reasons to unload a ready copy regardless of the demand for it.
 
 use crate::placement::copies::{Copy, CopyState};
 use crate::placement::decided::DecidedCopies;
 use crate::prelude::*;
 use crate::table::Table;
 
-/// Why a copy is to go.
+/// The reason to unload a copy. Written to the log line of the unload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetireReason {
-    /// The table has another version of the model, or no model.
+    /// The table has another version of the model, or no longer has the model.
     OldVersion,
-    /// The table asks for fewer copies.
+    /// The table now configures fewer copies of the model.
     Surplus,
-    /// A row allows the model in other data centres only.
+    /// A row of the table allows the model in other data centres only.
     DataCentre,
-    /// The upstream is leaving.
+    /// The upstream that holds the copy is leaving.
     UpstreamLeaving,
-    /// The engine no longer reports it.
+    /// The engine does not report the copy (any more).
     Missing,
 }
 
-/// Returns why a copy is to go by the table, if it is.
+/// Returns the reason in the table to unload a copy: [`RetireReason::OldVersion`],
+/// [`RetireReason::Surplus`], or `None` if there is none or the copy is not ready.
 pub fn retired_by_table(
     copy: &Copy,
     decided: &DecidedCopies,
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -1,4 +1,4 @@
-//! The fold and the choice at the sizes to design for.
+//! Speed tests: applying records and choosing an engine at the sizes designed for.
 
 use crate::placement::decided::Places;
 use crate::placement::message::OrderOutcome;
@@ -11,13 +11,15 @@
 const MODELS: usize = 54_410;
 const UPSTREAMS: usize = 6_600;
 const LOADS: usize = 200;
-/// Far above what was measured; a scan of all copies for each record would pass it.
-const LEAST_PACE: Duration = Duration::from_millis(100);
+/// The longest time per record or choice: far above the usual one, but a scan of all copies for
+/// each record takes longer.
+const MAX_DURATION: Duration = Duration::from_millis(100);
 
 fn name(kind: &str, number: usize) -> Name {
     format!("{kind}-{number}").into()
 }
 
+/// Creates a log with the numbers of engines and models that the system is designed for.
 fn large_site() -> TestLog {
     let mut log = TestLog::new();
     for number in 0..UPSTREAMS {
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn the_fold_and_the_choice_keep_pace_with_the_sizes_to_design_for() {
+fn applying_records_and_choosing_an_engine_stay_fast_at_the_sizes_designed_for() {
     let mut log = large_site();
     for number in 0..UPSTREAMS {
         let body = log.load_body(&name("model", number), 0, &name("engine", number));
@@ -64,7 +66,7 @@
         log.accept(A, RecordBody::Unload { copy });
         log.end(A, copy, OrderOutcome::Done);
     }
-    let fold = started.elapsed() / (LOADS as u32 * 4);
+    let per_record = started.elapsed() / (LOADS as u32 * 4);
     let started = Instant::now();
     for number in 0..LOADS {
         let view = LoadView {
@@ -83,8 +85,8 @@
         });
         assert!(matches!(choice, Choice::Load(_)));
     }
-    let choosing = started.elapsed() / LOADS as u32;
-    println!("a record {fold:?}, a choice {choosing:?}");
-    assert!(fold < LEAST_PACE);
-    assert!(choosing < LEAST_PACE);
+    let per_choice = started.elapsed() / LOADS as u32;
+    println!("per record {per_record:?}, per choice {per_choice:?}");
+    assert!(per_record < MAX_DURATION);
+    assert!(per_choice < MAX_DURATION);
 }
--- a/src/placement/test_site.rs
+++ b/src/placement/test_site.rs
@@ -1,4 +1,4 @@
-//! A fold with a table, hosts and engines, for the tests of this slice.
+//! A log with a table, hosts and engines, and the state derived from it, for the placement tests.
 
 use crate::membership::message::{HostEntry, UpstreamEntry, UpstreamRole};
 use crate::placement::copies::{Copy, Placement};
@@ -9,12 +9,13 @@
 use crate::shared_log::record::LoggedRecord;
 use crate::table::message::{Change, Edit, Model, Row, RowKey, StoreLimits};
 
+/// The accelerator memory of each engine.
 pub const MEMORY_BYTES: u64 = 100;
 pub const A: Incarnation = Incarnation(1);
 pub const B: Incarnation = Incarnation(2);
 pub const C: Incarnation = Incarnation(3);
 
-/// A log with its fold.
+/// A log, the state derived from it, and the log's clock.
 #[derive(Clone, Debug, Default)]
 pub struct TestLog {
     pub shared: Shared,
@@ -25,7 +26,8 @@
 }
 
 impl TestLog {
-    /// A log with the hosts A, B and C, and the engines "checks" and "ignores".
+    /// Creates a log with the hosts A, B and C, and two engines: "checks" refuses orders with an
+    /// old fencing number, "ignores" does not look at it.
     pub fn new() -> Self {
         let mut log = Self {
             now: Millis(10_000),
@@ -44,6 +46,7 @@
         log
     }
 
+    /// Appends and applies a record.
     pub fn append(&mut self, host: Incarnation, body: RecordBody) -> Verdict {
         let seq = self.last_seq.entry(host).or_default();
         *seq += 1;
@@ -61,12 +64,14 @@
         }
     }
 
+    /// Appends a record that must be accepted, and returns its offset.
     pub fn accept(&mut self, host: Incarnation, body: RecordBody) -> Offset {
         let offset = self.shared.next_offset;
         assert_eq!(self.append(host, body), Verdict::Accepted);
         offset
     }
 
+    /// Appends a record that must be rejected.
     pub fn reject(&mut self, host: Incarnation, body: RecordBody) -> Rejection {
         match self.append(host, body) {
             Verdict::Rejected(rejection) => rejection,
@@ -99,6 +104,7 @@
         self.accept(A, RecordBody::Edit { edit });
     }
 
+    /// Adds or replaces a model, with a row that configures this number of copies.
     pub fn put_model(&mut self, name: &str, version: &str, base: Option<&str>, copies: u32) {
         let model = Model {
             version: version.into(),
@@ -145,6 +151,7 @@
         self.accept(host, body)
     }
 
+    /// Records the outcome of a copy's order, under its current fencing number.
     pub fn end(&mut self, host: Incarnation, copy: Offset, outcome: OrderOutcome) -> Verdict {
         let fence = self.copy(copy).fence;
         self.append(
@@ -157,23 +164,23 @@
         )
     }
 
-    /// Evicts a host and lets another one take an order over.
+    /// Evicts a host and makes another one take over an order.
     pub fn take_over(&mut self, from: Incarnation, to: Incarnation, copy: Offset) {
         self.accept(to, RecordBody::Evict { host: from });
         self.accept(to, RecordBody::Takeover { copy });
     }
 
-    /// Lets a departed host be gone.
-    pub fn gone(&mut self, host: Incarnation) {
-        let witness = if host == C { B } else { C };
+    /// Records that the process of a departed host has ended.
+    pub fn process_ended(&mut self, host: Incarnation) {
+        let writer = if host == C { B } else { C };
         self.append(
-            witness,
+            writer,
             RecordBody::Counted {
                 host,
                 confirmed_offset: self.shared.next_offset,
             },
         );
-        self.accept(witness, RecordBody::Gone { host });
+        self.accept(writer, RecordBody::Gone { host });
     }
 
     pub fn placement(&self) -> &Placement {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fold's part of placement.
+//! Tests of the placement state derived from the log.
 
 use crate::placement::copies::{CopyState, Placement};
 use crate::placement::decided::DecidedCopies;
@@ -8,7 +8,7 @@
 use crate::table::message::{Change, StoreLimits};
 
 #[test]
-fn a_burst_of_the_same_load_gives_one() {
+fn concurrent_loads_of_a_model_create_one_copy() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     log.load(A, "m", "checks");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_engine_takes_one_copy_of_a_model() {
+fn an_engine_holds_one_copy_of_a_model() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 2);
     log.load(A, "m", "checks");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_failed_load_frees_its_memory_at_once_when_nobody_else_may_send_it() {
+fn a_failed_load_without_former_executors_frees_its_memory_at_once() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let copy = log.load(A, "m", "ignores");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_failed_load_stays_counted_until_its_former_executor_is_gone() {
+fn a_failed_load_keeps_its_memory_until_its_former_executor_has_ended() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let copy = log.load(A, "m", "ignores");
@@ -51,13 +51,13 @@
     let body = log.load_body("m", 0, "checks");
     assert_eq!(log.reject(B, body), Rejection::CopyExists);
 
-    log.gone(A);
+    log.process_ended(A);
     assert_eq!(log.placement().reserved_bytes("ignores"), 0);
     log.load(B, "m", "checks");
 }
 
 #[test]
-fn a_failed_load_stays_counted_until_its_former_executor_gives_it_up() {
+fn a_failed_load_keeps_its_memory_until_its_former_executor_relinquishes_it() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let copy = log.load(A, "m", "ignores");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_unload_that_another_host_finished_stays_counted_on_an_engine_that_ignores_fencing() {
+fn an_unload_after_a_takeover_keeps_its_memory_on_an_engine_that_ignores_fencing() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let copy = log.load(A, "m", "ignores");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_checking_engine_frees_memory_with_a_former_executor_alive() {
+fn an_engine_that_checks_fencing_frees_memory_while_a_former_executor_lives() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let copy = log.load(A, "m", "checks");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn nobody_says_not_sent_for_a_former_executor() {
+fn an_order_that_a_former_executor_may_send_cannot_end_as_not_sent() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let copy = log.load(A, "m", "ignores");
@@ -123,12 +123,12 @@
         log.reject(B, RecordBody::Unload { copy }),
         Rejection::ExecutorAlive
     );
-    log.gone(A);
+    log.process_ended(A);
     log.accept(B, RecordBody::Unload { copy });
 }
 
 #[test]
-fn a_base_stays_while_an_adapter_needs_it() {
+fn a_base_model_is_not_unloaded_while_an_adapter_needs_it() {
     let mut log = TestLog::new();
     log.put_model("base", "1", None, 1);
     log.put_model("adapter", "1", Some("base"), 1);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_new_version_waits_for_the_end_of_the_old_one() {
+fn a_new_version_is_loaded_only_after_the_old_one_was_unloaded() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     let old = log.load(A, "m", "checks");
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_gone_engine_takes_its_copies_along() {
+fn the_copies_of_an_engine_that_is_gone_are_removed() {
     let mut log = TestLog::new();
     log.put_model("m", "1", None, 1);
     log.load(A, "m", "checks");
@@ -184,9 +184,10 @@
     log.load(B, "m", "ignores");
 }
 
-/// Any sequence of records keeps the bounds, and a decoded fold goes on like the original.
+/// Any sequence of records keeps the bounds of memory, copies and loads, and the state is the same
+/// after it was encoded and decoded, as for a checkpoint.
 #[test]
-fn any_records_keep_the_bounds() {
+fn any_sequence_of_records_keeps_the_bounds() {
     arbtest::arbtest(|u| {
         let mut log = TestLog::new();
         let models = ["m", "n", "base", "adapter"];
@@ -273,15 +274,15 @@
         let copies = placement.copies_of(model).count();
         assert!(copies <= decided.of(model) as usize);
     }
-    let scanned = placement
+    let loading = placement
         .copies
         .values()
         .filter(|copy| copy.state == CopyState::Loading)
         .count();
-    assert_eq!(scanned, placement.loading());
-    assert!(scanned <= 2);
+    assert_eq!(loading, placement.loading());
+    assert!(loading <= 2);
     for copy in placement.copies.values() {
-        let ends_in_hand = copy.state == CopyState::Ended;
-        assert!(!ends_in_hand || !copy.former.is_empty());
+        let is_ended = copy.state == CopyState::Ended;
+        assert!(!is_ended || !copy.former.is_empty());
     }
 }
