--- a/src/idempotency/claims.rs
+++ b/src/idempotency/claims.rs
@@ -1,28 +1,31 @@
-//! The fold's part of idempotency: the first claim of an operation wins.
+//! The claims of operations, as derived from the log: the first claim of an operation wins.
+//!
+//! Like all state that is folded from the log, they are the same at every host that has applied the
+//! same records.
 
 use crate::idempotency::message::{ClaimEnd, ClaimOutcome, ClaimRequest, OperationKey};
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// Most claims remembered.
+/// Most claims that are kept.
 pub const MAX_CLAIMS: usize = 200_000;
 
-/// A claim that won.
+/// The claim that won an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The offset of its record.
+    /// The offset of the record with the claim.
     pub offset: Offset,
-    /// Who runs the operation.
+    /// The host that made the claim and runs the operation.
     pub claimant: Incarnation,
-    /// SHA-256 of the request.
+    /// SHA-256 of the request, as in [`ClaimRequest::request_sha256`].
     pub request_sha256: Name,
-    /// When it is forgotten, by the log's clock.
+    /// When the claim expires, by the log's clock.
     pub expires_ms: Millis,
-    /// How it ended, once it has.
+    /// The outcome of the operation, once it is known.
     pub outcome: Option<ClaimOutcome>,
 }
 
-/// The claims, with an index by the time at which they are forgotten.
+/// The claims that have not expired, with an index by their time of expiry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "ClaimList", into = "ClaimList")]
 pub struct Claims {
@@ -31,27 +34,28 @@
 }
 
 impl Claims {
-    /// Returns how many claims are remembered.
+    /// Returns the number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Tells whether none is remembered.
+    /// Returns whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Returns the claim of an operation.
+    /// Returns the claim that won an operation.
     pub fn get(&self, operation: &OperationKey) -> Option<&Claim> {
         self.claims.get(operation)
     }
 
-    /// Takes a batch of claims. Each one wins unless its operation is claimed already; who won is
-    /// seen by [`Claims::get`].
+    /// Applies a batch of claims. Each claim wins unless its operation is claimed already;
+    /// [`Claims::get`] returns the winner.
     ///
     /// # Errors
     ///
-    /// Rejects the whole batch when too many claims are remembered.
+    /// Returns [`Rejection::Full`], and applies none of the batch, if there would be more than
+    /// [`MAX_CLAIMS`].
     pub fn claim(
         &mut self,
         offset: Offset,
@@ -59,7 +63,7 @@
         claimant: Incarnation,
         requests: &[ClaimRequest],
     ) -> Result<(), Rejection> {
-        self.forget_expired(now);
+        self.remove_expired(now);
         if self.claims.len() + requests.len() > MAX_CLAIMS {
             return Err(Rejection::Full);
         }
@@ -79,11 +83,13 @@
         Ok(())
     }
 
-    /// Takes the ends of claims of one claimant. A claim that did not run is released.
+    /// Applies the outcomes of claims of one claimant. A claim whose operation did not run is
+    /// released, so that the operation can be claimed again.
     ///
     /// # Errors
     ///
-    /// Rejects nothing: ends of claims that are not the claimant's are passed over.
+    /// Returns no error: outcomes of operations that another host claimed, or whose outcome is
+    /// already known, are ignored.
     pub fn end(&mut self, claimant: Incarnation, ends: &[ClaimEnd]) -> Result<(), Rejection> {
         for end in ends {
             let Some(claim) = self.claims.get_mut(&end.operation) else {
@@ -121,8 +127,8 @@
         }
     }
 
-    /// Forgets what has expired. Its cost depends on the number forgotten only.
-    fn forget_expired(&mut self, now: Millis) {
+    /// Removes the expired claims. The cost depends only on the number of claims removed.
+    fn remove_expired(&mut self, now: Millis) {
         while let Some(bucket) = self.by_expiry.first_entry() {
             if *bucket.key() > now {
                 return;
@@ -134,14 +140,14 @@
     }
 }
 
-/// The claims as a list, since JSON maps take text keys only.
+/// The claims as they are stored: a list, since JSON maps can only have strings as keys.
 #[derive(Serialize, Deserialize)]
 struct ClaimList {
-    claims: Vec<ClaimLine>,
+    claims: Vec<ClaimEntry>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct ClaimLine {
+struct ClaimEntry {
     operation: OperationKey,
     claim: Claim,
 }
@@ -149,8 +155,8 @@
 impl From<ClaimList> for Claims {
     fn from(list: ClaimList) -> Self {
         let mut claims = Self::default();
-        for line in list.claims {
-            claims.insert(line.operation, line.claim);
+        for entry in list.claims {
+            claims.insert(entry.operation, entry.claim);
         }
         claims
     }
@@ -158,8 +164,8 @@
 
 impl From<Claims> for ClaimList {
     fn from(claims: Claims) -> Self {
-        let lines = claims.claims.into_iter();
-        let claims = lines.map(|(operation, claim)| ClaimLine { operation, claim });
+        let entries = claims.claims.into_iter();
+        let claims = entries.map(|(operation, claim)| ClaimEntry { operation, claim });
         Self {
             claims: claims.collect(),
         }
--- a/src/idempotency/finished.rs
+++ b/src/idempotency/finished.rs
@@ -1,14 +1,14 @@
-//! The finished operations of this host, with their answers, within bounds of count, bytes and time.
+//! The operations that finished at this host, with their answers; bounded by number, bytes and age.
 
 use crate::idempotency::message::{KeptAnswer, OperationKey, OperationState};
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// Most finished operations kept.
+/// Most finished operations that are kept.
 pub const MAX_FINISHED: usize = 10_000;
-/// Most bytes of answers kept.
+/// Most bytes of answer bodies that are kept in all.
 pub const MAX_FINISHED_BYTES: usize = 16 << 20;
-/// The longest answer that is kept.
+/// The longest answer body that is kept, in bytes.
 pub const MAX_KEPT_ANSWER_BYTES: usize = 256 << 10;
 /// How long a finished operation is kept.
 pub const FINISHED_KEEP_MS: Millis = Millis(15 * 60_000);
@@ -19,18 +19,23 @@
     state: OperationState,
 }
 
-/// The finished operations, oldest first.
+/// The operations that finished at this host. Serialising leaves the operations and their answers
+/// out.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FinishedOperations {
     #[serde(skip)]
     by_key: IndexMap<OperationKey, Finished>,
     #[serde(skip)]
+    /// The operations in the order of insertion. An operation that was inserted again also has an
+    /// older element here, which is skipped.
     order: VecDeque<(Millis, OperationKey)>,
+    /// The bytes of all answer bodies in `by_key`.
     bytes: usize,
 }
 
 impl FinishedOperations {
-    /// Keeps how an operation ended; the oldest ones give way.
+    /// Stores the final state of an operation. If a bound is exceeded, the oldest operations are
+    /// removed.
     pub fn insert(&mut self, now: Millis, operation: OperationKey, state: OperationState) {
         self.remove(&operation);
         self.bytes += body_bytes(&state);
@@ -39,27 +44,27 @@
         self.expire(now);
     }
 
-    /// Returns how an operation ended, while that is kept.
+    /// Returns the final state of an operation, if it is still kept.
     pub fn get(&self, operation: &OperationKey) -> Option<&OperationState> {
         self.by_key.get(operation).map(|finished| &finished.state)
     }
 
-    /// Returns how many operations are kept.
+    /// Returns the number of operations that are kept.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Tells whether none is kept.
+    /// Returns whether no operation is kept.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Returns how many bytes of answers are kept.
+    /// Returns the number of bytes of answer bodies that are kept.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Drops what is too old or too much.
+    /// Removes the operations that are too old, and the oldest ones while a bound is exceeded.
     pub fn expire(&mut self, now: Millis) {
         while let Some((at, operation)) = self.order.front() {
             let too_old = now.since(*at) > FINISHED_KEEP_MS;
@@ -83,7 +88,8 @@
     }
 }
 
-/// Returns the state to keep of an answer: the answer itself unless it is too long.
+/// Returns the state to store for an answer: with the answer, unless that is longer than
+/// [`MAX_KEPT_ANSWER_BYTES`].
 pub fn kept_state(answer: KeptAnswer) -> OperationState {
     if answer.body.len() > MAX_KEPT_ANSWER_BYTES {
         return OperationState::AnswerNotKept;
--- a/src/idempotency/message.rs
+++ b/src/idempotency/message.rs
@@ -1,76 +1,76 @@
-//! What is said about claims.
+//! Messages about claims and the state of operations, on the log and between hosts.
 
 use crate::clock::Millis;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Names an operation: the brand, the service, and the caller's key.
+/// Identifies an operation: the caller's key is unique per brand and service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OperationKey {
-    /// The brand.
+    /// The brand of the caller.
     pub brand: Arc<str>,
-    /// The service or model.
+    /// The service or model that is called.
     pub service: Arc<str>,
-    /// The caller's `Idempotency-Key`.
+    /// The value of the caller's `Idempotency-Key` header.
     pub key: Arc<str>,
 }
 
 /// A claim to run an operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The operation.
+    /// The operation to claim.
     #[serde(flatten)]
     pub operation: OperationKey,
-    /// SHA-256 of method, path and body, as hex digits: the same key must carry the same request.
+    /// SHA-256 of method, path and body as hex digits, to refuse another request with the same key.
     pub request_sha256: Arc<str>,
-    /// How long the claim is remembered.
+    /// How long the claim is kept after it was recorded, by the log's clock.
     pub keep_ms: Millis,
 }
 
-/// How a claim ended.
+/// The outcome of a claimed operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimOutcome {
-    /// It ran and was answered.
+    /// The operation ran and was answered.
     Answered,
-    /// It certainly did not run; the key may be claimed again.
+    /// The operation certainly did not run; its key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The operation may have run.
     Unknown,
 }
 
-/// The end of a claim.
+/// The end of a claim, as recorded on the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimEnd {
-    /// The operation.
+    /// The claimed operation.
     #[serde(flatten)]
     pub operation: OperationKey,
-    /// How it ended.
+    /// The outcome of the operation.
     pub outcome: ClaimOutcome,
 }
 
-/// An answer that is kept for later arrivals of its operation.
+/// An answer that is kept for further requests of the same operation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body's type.
+    /// The value of the `Content-Type` header, if there is one.
     pub content_type: Option<Arc<str>>,
-    /// The body.
+    /// The body of the answer.
     pub body: Arc<[u8]>,
 }
 
-/// What the host that claimed an operation says of it.
+/// The state of an operation, as stated by the host that claimed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperationState {
-    /// It is claimed, waits, or runs.
+    /// The operation is being claimed, waits, or runs.
     Running,
-    /// It was answered.
+    /// The operation ran and was answered.
     Answered(KeptAnswer),
-    /// It was answered, and the answer is no longer kept.
+    /// The operation ran and was answered, but the answer is not kept.
     AnswerNotKept,
-    /// It certainly did not run; its claim is being released.
+    /// The operation certainly did not run; its claim is being released.
     NotRun,
-    /// It may have run.
+    /// The operation may have run.
     Unknown,
 }
--- a/src/idempotency/tests/fold.rs
+++ b/src/idempotency/tests/fold.rs
@@ -1,4 +1,4 @@
-//! Claims in the fold, and the store of finished operations.
+//! Tests of the claims derived from the log, and of the store of finished operations.
 
 use crate::idempotency::claims::{Claims, MAX_CLAIMS};
 use crate::idempotency::finished::{
@@ -56,14 +56,14 @@
     assert_eq!(
         claimant(&claims, 1),
         Some(FIRST),
-        "only the claimant releases"
+        "only the claimant may release its claim"
     );
     claims.end(FIRST, &[end(1, ClaimOutcome::NotRun)]).unwrap();
     assert_eq!(claimant(&claims, 1), None);
 }
 
 #[test]
-fn an_outcome_stays_and_a_claim_with_one_is_not_released() {
+fn a_claim_with_an_outcome_keeps_it_and_is_not_released() {
     let mut claims = Claims::default();
     claims
         .claim(Offset(1), Millis(0), FIRST, &[claim(1)])
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn claims_expire_by_the_logs_clock_and_are_bounded() {
+fn claims_expire_by_the_clock_of_the_log_and_are_bounded() {
     let mut claims = Claims::default();
     let all: Vec<ClaimRequest> = (0..MAX_CLAIMS).map(claim).collect();
     claims.claim(Offset(1), Millis(0), FIRST, &all).unwrap();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn claims_survive_a_checkpoint_and_expire_after_it() {
+fn claims_are_restored_from_a_checkpoint_and_then_expire() {
     let mut claims = Claims::default();
     claims
         .claim(Offset(1), Millis(0), FIRST, &[claim(1)])
@@ -96,12 +96,13 @@
         .claim(Offset(2), Millis(50), FIRST, &[claim(2)])
         .unwrap();
     let text = serde_json::to_string(&claims).unwrap();
-    let mut read: Claims = serde_json::from_str(&text).unwrap();
-    assert_eq!(read, claims);
-    read.claim(Offset(3), Millis(120), SECOND, &[claim(1)])
+    let mut restored: Claims = serde_json::from_str(&text).unwrap();
+    assert_eq!(restored, claims);
+    restored
+        .claim(Offset(3), Millis(120), SECOND, &[claim(1)])
         .unwrap();
-    assert_eq!(claimant(&read, 1), Some(SECOND));
-    assert_eq!(claimant(&read, 2), Some(FIRST));
+    assert_eq!(claimant(&restored, 1), Some(SECOND));
+    assert_eq!(claimant(&restored, 2), Some(FIRST));
 }
 
 fn answer(bytes: usize) -> KeptAnswer {
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn finished_operations_are_bounded_by_count_bytes_and_time() {
+fn finished_operations_are_bounded_by_count_bytes_and_age() {
     let mut finished = FinishedOperations::default();
     for number in 0..=MAX_FINISHED {
         finished.insert(Millis(1), operation(number), OperationState::Unknown);
--- a/src/idempotency/tests/operations.rs
+++ b/src/idempotency/tests/operations.rs
@@ -1,5 +1,8 @@
-//! Whole operations at several hosts, whatever is cut, frozen or lost: an operation runs at most once,
-//! each arrival has one outcome in time, and one that was told "not run" did not run.
+//! Tests of whole operations at several hosts while links and the log are cut, hosts are frozen and
+//! answers are lost.
+//!
+//! An operation runs at most once, each request gets one outcome in time, and if a caller is told
+//! that its request did not run, it did not run and never does.
 
 use crate::attempt::message::{
     Attempt, AttemptOutcome, Repeatable, RequestHead, RequestId, TargetKind,
@@ -16,36 +19,38 @@
 
 const KEY_SHA256: &str = "aa";
 const DEADLINE_MS: Millis = Millis(4_000);
-/// How long past its deadline an arrival may wait for its outcome.
-const MARGIN_MS: Millis = Millis(2_500);
+/// How long after its deadline a request may still wait for its outcome.
+const OUTCOME_MARGIN_MS: Millis = Millis(2_500);
 
-/// A request as its caller sees it.
-struct Arrival {
+/// A request as its caller sees it, and how often it ran at the service.
+struct CallerRequest {
     host: usize,
     operation: usize,
     deadline_at: Millis,
-    told: Option<Told>,
+    outcome: Option<Outcome>,
     runs: u32,
 }
 
+/// The outcome that a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Outcome {
     Answer,
     Refused(Ran),
 }
 
-/// An attempt at the edge of a host.
-struct Sending {
+/// An attempt that a host is sending to the service.
+struct SendingAttempt {
     host: usize,
     attempt: Attempt,
-    checked: bool,
+    /// Whether the attempt passed the check that it may still begin.
+    deadline_checked: bool,
 }
 
-/// A cluster with a service whose runs are counted.
+/// A cluster with one service whose runs are counted by operation.
 struct World {
     cluster: Cluster,
-    arrivals: Vec<Arrival>,
-    sendings: Vec<Sending>,
+    requests: Vec<CallerRequest>,
+    attempts: Vec<SendingAttempt>,
     runs: IndexMap<usize, u32>,
 }
 
@@ -65,19 +70,19 @@
         });
         Self {
             cluster,
-            arrivals: Vec::new(),
-            sendings: Vec::new(),
+            requests: Vec::new(),
+            attempts: Vec::new(),
             runs: IndexMap::new(),
         }
     }
 
-    fn arrive(&mut self, host: usize, operation: usize) {
-        let id = RequestId(self.arrivals.len() as u64);
-        self.arrivals.push(Arrival {
+    fn send_request(&mut self, host: usize, operation: usize) {
+        let id = RequestId(self.requests.len() as u64);
+        self.requests.push(CallerRequest {
             host,
             operation,
             deadline_at: self.cluster.now + DEADLINE_MS,
-            told: None,
+            outcome: None,
             runs: 0,
         });
         let head = head(id, operation);
@@ -88,72 +93,81 @@
         self.cluster.step();
         for (host, effect) in std::mem::take(&mut self.cluster.outputs) {
             match effect {
-                Effect::Begin { attempt } => self.sendings.push(Sending {
+                Effect::Begin { attempt } => self.attempts.push(SendingAttempt {
                     host,
                     attempt,
-                    checked: false,
+                    deadline_checked: false,
                 }),
                 Effect::Refuse { request, refusal } => {
-                    self.tell(request, Told::Refused(refusal.ran));
+                    self.set_outcome(request, Outcome::Refused(refusal.ran));
                 }
-                Effect::GiveAnswer { request, .. } => self.tell(request, Told::Answer),
+                Effect::GiveAnswer { request, .. } => self.set_outcome(request, Outcome::Answer),
                 _ => {}
             }
         }
-        self.send_some(u)?;
-        self.check_in_time();
+        self.advance_attempts(u)?;
+        self.check_outcomes_in_time();
         Ok(())
     }
 
-    fn tell(&mut self, request: RequestId, told: Told) {
-        let arrival = &mut self.arrivals[request.0 as usize];
-        assert_eq!(arrival.told, None, "two outcomes of {request}");
-        if told == Told::Refused(Ran::NotRun) {
-            assert_eq!(arrival.runs, 0, "{request} ran");
+    fn set_outcome(&mut self, id: RequestId, outcome: Outcome) {
+        let request = &mut self.requests[id.0 as usize];
+        assert_eq!(request.outcome, None, "request {id} has two outcomes");
+        if outcome == Outcome::Refused(Ran::NotRun) {
+            assert_eq!(
+                request.runs, 0,
+                "request {id} ran, but its caller was told that it did not"
+            );
         }
-        arrival.told = Some(told);
+        request.outcome = Some(outcome);
     }
 
-    /// Lets some attempts go on: first the check of the time, later the bytes, as with a pause between.
-    fn send_some(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        for mut sending in std::mem::take(&mut self.sendings) {
+    /// Advances some attempts by one step: first the check that the attempt may still begin, in a
+    /// later call the sending itself, as if the process was paused between the two.
+    fn advance_attempts(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        for mut sending in std::mem::take(&mut self.attempts) {
             let frozen = self.cluster.hosts[sending.host].frozen;
             if frozen || u.ratio(1, 3)? {
-                self.sendings.push(sending);
+                self.attempts.push(sending);
                 continue;
             }
-            if !sending.checked {
+            if !sending.deadline_checked {
                 if self.cluster.now > sending.attempt.begin_by {
                     let outcome = AttemptOutcome::NotRun("paused".into());
-                    self.end(&sending, outcome);
+                    self.end_attempt(&sending, outcome);
                     continue;
                 }
-                sending.checked = true;
-                self.sendings.push(sending);
+                sending.deadline_checked = true;
+                self.attempts.push(sending);
                 continue;
             }
-            let outcome = self.run(u, &sending.attempt)?;
-            self.end(&sending, outcome);
+            let outcome = self.run_operation(u, &sending.attempt)?;
+            self.end_attempt(&sending, outcome);
         }
         Ok(())
     }
 
-    fn run(&mut self, u: &mut Unstructured<'_>, attempt: &Attempt) -> Result<AttemptOutcome> {
+    /// Runs an attempt at the service, which may refuse it or whose answer may get lost.
+    fn run_operation(
+        &mut self,
+        u: &mut Unstructured<'_>,
+        attempt: &Attempt,
+    ) -> Result<AttemptOutcome> {
         let roll = u.int_in_range(0..=9u8)?;
         if roll < 3 {
             return Ok(AttemptOutcome::NotRun("refused".into()));
         }
-        let arrival = &mut self.arrivals[attempt.request.0 as usize];
-        arrival.runs += 1;
-        let told = arrival.told;
+        let request = &mut self.requests[attempt.request.0 as usize];
+        request.runs += 1;
+        let outcome = request.outcome;
         assert_ne!(
-            told,
-            Some(Told::Refused(Ran::NotRun)),
-            "a run after not run"
+            outcome,
+            Some(Outcome::Refused(Ran::NotRun)),
+            "a request ran after its caller was told that it did not run"
         );
-        let runs = self.runs.entry(arrival.operation).or_default();
+        let runs = self.runs.entry(request.operation).or_default();
         *runs += 1;
-        assert_eq!(*runs, 1, "operation {} ran twice", arrival.operation);
+        assert_eq!(*runs, 1, "operation {} ran twice", request.operation);
         Ok(match roll {
             3 => AttemptOutcome::Unknown("lost".into()),
             _ => AttemptOutcome::OperationAnswered(KeptAnswer {
@@ -164,12 +178,13 @@
         })
     }
 
-    fn end(&mut self, sending: &Sending, outcome: AttemptOutcome) {
+    fn end_attempt(&mut self, sending: &SendingAttempt, outcome: AttemptOutcome) {
         let request = sending.attempt.request;
         if matches!(outcome, AttemptOutcome::OperationAnswered(_)) {
-            let arrival = &mut self.arrivals[request.0 as usize];
-            // The edge answers from the attempt itself, unless the loop ended the request first.
-            arrival.told = arrival.told.or(Some(Told::Answer));
+            let caller_request = &mut self.requests[request.0 as usize];
+            // The connection to the caller passes on the answer of the attempt, unless the node has
+            // ended the request before.
+            caller_request.outcome = caller_request.outcome.or(Some(Outcome::Answer));
         }
         let event = Event::AttemptEnded {
             request,
@@ -179,18 +194,25 @@
         self.cluster.send(sending.host, event);
     }
 
-    fn check_in_time(&self) {
-        for (index, arrival) in self.arrivals.iter().enumerate() {
-            let late = self.cluster.now > arrival.deadline_at + MARGIN_MS;
-            let frozen = self.cluster.hosts[arrival.host].frozen;
-            if arrival.told.is_none() && late && !frozen {
-                let woken = self.cluster.now.since(arrival.deadline_at + MARGIN_MS);
-                assert!(woken <= STEP_MS + STEP_MS, "request {index} has no outcome");
+    fn check_outcomes_in_time(&self) {
+        for (index, request) in self.requests.iter().enumerate() {
+            let late = self.cluster.now > request.deadline_at + OUTCOME_MARGIN_MS;
+            let frozen = self.cluster.hosts[request.host].frozen;
+            if request.outcome.is_none() && late && !frozen {
+                let overdue = self
+                    .cluster
+                    .now
+                    .since(request.deadline_at + OUTCOME_MARGIN_MS);
+                assert!(
+                    overdue <= STEP_MS + STEP_MS,
+                    "request {index} has no outcome"
+                );
             }
         }
     }
 }
 
+/// The entry of the service in the list of upstreams.
 pub fn service_entry() -> UpstreamEntry {
     UpstreamEntry {
         name: "service-1".into(),
@@ -204,7 +226,7 @@
     }
 }
 
-/// An edit that adds a service with one row.
+/// An edit that adds a brand, the service and a row with these settings as JSON.
 pub fn table_edit(row: &str) -> Edit {
     let row: Row = serde_json::from_str(row).unwrap();
     Edit {
@@ -235,6 +257,7 @@
     }
 }
 
+/// The head of a request for the service, with a key that names the operation.
 pub fn head(id: RequestId, operation: usize) -> RequestHead {
     RequestHead {
         id,
@@ -251,7 +274,8 @@
     }
 }
 
-fn disturb(u: &mut Unstructured<'_>, cluster: &mut Cluster) -> Result<()> {
+/// Injects or ends a random fault: a cut log, link or host, or a frozen host.
+fn inject_fault(u: &mut Unstructured<'_>, cluster: &mut Cluster) -> Result<()> {
     let host = u.choose_index(cluster.hosts.len())?;
     let other = u.choose_index(cluster.hosts.len())?;
     match u.int_in_range(0..=7u8)? {
@@ -267,15 +291,15 @@
 }
 
 #[test]
-fn an_operation_runs_at_most_once_and_not_run_is_true() {
+fn an_operation_runs_at_most_once_and_a_refusal_as_not_run_is_true() {
     check_seeds(80, 4096, |u| {
         let mut world = World::new(u.int_in_range(2..=4usize)?);
         for operation in 0..12 {
-            disturb(u, &mut world.cluster)?;
+            inject_fault(u, &mut world.cluster)?;
             for _ in 0..u.int_in_range(1..=4usize)? {
                 let host = u.choose_index(world.cluster.hosts.len())?;
                 let operation = operation.min(u.int_in_range(operation / 2..=operation)?);
-                world.arrive(host, operation);
+                world.send_request(host, operation);
                 for _ in 0..u.int_in_range(0..=20u8)? {
                     world.step(u)?;
                 }
@@ -289,17 +313,22 @@
 }
 
 #[test]
-fn without_faults_every_arrival_gets_the_answer() {
+fn without_faults_every_request_gets_an_outcome() {
     check_seeds(1, 1024, |u| {
         let mut world = World::new(3);
-        for arrival in 0..9 {
-            world.arrive(arrival % 3, arrival / 3);
+        for request in 0..9 {
+            world.send_request(request % 3, request / 3);
         }
         let steps = DEADLINE_MS.0 / STEP_MS.0;
         for _ in 0..steps {
             world.step(u)?;
         }
-        assert!(world.arrivals.iter().all(|arrival| arrival.told.is_some()));
+        assert!(
+            world
+                .requests
+                .iter()
+                .all(|request| request.outcome.is_some())
+        );
         Ok(())
     });
 }
