--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -11,7 +11,7 @@
 use crate::placement::decided::DecidedCopies;
 use crate::placement::message::StoreReport;
 use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose};
-use crate::placement::policy::demand::{DemandHints, RoomWanted, UseHint, Uses};
+use crate::placement::policy::demand::{DemandHints, RoomWanted, UsageHint, Uses};
 use crate::placement::policy::keep_warm::IdleCopy;
 use crate::placement::presence::Presence;
 use crate::prelude::*;
@@ -348,7 +348,7 @@
             .collect();
         told.sort_by_key(|(_, at)| Reverse(*at));
         for (model, at) in told {
-            let hint = UseHint {
+            let hint = UsageHint {
                 model: model.clone(),
                 idle_ms: now.since(at),
                 waiting: self.queues.waiting(model) as u32,
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -14,7 +14,7 @@
 
 /// A host's use of a model, as it tells other hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct UseHint {
+pub struct UsageHint {
     /// The name of the model.
     pub model: Arc<str>,
     /// The time since the sender last had a request for the model.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandHints {
     /// The models in use.
-    pub uses: Vec<UseHint>,
+    pub uses: Vec<UsageHint>,
     /// The memory to free.
     pub room: Vec<RoomWanted>,
 }
@@ -101,7 +101,7 @@
     }
 
     /// Records a hint of another host.
-    pub fn note_hint(&mut self, now: Millis, hint: &UseHint) {
+    pub fn note_hint(&mut self, now: Millis, hint: &UsageHint) {
         let used = self.entry(&hint.model);
         used.note_request(now - hint.idle_ms);
         used.waiting_elsewhere = hint.waiting;
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -3,7 +3,7 @@
 use crate::placement::decided::Places;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
 use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose, store_wait_ms};
-use crate::placement::policy::demand::{UseHint, Uses};
+use crate::placement::policy::demand::{UsageHint, Uses};
 use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::placement::policy::keep_warm::{IdleCopy, KeepWarmRule};
 use crate::placement::test_site::{A, TestLog};
@@ -54,7 +54,7 @@
     let mut uses = Uses::default();
     let model: Name = "m".into();
     uses.note_own(Millis(10_000), &model);
-    let hint = UseHint {
+    let hint = UsageHint {
         model: model.clone(),
         idle_ms: Millis(0),
         waiting: 0,
