--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -11,7 +11,7 @@
 use crate::placement::decided::DecidedCopies;
 use crate::placement::message::StoreReport;
 use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose};
-use crate::placement::policy::demand::{DemandHints, RoomWanted, UsageHint, Uses};
+use crate::placement::policy::demand::{DemandHints, RoomWanted, UsageHint, UsageTracker};
 use crate::placement::policy::keep_warm::IdleCopy;
 use crate::placement::presence::Presence;
 use crate::prelude::*;
@@ -42,7 +42,7 @@
 /// What this host knows of the demand for models.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Demand {
-    pub(super) uses: Uses,
+    pub(super) uses: UsageTracker,
     pub(super) presence: Presence,
     pub(super) decided: DecidedCopies,
     pub(super) cursor: usize,
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -64,13 +64,13 @@
 
 /// The use of all models, as known to this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Uses {
+pub struct UsageTracker {
     models: IndexMap<Name, ModelUsage>,
     /// The moving average of the durations of all loads.
     mean_load_ms: Option<f64>,
 }
 
-impl Uses {
+impl UsageTracker {
     /// Returns the use of a model, if any is known.
     pub fn get(&self, model: &str) -> Option<&ModelUsage> {
         self.models.get(model)
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -3,7 +3,7 @@
 use crate::placement::decided::Places;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
 use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose, store_wait_ms};
-use crate::placement::policy::demand::{UsageHint, Uses};
+use crate::placement::policy::demand::{UsageHint, UsageTracker};
 use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::placement::policy::keep_warm::{IdleCopy, KeepWarmRule};
 use crate::placement::test_site::{A, TestLog};
@@ -51,7 +51,7 @@
 
 #[test]
 fn hints_of_other_hosts_count_as_use_of_a_model() {
-    let mut uses = Uses::default();
+    let mut uses = UsageTracker::default();
     let model: Name = "m".into();
     uses.note_own(Millis(10_000), &model);
     let hint = UsageHint {
