--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -181,7 +181,7 @@
         let Some(copy) = self.shared.placement.copies.get(&id) else {
             return false;
         };
-        self.demand.uses.meet(now, &copy.load.model);
+        self.demand.uses.note_first_seen(now, &copy.load.model);
         let idle = self.idle_copy(now, copy);
         idle.is_some_and(|idle| {
             idle.idle_ms >= LEAST_IDLE_MS && self.config.keep_warm.is_due(&idle)
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -77,7 +77,7 @@
     }
 
     /// Counts a model whose use is not known yet as used now, and returns its use.
-    pub fn meet(&mut self, now: Millis, model: &Name) -> &ModelUsage {
+    pub fn note_first_seen(&mut self, now: Millis, model: &Name) -> &ModelUsage {
         let used = self.entry(model);
         if used.last_used_at == Millis::ZERO {
             used.last_used_at = now;
