--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -369,7 +369,7 @@
     fn touch_busy(&mut self, now: Millis) {
         let busy: Vec<Name> = self.running_by_model().into_keys().cloned().collect();
         for model in busy {
-            self.demand.uses.touch_own(now, &model);
+            self.demand.uses.note_own_in_use(now, &model);
         }
     }
 
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -94,7 +94,7 @@
 
     /// Records that requests of this host for the model still wait or run. Unlike a new request,
     /// this counts no gap.
-    pub fn touch_own(&mut self, now: Millis, model: &Name) {
+    pub fn note_own_in_use(&mut self, now: Millis, model: &Name) {
         let used = self.entry(model);
         used.own_use_at = now;
         used.last_used_at = now;
