--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -72,7 +72,7 @@
 impl Demand {
     /// Takes note of a request for a model.
     pub fn note_use(&mut self, now: Millis, model: &Name) {
-        self.uses.note_own(now, model);
+        self.uses.note_own_request(now, model);
     }
 
     /// Takes the weight store's report.
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records a new request of this host.
-    pub fn note_own(&mut self, at: Millis, model: &Name) {
+    pub fn note_own_request(&mut self, at: Millis, model: &Name) {
         let used = self.entry(model);
         used.own_use_at = at.max(used.own_use_at);
         used.note_request(at);
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -53,7 +53,7 @@
 fn hints_of_other_hosts_count_as_use_of_a_model() {
     let mut uses = UsageTracker::default();
     let model: Name = "m".into();
-    uses.note_own(Millis(10_000), &model);
+    uses.note_own_request(Millis(10_000), &model);
     let hint = UsageHint {
         model: model.clone(),
         idle_ms: Millis(0),
