--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -343,7 +343,7 @@
         let mut told: Vec<(&Name, Millis)> = self
             .demand
             .uses
-            .own_since(now - recent_ms)
+            .used_here_since(now - recent_ms)
             .map(|(model, used)| (model, used.own_use_at))
             .collect();
         told.sort_by_key(|(_, at)| Reverse(*at));
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the models that this host itself has used since a point in time.
-    pub fn own_since(&self, since: Millis) -> impl Iterator<Item = (&Name, &ModelUsage)> {
+    pub fn used_here_since(&self, since: Millis) -> impl Iterator<Item = (&Name, &ModelUsage)> {
         self.models
             .iter()
             .filter(move |(_, used)| used.own_use_at >= since && used.own_use_at > Millis::ZERO)
