--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -11,7 +11,7 @@
 use crate::placement::decided::DecidedCopies;
 use crate::placement::message::StoreReport;
 use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose};
-use crate::placement::policy::demand::{DemandHints, RoomWanted, UsageHint, UsageTracker};
+use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
 use crate::placement::policy::keep_warm::IdleCopy;
 use crate::placement::presence::Presence;
 use crate::prelude::*;
@@ -51,7 +51,7 @@
     proposed_at: IndexMap<Name, Millis>,
     /// Since when the weight store has room for a load.
     store_room_since: Option<Millis>,
-    room_wanted: Vec<RoomWanted>,
+    room_wanted: Vec<MemoryRequest>,
     next_hints_at: Millis,
     /// When the loads under way were decided, by the log's clock.
     loads_since: IndexMap<Offset, Millis>,
@@ -271,7 +271,9 @@
             }
             Choice::MakeRoom { upstream, bytes } => {
                 self.demand.proposed_at.insert(model.clone(), now);
-                self.demand.room_wanted.push(RoomWanted { upstream, bytes });
+                self.demand
+                    .room_wanted
+                    .push(MemoryRequest { upstream, bytes });
                 false
             }
             Choice::Wait | Choice::Never => false,
@@ -408,7 +410,7 @@
     }
 
     /// Unloads the least valuable idle copies of an upstream, as many as the room wanted takes.
-    fn free_room(&mut self, now: Millis, room: &RoomWanted) {
+    fn free_room(&mut self, now: Millis, room: &MemoryRequest) {
         let Some(upstream) = self.shared.placement.upstreams.get(&room.upstream) else {
             return;
         };
--- a/src/placement/policy/demand.rs
+++ b/src/placement/policy/demand.rs
@@ -29,7 +29,7 @@
 
 /// A request to free memory on an upstream, so that a load fits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RoomWanted {
+pub struct MemoryRequest {
     /// The name of the upstream.
     pub upstream: Arc<str>,
     /// The accelerator memory that must be free there.
@@ -42,7 +42,7 @@
     /// The models in use.
     pub uses: Vec<UsageHint>,
     /// The memory to free.
-    pub room: Vec<RoomWanted>,
+    pub room: Vec<MemoryRequest>,
 }
 
 /// The use of one model, as known to this host.
