--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -47,7 +47,7 @@
             Choice::Never if self.is_engine_coming(model) => Ready::Soon,
             Choice::Never => Ready::Never,
             Choice::Wait => Ready::Soon,
-            Choice::Load(_) | Choice::MakeRoom { .. } => Ready::After(self.cold_start_ms(model)),
+            Choice::Load(_) | Choice::FreeMemory { .. } => Ready::After(self.cold_start_ms(model)),
         }
     }
 
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -269,7 +269,7 @@
                 self.driver.queue(RecordBody::Load { load });
                 true
             }
-            Choice::MakeRoom { upstream, bytes } => {
+            Choice::FreeMemory { upstream, bytes } => {
                 self.demand.proposed_at.insert(model.clone(), now);
                 self.demand
                     .room_wanted
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -45,7 +45,7 @@
     /// Load this copy, which may be one of the base model that an adapter needs.
     Load(LoadDecision),
     /// Unload idle copies on an upstream first, since no engine has enough free memory.
-    MakeRoom {
+    FreeMemory {
         /// The upstream.
         upstream: Name,
         /// The memory that must be free on it.
@@ -168,7 +168,7 @@
     engines
         .iter()
         .max_by_key(|upstream| free_bytes(view, upstream, hint(&upstream.name).report))
-        .map_or(Choice::Wait, |upstream| Choice::MakeRoom {
+        .map_or(Choice::Wait, |upstream| Choice::FreeMemory {
             upstream: upstream.name.clone(),
             bytes,
         })
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -145,7 +145,7 @@
     }
     assert!(matches!(
         choose_in(&log, "e", None),
-        Choice::MakeRoom { .. }
+        Choice::FreeMemory { .. }
     ));
     log.shared
         .table
