--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -10,7 +10,7 @@
 use crate::placement::copies::{Copy, CopyState, Placement};
 use crate::placement::decided::DecidedCopies;
 use crate::placement::message::StoreReport;
-use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose};
+use crate::placement::policy::choice::{Choice, LoadContext, UpstreamHint, choose};
 use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
 use crate::placement::policy::keep_warm::IdleCopy;
 use crate::placement::presence::Presence;
@@ -291,8 +291,8 @@
         })
     }
 
-    pub(super) fn load_view(&self, model: &str) -> LoadView<'_> {
-        LoadView {
+    pub(super) fn load_view(&self, model: &str) -> LoadContext<'_> {
+        LoadContext {
             placement: &self.shared.placement,
             table: &self.shared.table,
             decided: self.demand.decided.of(model),
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -15,7 +15,7 @@
 pub const DISK_BYTES_PER_S: u64 = 2_000_000_000;
 
 /// The inputs of a choice, all for one model.
-pub struct LoadView<'a> {
+pub struct LoadContext<'a> {
     /// The upstreams and copies.
     pub placement: &'a Placement,
     /// The table.
@@ -66,7 +66,7 @@
 /// is ready. If the base model has no copy yet, the base model is loaded first, on an engine with
 /// enough free memory for both.
 pub fn choose<'a>(
-    view: &LoadView<'a>,
+    view: &LoadContext<'a>,
     model: &str,
     hint: impl Fn(&str) -> UpstreamHint<'a>,
 ) -> Choice {
@@ -152,7 +152,7 @@
 /// Chooses the engine with the most free memory, where the least must be freed; waits while copies
 /// are being unloaded.
 fn choose_where_to_free<'a>(
-    view: &LoadView<'a>,
+    view: &LoadContext<'a>,
     engines: &[&UpstreamEntry],
     bytes: u64,
     hint: &impl Fn(&str) -> UpstreamHint<'a>,
@@ -176,7 +176,11 @@
 
 /// Returns the free memory of an engine. Copies that only the engine's own report lists count too:
 /// the engine may hold copies that the placement state does not have.
-fn free_bytes(view: &LoadView<'_>, upstream: &UpstreamEntry, report: Option<&EngineReport>) -> u64 {
+fn free_bytes(
+    view: &LoadContext<'_>,
+    upstream: &UpstreamEntry,
+    report: Option<&EngineReport>,
+) -> u64 {
     let reserved_bytes = view.placement.reserved_bytes(&upstream.name);
     let unlisted_bytes: u64 = report.map_or(0, |report| {
         report
@@ -204,7 +208,7 @@
         .any(|copy| &*copy.load.upstream == upstream && copy.state == CopyState::Ready)
 }
 
-fn free_copy_index(view: &LoadView<'_>, model: &str) -> Option<u32> {
+fn free_copy_index(view: &LoadContext<'_>, model: &str) -> Option<u32> {
     let copies = view.placement.copies_of(model).count();
     if copies >= view.decided as usize {
         return None;
@@ -220,7 +224,7 @@
 /// cache or the weight store, whichever is the nearest that holds the checkpoint. Without an
 /// estimate for the weight store the result is zero.
 pub fn fetch_ms(
-    view: &LoadView<'_>,
+    view: &LoadContext<'_>,
     model: &str,
     spec: &Model,
     report: Option<&EngineReport>,
@@ -235,7 +239,7 @@
     }
 }
 
-fn store_fetch_ms(view: &LoadView<'_>, bytes: u64) -> Millis {
+fn store_fetch_ms(view: &LoadContext<'_>, bytes: u64) -> Millis {
     let by_rate = view
         .store
         .filter(|store| store.bytes_per_s > 0)
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::placement::decided::Places;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
-use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose, store_wait_ms};
+use crate::placement::policy::choice::{Choice, LoadContext, UpstreamHint, choose, store_wait_ms};
 use crate::placement::policy::demand::{UsageHint, UsageTracker};
 use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::placement::policy::keep_warm::{IdleCopy, KeepWarmRule};
@@ -68,7 +68,7 @@
 }
 
 fn choose_in(log: &TestLog, model: &str, report: Option<(&str, &EngineReport)>) -> Choice {
-    let view = LoadView {
+    let view = LoadContext {
         placement: log.placement(),
         table: &log.shared.table,
         decided: 1,
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::placement::decided::Places;
 use crate::placement::message::OrderOutcome;
-use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose};
+use crate::placement::policy::choice::{Choice, LoadContext, UpstreamHint, choose};
 use crate::placement::test_site::{A, TestLog};
 use crate::prelude::*;
 use crate::table::message::{Model, Row, RowKey, StoreLimits};
@@ -69,7 +69,7 @@
     let per_record = started.elapsed() / (LOADS as u32 * 4);
     let started = Instant::now();
     for number in 0..LOADS {
-        let view = LoadView {
+        let view = LoadContext {
             placement: log.placement(),
             table: &log.shared.table,
             decided: 1,
