--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -295,7 +295,7 @@
         LoadContext {
             placement: &self.shared.placement,
             table: &self.shared.table,
-            decided: self.demand.decided.of(model),
+            configured_copies: self.demand.decided.of(model),
             places: self.demand.decided.places_of(model),
             store: self.demand.store.as_ref(),
             load_ms: self.demand.uses.load_ms(model),
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -21,7 +21,7 @@
     /// The table.
     pub table: &'a Table,
     /// The configured number of copies: the most that the model may have.
-    pub decided: u32,
+    pub configured_copies: u32,
     /// The data centres in which the model may run.
     pub places: Places<'a>,
     /// The weight store's last report, if there is one.
@@ -73,7 +73,7 @@
     let Some(spec) = view.table.model(model) else {
         return Choice::Never;
     };
-    if view.decided == 0 {
+    if view.configured_copies == 0 {
         return Choice::Never;
     }
     let Some(copy_index) = free_copy_index(view, model) else {
@@ -210,10 +210,10 @@
 
 fn free_copy_index(view: &LoadContext<'_>, model: &str) -> Option<u32> {
     let copies = view.placement.copies_of(model).count();
-    if copies >= view.decided as usize {
+    if copies >= view.configured_copies as usize {
         return None;
     }
-    (0..view.decided).find(|index| {
+    (0..view.configured_copies).find(|index| {
         view.placement
             .copies_of(model)
             .all(|(_, copy)| copy.load.copy_index != *index)
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -71,7 +71,7 @@
     let view = LoadContext {
         placement: log.placement(),
         table: &log.shared.table,
-        decided: 1,
+        configured_copies: 1,
         places: Places::default(),
         store: None,
         load_ms: Some(Millis(60_000)),
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -72,7 +72,7 @@
         let view = LoadContext {
             placement: log.placement(),
             table: &log.shared.table,
-            decided: 1,
+            configured_copies: 1,
             places: Places::default(),
             store: None,
             load_ms: None,
