--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -23,7 +23,7 @@
     /// The configured number of copies: the most that the model may have.
     pub configured_copies: u32,
     /// The data centres in which the model may run.
-    pub places: Places<'a>,
+    pub data_centres: Places<'a>,
     /// The weight store's last report, if there is one.
     pub store: Option<&'a StoreReport>,
     /// How long a load of this model takes, estimated from earlier loads.
@@ -96,7 +96,7 @@
         upstream.role == UpstreamRole::Engine
             && upstream.memory_bytes >= bytes
             && !upstream.leaving
-            && view.places.allow(&upstream.data_centre)
+            && view.data_centres.allow(&upstream.data_centre)
             && !has_copy(view.placement, model, &upstream.name)
             && hint(&upstream.name).usable
     };
@@ -112,7 +112,7 @@
             .placement
             .upstreams
             .values()
-            .filter(|upstream| view.places.allow(&upstream.data_centre))
+            .filter(|upstream| view.data_centres.allow(&upstream.data_centre))
             .any(|upstream| upstream.memory_bytes >= bytes);
         return if is_possible {
             Choice::Wait
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -72,7 +72,7 @@
         placement: log.placement(),
         table: &log.shared.table,
         configured_copies: 1,
-        places: Places::default(),
+        data_centres: Places::default(),
         store: None,
         load_ms: Some(Millis(60_000)),
     };
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -73,7 +73,7 @@
             placement: log.placement(),
             table: &log.shared.table,
             configured_copies: 1,
-            places: Places::default(),
+            data_centres: Places::default(),
             store: None,
             load_ms: None,
         };
