--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -10,7 +10,7 @@
 use crate::placement::copies::{Copy, CopyState, Placement};
 use crate::placement::decided::DecidedCopies;
 use crate::placement::message::StoreReport;
-use crate::placement::policy::choice::{Choice, LoadContext, UpstreamHint, choose};
+use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
 use crate::placement::policy::keep_warm::IdleCopy;
 use crate::placement::presence::Presence;
@@ -282,7 +282,7 @@
 
     pub(super) fn choose(&self, now: Millis, model: &str) -> Choice {
         let view = self.load_view(model);
-        choose(&view, model, |upstream| UpstreamHint {
+        choose(&view, model, |upstream| UpstreamStatus {
             usable: self.routing.is_usable(now, upstream),
             report: self
                 .routing
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -32,7 +32,7 @@
 
 /// What this host knows of an upstream beyond the log.
 #[derive(Clone, Copy)]
-pub struct UpstreamHint<'a> {
+pub struct UpstreamStatus<'a> {
     /// Whether the upstream accepts new work.
     pub usable: bool,
     /// The upstream's last report, if there is one.
@@ -68,7 +68,7 @@
 pub fn choose<'a>(
     view: &LoadContext<'a>,
     model: &str,
-    hint: impl Fn(&str) -> UpstreamHint<'a>,
+    hint: impl Fn(&str) -> UpstreamStatus<'a>,
 ) -> Choice {
     let Some(spec) = view.table.model(model) else {
         return Choice::Never;
@@ -155,7 +155,7 @@
     view: &LoadContext<'a>,
     engines: &[&UpstreamEntry],
     bytes: u64,
-    hint: &impl Fn(&str) -> UpstreamHint<'a>,
+    hint: &impl Fn(&str) -> UpstreamStatus<'a>,
 ) -> Choice {
     let is_unloading = engines.iter().any(|upstream| {
         view.placement
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -2,7 +2,9 @@
 
 use crate::placement::decided::Places;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
-use crate::placement::policy::choice::{Choice, LoadContext, UpstreamHint, choose, store_wait_ms};
+use crate::placement::policy::choice::{
+    Choice, LoadContext, UpstreamStatus, choose, store_wait_ms,
+};
 use crate::placement::policy::demand::{UsageHint, UsageTracker};
 use crate::placement::policy::gap_histogram::GapHistogram;
 use crate::placement::policy::keep_warm::{IdleCopy, KeepWarmRule};
@@ -76,7 +78,7 @@
         store: None,
         load_ms: Some(Millis(60_000)),
     };
-    choose(&view, model, |upstream| UpstreamHint {
+    choose(&view, model, |upstream| UpstreamStatus {
         usable: true,
         report: report
             .filter(|(name, _)| *name == upstream)
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::placement::decided::Places;
 use crate::placement::message::OrderOutcome;
-use crate::placement::policy::choice::{Choice, LoadContext, UpstreamHint, choose};
+use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::test_site::{A, TestLog};
 use crate::prelude::*;
 use crate::table::message::{Model, Row, RowKey, StoreLimits};
@@ -78,7 +78,7 @@
             load_ms: None,
         };
         let choice = choose(&view, &name("model", UPSTREAMS + number), |_| {
-            UpstreamHint {
+            UpstreamStatus {
                 usable: true,
                 report: None,
             }
