--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -184,7 +184,7 @@
         self.demand.uses.note_first_seen(now, &copy.load.model);
         let idle = self.idle_copy(now, copy);
         idle.is_some_and(|idle| {
-            idle.idle_ms >= LEAST_IDLE_MS && self.config.keep_warm.is_due(&idle)
+            idle.idle_ms >= LEAST_IDLE_MS && self.config.keep_warm.should_unload(&idle)
         })
     }
 
--- a/src/placement/policy/keep_warm.rs
+++ b/src/placement/policy/keep_warm.rs
@@ -47,7 +47,7 @@
 
 impl KeepWarmRule {
     /// Returns whether an idle copy is to be unloaded although its memory is not needed.
-    pub fn is_due(&self, copy: &IdleCopy<'_>) -> bool {
+    pub fn should_unload(&self, copy: &IdleCopy<'_>) -> bool {
         match self {
             Self::FixedTimeout { idle_ms } => copy.idle_ms >= *idle_ms,
             Self::LeastRecentlyUsed => false,
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -176,7 +176,7 @@
     let (mut idle_s, mut cold_starts) = (0, 0);
     for gap in gaps_s {
         let kept_s = (0..*gap).find(|second| {
-            rule.is_due(&IdleCopy {
+            rule.should_unload(&IdleCopy {
                 idle_ms: Millis(second * 1_000),
                 cold_start_ms,
                 accelerator_share: 1.0,
