--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -455,7 +455,9 @@
 
     fn value(&self, now: Millis, copy: &Copy) -> f64 {
         let idle = self.idle_copy(now, copy);
-        idle.map_or(f64::MAX, |idle| self.config.keep_warm.value(&idle))
+        idle.map_or(f64::MAX, |idle| {
+            self.config.keep_warm.retention_value(&idle)
+        })
     }
 
     /// Returns what the keep-warm rules need of a copy, or nothing while it is in use.
--- a/src/placement/policy/keep_warm.rs
+++ b/src/placement/policy/keep_warm.rs
@@ -67,7 +67,7 @@
     /// Under [`KeepWarmRule::Learned`] the value is the duration of the cold start that is saved,
     /// divided by the accelerator time that the copy holds until its next expected request. Under
     /// the other rules it depends only on the time since the last request.
-    pub fn value(&self, copy: &IdleCopy<'_>) -> f64 {
+    pub fn retention_value(&self, copy: &IdleCopy<'_>) -> f64 {
         let idle_s = seconds(copy.idle_ms).max(0.001);
         match self {
             Self::FixedTimeout { .. } | Self::LeastRecentlyUsed => 1.0 / idle_s,
