--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -8,7 +8,7 @@
 use crate::membership::entry::home;
 use crate::membership::message::PeerRequest;
 use crate::placement::copies::{Copy, CopyState, Placement};
-use crate::placement::decided::DecidedCopies;
+use crate::placement::decided::ConfiguredCopies;
 use crate::placement::message::StoreReport;
 use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
@@ -44,7 +44,7 @@
 pub struct Demand {
     pub(super) uses: UsageTracker,
     pub(super) presence: Presence,
-    pub(super) decided: DecidedCopies,
+    pub(super) decided: ConfiguredCopies,
     pub(super) cursor: usize,
     store: Option<StoreReport>,
     wanted: IndexMap<Name, Wanted>,
--- a/src/placement/checks.rs
+++ b/src/placement/checks.rs
@@ -24,7 +24,7 @@
         table: &Table,
     ) -> Result<(), Rejection> {
         check_model(load, table)?;
-        self.decided.refresh(table);
+        self.configured.refresh(table);
         self.check_count(load)?;
         self.check_upstream(load)?;
         self.check_base(load, table)?;
@@ -46,7 +46,7 @@
             }
             count += 1;
         }
-        let configured = self.decided.of(&load.model);
+        let configured = self.configured.of(&load.model);
         if count >= configured || load.copy_index >= configured {
             return Err(Rejection::CopiesReached);
         }
--- a/src/placement/copies.rs
+++ b/src/placement/copies.rs
@@ -7,7 +7,7 @@
 
 use crate::membership::members::Members;
 use crate::membership::message::UpstreamEntry;
-use crate::placement::decided::DecidedCopies;
+use crate::placement::decided::ConfiguredCopies;
 use crate::placement::index::Index;
 use crate::placement::message::{LoadDecision, OrderAction, OrderOutcome};
 use crate::prelude::*;
@@ -86,7 +86,7 @@
     #[serde(skip)]
     pub(super) index: Index,
     #[serde(skip)]
-    pub(super) decided: DecidedCopies,
+    pub(super) configured: ConfiguredCopies,
 }
 
 /// The part of [`Placement`] that a checkpoint holds; the index is rebuilt from it.
@@ -105,7 +105,7 @@
             copies: stored.copies,
             recent_loads: stored.recent_loads,
             index,
-            decided: DecidedCopies::default(),
+            configured: ConfiguredCopies::default(),
         }
     }
 }
--- a/src/placement/decided.rs
+++ b/src/placement/decided.rs
@@ -9,14 +9,14 @@
 /// An adapter needs its base model on the same engine, so a base model has at least as many copies
 /// as each of its adapters, and its data centres are restricted by their rows too.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct DecidedCopies {
+pub struct ConfiguredCopies {
     version: Offset,
     counts: IndexMap<Name, u32>,
     /// The allowed data centres of the models and services that are not allowed in all.
     places: IndexMap<Name, Vec<Name>>,
 }
 
-impl DecidedCopies {
+impl ConfiguredCopies {
     /// Rebuilds the counts and data centres if the table's version has changed.
     pub fn refresh(&mut self, table: &Table) {
         if self.version == table.version {
@@ -81,7 +81,7 @@
 
 /// Always equal: the counts are derived from the table, so they must not make two states that are
 /// otherwise equal differ.
-impl PartialEq for DecidedCopies {
+impl PartialEq for ConfiguredCopies {
     fn eq(&self, _other: &Self) -> bool {
         true
     }
--- a/src/placement/retire.rs
+++ b/src/placement/retire.rs
@@ -1,7 +1,7 @@
 //! The reasons to unload a ready copy regardless of the demand for it.
 
 use crate::placement::copies::{Copy, CopyState};
-use crate::placement::decided::DecidedCopies;
+use crate::placement::decided::ConfiguredCopies;
 use crate::prelude::*;
 use crate::table::Table;
 
@@ -25,7 +25,7 @@
 /// [`RetireReason::Surplus`], or `None` if there is none or the copy is not ready.
 pub fn retired_by_table(
     copy: &Copy,
-    decided: &DecidedCopies,
+    configured: &ConfiguredCopies,
     table: &Table,
 ) -> Option<RetireReason> {
     if copy.state != CopyState::Ready {
@@ -37,5 +37,5 @@
     if !is_current {
         return Some(RetireReason::OldVersion);
     }
-    (copy.load.copy_index >= decided.of(&copy.load.model)).then_some(RetireReason::Surplus)
+    (copy.load.copy_index >= configured.of(&copy.load.model)).then_some(RetireReason::Surplus)
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the placement state derived from the log.
 
 use crate::placement::copies::{CopyState, Placement};
-use crate::placement::decided::DecidedCopies;
+use crate::placement::decided::ConfiguredCopies;
 use crate::placement::message::OrderOutcome;
 use crate::placement::test_site::{A, B, C, MEMORY_BYTES, TestLog};
 use crate::prelude::*;
@@ -268,11 +268,11 @@
         assert_eq!(sum, placement.reserved_bytes(upstream));
         assert!(sum <= MEMORY_BYTES);
     }
-    let mut decided = DecidedCopies::default();
-    decided.refresh(&log.shared.table);
+    let mut configured = ConfiguredCopies::default();
+    configured.refresh(&log.shared.table);
     for (model, _) in &log.shared.table.models {
         let copies = placement.copies_of(model).count();
-        assert!(copies <= decided.of(model) as usize);
+        assert!(copies <= configured.of(model) as usize);
     }
     let loading = placement
         .copies
