--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -7,8 +7,8 @@
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::home;
 use crate::membership::message::PeerRequest;
+use crate::placement::configured::ConfiguredCopies;
 use crate::placement::copies::{Copy, CopyState, Placement};
-use crate::placement::decided::ConfiguredCopies;
 use crate::placement::message::StoreReport;
 use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
--- a/src/placement/copies.rs
+++ b/src/placement/copies.rs
@@ -7,7 +7,7 @@
 
 use crate::membership::members::Members;
 use crate::membership::message::UpstreamEntry;
-use crate::placement::decided::ConfiguredCopies;
+use crate::placement::configured::ConfiguredCopies;
 use crate::placement::index::Index;
 use crate::placement::message::{LoadDecision, OrderAction, OrderOutcome};
 use crate::prelude::*;
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -2,8 +2,8 @@
 //! that load and unload them.
 
 mod checks;
+pub mod configured;
 pub mod copies;
-pub mod decided;
 pub mod executor;
 mod index;
 pub mod message;
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -2,8 +2,8 @@
 //! predicts how long the load takes.
 
 use crate::membership::message::{UpstreamEntry, UpstreamRole};
+use crate::placement::configured::Places;
 use crate::placement::copies::{Copy, CopyState, Placement};
-use crate::placement::decided::Places;
 use crate::placement::message::{EngineReport, LoadDecision, StoreReport};
 use crate::prelude::*;
 use crate::table::Table;
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the placement policies, and the costs of the keep-warm rules over a seeded trace.
 
-use crate::placement::decided::Places;
+use crate::placement::configured::Places;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
 use crate::placement::policy::choice::{
     Choice, LoadContext, UpstreamStatus, choose, store_wait_ms,
--- a/src/placement/retire.rs
+++ b/src/placement/retire.rs
@@ -1,7 +1,7 @@
 //! The reasons to unload a ready copy regardless of the demand for it.
 
+use crate::placement::configured::ConfiguredCopies;
 use crate::placement::copies::{Copy, CopyState};
-use crate::placement::decided::ConfiguredCopies;
 use crate::prelude::*;
 use crate::table::Table;
 
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -1,6 +1,6 @@
 //! Speed tests: applying records and choosing an engine at the sizes designed for.
 
-use crate::placement::decided::Places;
+use crate::placement::configured::Places;
 use crate::placement::message::OrderOutcome;
 use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::test_site::{A, TestLog};
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the placement state derived from the log.
 
+use crate::placement::configured::ConfiguredCopies;
 use crate::placement::copies::{CopyState, Placement};
-use crate::placement::decided::ConfiguredCopies;
 use crate::placement::message::OrderOutcome;
 use crate::placement::test_site::{A, B, C, MEMORY_BYTES, TestLog};
 use crate::prelude::*;
