--- a/src/placement/configured.rs
+++ b/src/placement/configured.rs
@@ -46,8 +46,8 @@
     ///
     /// The rows of several brands share the copies of a model, so only the data centres that all of
     /// these rows allow are allowed. A row that lists no data centre allows all.
-    pub fn places_of(&self, target: &str) -> Places<'_> {
-        Places(self.places.get(target).map(Vec::as_slice))
+    pub fn places_of(&self, target: &str) -> AllowedDataCentres<'_> {
+        AllowedDataCentres(self.places.get(target).map(Vec::as_slice))
     }
 
     fn restrict_data_centres(&mut self, target: &Name, data_centres: &[Name]) {
@@ -70,9 +70,9 @@
 
 /// The data centres in which a model or service may run; `None` stands for all.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Places<'a>(Option<&'a [Name]>);
+pub struct AllowedDataCentres<'a>(Option<&'a [Name]>);
 
-impl Places<'_> {
+impl AllowedDataCentres<'_> {
     /// Returns whether a data centre is allowed.
     pub fn allow(&self, data_centre: &Name) -> bool {
         self.0.is_none_or(|allowed| allowed.contains(data_centre))
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -2,7 +2,7 @@
 //! predicts how long the load takes.
 
 use crate::membership::message::{UpstreamEntry, UpstreamRole};
-use crate::placement::configured::Places;
+use crate::placement::configured::AllowedDataCentres;
 use crate::placement::copies::{Copy, CopyState, Placement};
 use crate::placement::message::{EngineReport, LoadDecision, StoreReport};
 use crate::prelude::*;
@@ -23,7 +23,7 @@
     /// The configured number of copies: the most that the model may have.
     pub configured_copies: u32,
     /// The data centres in which the model may run.
-    pub data_centres: Places<'a>,
+    pub data_centres: AllowedDataCentres<'a>,
     /// The weight store's last report, if there is one.
     pub store: Option<&'a StoreReport>,
     /// How long a load of this model takes, estimated from earlier loads.
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the placement policies, and the costs of the keep-warm rules over a seeded trace.
 
-use crate::placement::configured::Places;
+use crate::placement::configured::AllowedDataCentres;
 use crate::placement::message::{CheckpointCache, EngineReport, OrderOutcome};
 use crate::placement::policy::choice::{
     Choice, LoadContext, UpstreamStatus, choose, store_wait_ms,
@@ -74,7 +74,7 @@
         placement: log.placement(),
         table: &log.shared.table,
         configured_copies: 1,
-        data_centres: Places::default(),
+        data_centres: AllowedDataCentres::default(),
         store: None,
         load_ms: Some(Millis(60_000)),
     };
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -1,6 +1,6 @@
 //! Speed tests: applying records and choosing an engine at the sizes designed for.
 
-use crate::placement::configured::Places;
+use crate::placement::configured::AllowedDataCentres;
 use crate::placement::message::OrderOutcome;
 use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::test_site::{A, TestLog};
@@ -73,7 +73,7 @@
             placement: log.placement(),
             table: &log.shared.table,
             configured_copies: 1,
-            data_centres: Places::default(),
+            data_centres: AllowedDataCentres::default(),
             store: None,
             load_ms: None,
         };
