--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -60,7 +60,7 @@
             .model(model)
             .map(|spec| spec.reserved_bytes);
         let known = &self.shared.placement.upstreams;
-        let places = self.demand.decided.places_of(model);
+        let places = self.demand.decided.data_centres_of(model);
         let may_list = self.platform.may_list(|entry| {
             !known.contains_key(&entry.name)
                 && places.allow(&entry.data_centre)
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -296,7 +296,7 @@
             placement: &self.shared.placement,
             table: &self.shared.table,
             configured_copies: self.demand.decided.of(model),
-            data_centres: self.demand.decided.places_of(model),
+            data_centres: self.demand.decided.data_centres_of(model),
             store: self.demand.store.as_ref(),
             load_ms: self.demand.uses.load_ms(model),
         }
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -72,7 +72,7 @@
 
     fn candidates(&self, target: &str) -> Vec<Candidate> {
         let upstreams = &self.shared.placement.upstreams;
-        let places = self.demand.decided.places_of(target);
+        let places = self.demand.decided.data_centres_of(target);
         let names: Vec<&Name> = match self.shared.table.service(target) {
             Some(service) => service.upstreams.iter().collect(),
             None => self
--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -163,7 +163,7 @@
             return Some(RetireReason::UpstreamLeaving);
         }
         let upstream = self.shared.placement.upstreams.get(&copy.load.upstream);
-        let places = self.demand.decided.places_of(&copy.load.model);
+        let places = self.demand.decided.data_centres_of(&copy.load.model);
         if upstream.is_some_and(|upstream| !places.allow(&upstream.data_centre)) {
             return Some(RetireReason::DataCentre);
         }
--- a/src/placement/configured.rs
+++ b/src/placement/configured.rs
@@ -46,7 +46,7 @@
     ///
     /// The rows of several brands share the copies of a model, so only the data centres that all of
     /// these rows allow are allowed. A row that lists no data centre allows all.
-    pub fn places_of(&self, target: &str) -> AllowedDataCentres<'_> {
+    pub fn data_centres_of(&self, target: &str) -> AllowedDataCentres<'_> {
         AllowedDataCentres(self.places.get(target).map(Vec::as_slice))
     }
 
