--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -13,7 +13,7 @@
 use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
 use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
 use crate::placement::policy::keep_warm::IdleCopy;
-use crate::placement::presence::Presence;
+use crate::placement::presence::MissingCopyDetector;
 use crate::prelude::*;
 use crate::table::message::Urgency;
 use std::cmp::Reverse;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Demand {
     pub(super) uses: UsageTracker,
-    pub(super) presence: Presence,
+    pub(super) presence: MissingCopyDetector,
     pub(super) decided: ConfiguredCopies,
     pub(super) cursor: usize,
     store: Option<StoreReport>,
--- a/src/placement/presence.rs
+++ b/src/placement/presence.rs
@@ -23,11 +23,11 @@
 
 /// For each ready copy, by id, whether and since when its engine's reports do not list it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Presence {
+pub struct MissingCopyDetector {
     views: IndexMap<Offset, CopyReports>,
 }
 
-impl Presence {
+impl MissingCopyDetector {
     /// Updates the copies on an upstream from its report, which arrived at `now`.
     pub fn on_report(
         &mut self,
