--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -7,8 +7,8 @@
 pub mod executor;
 mod index;
 pub mod message;
+pub mod missing_copies;
 pub mod policy;
-pub mod presence;
 pub mod retire;
 
 #[cfg(test)]
