--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -210,7 +210,10 @@
         self.demand.decided.refresh(&self.shared.table);
         let room_since = self.note_store_room(now);
         let limits = &self.shared.table.store.value;
-        let room = self.shared.placement.store_room(self.log_now(now), limits);
+        let room = self
+            .shared
+            .placement
+            .available_loads(self.log_now(now), limits);
         let mut free = room.saturating_sub(self.demand.proposed_at.len());
         let mut models: Vec<(Name, Wanted)> = self
             .demand
@@ -247,7 +250,10 @@
     /// Returns since when the weight store has room for a load, so that homes get it first.
     fn note_store_room(&mut self, now: Millis) -> Millis {
         let limits = &self.shared.table.store.value;
-        let room = self.shared.placement.store_room(self.log_now(now), limits);
+        let room = self
+            .shared
+            .placement
+            .available_loads(self.log_now(now), limits);
         if room == 0 {
             self.demand.store_room_since = None;
             return now;
--- a/src/placement/checks.rs
+++ b/src/placement/checks.rs
@@ -90,7 +90,7 @@
 
     /// Returns how many more loads may start now under the weight store's limits of parallel loads
     /// and loads per second. `now` is a time of the log's clock.
-    pub fn store_room(&self, now: Millis, limits: &StoreLimits) -> usize {
+    pub fn available_loads(&self, now: Millis, limits: &StoreLimits) -> usize {
         let is_recent = |at: &&Millis| now.since(**at) < RATE_WINDOW_MS;
         let started = self.recent_loads.iter().filter(is_recent).count();
         let parallel = (limits.parallel_loads as usize).saturating_sub(self.loading());
@@ -105,7 +105,7 @@
         {
             self.recent_loads.pop_front();
         }
-        let is_busy = self.store_room(now, &table.store.value) == 0;
+        let is_busy = self.available_loads(now, &table.store.value) == 0;
         if is_busy {
             Err(Rejection::StoreBusy)
         } else {
