--- a/src/placement/copies.rs
+++ b/src/placement/copies.rs
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// Returns [`Rejection::UnknownUpstream`] if the upstream is not known.
-    pub fn upstream_gone(&mut self, name: &str) -> Result<(), Rejection> {
+    pub fn remove_upstream(&mut self, name: &str) -> Result<(), Rejection> {
         if self.upstreams.swap_remove(name).is_none() {
             return Err(Rejection::UnknownUpstream);
         }
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -137,7 +137,7 @@
             }
             RecordBody::Edit { edit } => self.table.apply_edit(offset, edit),
             RecordBody::Upstream { entry } => self.placement.put_upstream(entry),
-            RecordBody::UpstreamGone { name } => self.placement.upstream_gone(name),
+            RecordBody::UpstreamGone { name } => self.placement.remove_upstream(name),
             RecordBody::Load { load } => {
                 self.placement.load(offset, now, writer, load, &self.table)
             }
