--- a/src/placement/copies.rs
+++ b/src/placement/copies.rs
@@ -308,7 +308,7 @@
     /// Rejects the outcome if its fencing number is not the current one or no order is under way,
     /// and [`OrderOutcome::NotSent`] while a former executor may still send the order to an engine
     /// that ignores fencing numbers.
-    pub fn outcome(
+    pub fn apply_outcome(
         &mut self,
         now: Millis,
         id: Offset,
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -150,7 +150,7 @@
                 copy,
                 fence,
                 outcome,
-            } => self.placement.outcome(now, *copy, *fence, *outcome),
+            } => self.placement.apply_outcome(now, *copy, *fence, *outcome),
             RecordBody::Claims { claims } => self.claims.claim(offset, now, writer, claims),
             RecordBody::ClaimEnds { ends } => self.claims.end(writer, ends),
         }
