--- a/src/daemon/life_flow.rs
+++ b/src/daemon/life_flow.rs
@@ -43,7 +43,10 @@
 
     /// A host that was taken for dead comes back as another incarnation, once no order is in its hands.
     fn try_rejoin(&mut self, now: Millis) {
-        if self.executor.is_calling(now) || self.driver.is_appending() || self.driver.is_halted() {
+        if self.executor.has_call_in_flight(now)
+            || self.driver.is_appending()
+            || self.driver.is_halted()
+        {
             return;
         }
         let former = self.config.me;
--- a/src/placement/executor.rs
+++ b/src/placement/executor.rs
@@ -191,7 +191,7 @@
     }
 
     /// Returns whether a call of this host may still reach an engine.
-    pub fn is_calling(&self, now: Millis) -> bool {
+    pub fn has_call_in_flight(&self, now: Millis) -> bool {
         self.orders.values().any(|one| one.is_in_flight(now))
     }
 
