--- a/src/daemon/life_flow.rs
+++ b/src/daemon/life_flow.rs
@@ -61,7 +61,7 @@
         let entries_expired = now.since(since) > ENTRY_TTL_MS;
         let executing = self
             .executor
-            .is_busy(self.config.me, &self.shared.placement);
+            .has_order_in_flight(self.config.me, &self.shared.placement);
         if !entries_expired || executing || !self.requests.is_empty() {
             return;
         }
--- a/src/placement/executor.rs
+++ b/src/placement/executor.rs
@@ -218,7 +218,7 @@
     }
 
     /// Returns whether an order of which this host is the executor is under way.
-    pub fn is_busy(&self, me: Incarnation, placement: &Placement) -> bool {
+    pub fn has_order_in_flight(&self, me: Incarnation, placement: &Placement) -> bool {
         placement
             .unsettled()
             .any(|(_, copy)| copy.executor == me && copy.action_under_way().is_some())
