--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -94,7 +94,10 @@
     /// A departed host does this too: only the record must not be held up, no order is sent.
     fn relinquish_lost_orders(&mut self, now: Millis) {
         let me = self.config.me;
-        for copy in self.executor.relinquished(now, me, &self.shared.placement) {
+        for copy in self
+            .executor
+            .newly_relinquished(now, me, &self.shared.placement)
+        {
             LogEvent::OrderRelinquished.write(&format!("copy={copy}"));
             self.driver.queue(RecordBody::Relinquish { copy });
         }
--- a/src/placement/executor.rs
+++ b/src/placement/executor.rs
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Executor {
     orders: IndexMap<Offset, OrderProgress>,
-    /// The copies already returned by [`Executor::relinquished`].
+    /// The copies already returned by [`Executor::newly_relinquished`].
     relinquished: IndexSet<Offset>,
 }
 
@@ -198,7 +198,7 @@
     /// Returns the copies whose order was taken over from this host, once no call of this host with
     /// the order may still reach the engine, so that this host can record that it relinquishes the
     /// order. Each copy is returned once.
-    pub fn relinquished(
+    pub fn newly_relinquished(
         &mut self,
         now: Millis,
         me: Incarnation,
--- a/src/placement/interleaving_tests.rs
+++ b/src/placement/interleaving_tests.rs
@@ -204,7 +204,7 @@
         let mut fx = Effects::new();
         let placement = &host.shared.placement;
         host.executor.on_tick(now, id, placement, &mut fx);
-        let relinquished = host.executor.relinquished(now, id, placement);
+        let relinquished = host.executor.newly_relinquished(now, id, placement);
         for effect in fx {
             self.start_call(id, effect);
         }
