--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -225,7 +225,7 @@
                 continue;
             }
             if let Some(operation) = &request.operation {
-                self.pending_claims.let_go(operation, id);
+                self.pending_claims.release(operation, id);
             }
             self.claim_or_follow(now, id, fx);
         }
@@ -254,7 +254,7 @@
                 self.enqueue(now, id, fx);
             }
             Some(holder) if holder == id => {
-                self.pending_claims.let_go(operation, id);
+                self.pending_claims.release(operation, id);
                 self.claim_lost(now, id, operation, fx);
             }
             // A later request holds the operation and settles with its own record.
@@ -359,7 +359,7 @@
             | Phase::Releasing { .. }
             | Phase::Running { .. } => {}
         }
-        self.pending_claims.let_go(operation, request.head.id);
+        self.pending_claims.release(operation, request.head.id);
     }
 
     /// Tells whether the fold still lets this host run a request.
--- a/src/idempotency/pending.rs
+++ b/src/idempotency/pending.rs
@@ -109,7 +109,7 @@
 
     /// Makes a request no longer the holder of an operation. Its claim is dropped if it is not yet
     /// in a record.
-    pub fn let_go(&mut self, operation: &OperationKey, request: RequestId) {
+    pub fn release(&mut self, operation: &OperationKey, request: RequestId) {
         if self.holder(operation) == Some(request) {
             self.holders.swap_remove(operation);
         }
