--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -81,7 +81,7 @@
         };
         request.enter(now, Phase::Claiming);
         let pending = PendingClaim { request: id, claim };
-        if self.pending_claims.begin(pending).is_err() {
+        if self.pending_claims.queue_claim(pending).is_err() {
             let refusal = Refusal::new(ErrorKind::Overloaded, "too many claims wait for the log");
             self.refuse(now, id, refusal.after(LOG_RETRY_MS), fx);
         }
--- a/src/idempotency/pending.rs
+++ b/src/idempotency/pending.rs
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// Returns the claim unchanged if [`MAX_WAITING_CLAIMS`] wait already.
-    pub fn begin(&mut self, pending: PendingClaim) -> Result<(), PendingClaim> {
+    pub fn queue_claim(&mut self, pending: PendingClaim) -> Result<(), PendingClaim> {
         if self.waiting.len() >= MAX_WAITING_CLAIMS {
             return Err(pending);
         }
