--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -420,7 +420,7 @@
     }
 
     fn end_claim(&mut self, operation: &OperationKey, outcome: ClaimOutcome) {
-        self.pending_claims.end(ClaimEnd {
+        self.pending_claims.queue_end(ClaimEnd {
             operation: operation.clone(),
             outcome,
         });
--- a/src/idempotency/pending.rs
+++ b/src/idempotency/pending.rs
@@ -117,7 +117,7 @@
     }
 
     /// Queues the end of a claim for the next record.
-    pub fn end(&mut self, end: ClaimEnd) {
+    pub fn queue_end(&mut self, end: ClaimEnd) {
         self.waiting_ends.push(end);
     }
 
