--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -162,7 +162,7 @@
     /// Acts on what is due by time alone.
     pub fn tick_requests(&mut self, now: Millis, fx: &mut Effects) {
         self.pending_claims
-            .note_log(now, self.driver.is_reachable());
+            .note_log_reachable(now, self.driver.is_reachable());
         self.note_incarnation(now, fx);
         self.settle_claims(now, fx);
         self.finished.expire(now);
--- a/src/idempotency/pending.rs
+++ b/src/idempotency/pending.rs
@@ -59,7 +59,7 @@
 
 impl PendingClaims {
     /// Records whether the log is reachable.
-    pub fn note_log(&mut self, now: Millis, reachable: bool) {
+    pub fn note_log_reachable(&mut self, now: Millis, reachable: bool) {
         self.log_lost_since = match reachable {
             true => None,
             false => self.log_lost_since.or(Some(now)),
