--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -383,7 +383,7 @@
             return;
         }
         let too_long = now.since(request.phase_since) > CLAIM_BOUND_MS;
-        if too_long || self.pending_claims.log_lost_ms(now) > LOG_LOST_MS {
+        if too_long || self.pending_claims.log_unreachable_ms(now) > LOG_LOST_MS {
             self.refuse(now, id, log_unavailable(), fx);
         }
     }
--- a/src/idempotency/pending.rs
+++ b/src/idempotency/pending.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns how long the log has been unreachable; zero while it is reachable.
-    pub fn log_lost_ms(&self, now: Millis) -> Millis {
+    pub fn log_unreachable_ms(&self, now: Millis) -> Millis {
         self.log_lost_since
             .map_or(Millis::ZERO, |since| now.since(since))
     }
