--- a/src/idempotency/claims.rs
+++ b/src/idempotency/claims.rs
@@ -25,7 +25,8 @@
     pub outcome: Option<ClaimOutcome>,
 }
 
-/// The claims that have not expired, with an index by their time of expiry.
+/// The claims, with an index by their time of expiry. Expired claims are removed when the next
+/// batch of claims is applied.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "ClaimList", into = "ClaimList")]
 pub struct Claims {
--- a/src/idempotency/finished.rs
+++ b/src/idempotency/finished.rs
@@ -25,9 +25,9 @@
 pub struct FinishedOperations {
     #[serde(skip)]
     by_key: IndexMap<OperationKey, Finished>,
-    #[serde(skip)]
     /// The operations in the order of insertion. An operation that was inserted again also has an
     /// older element here, which is skipped.
+    #[serde(skip)]
     order: VecDeque<(Millis, OperationKey)>,
     /// The bytes of all answer bodies in `by_key`.
     bytes: usize,
--- a/src/idempotency/message.rs
+++ b/src/idempotency/message.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Identifies an operation: the caller's key is unique per brand and service.
+/// Identifies an operation. The same key of another brand, or for another service, identifies
+/// another operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OperationKey {
     /// The brand of the caller.
--- a/src/idempotency/pending.rs
+++ b/src/idempotency/pending.rs
@@ -39,7 +39,8 @@
     pub ends: Vec<ClaimEnd>,
 }
 
-/// This host's claims that are queued, under way to the log, or held by a request.
+/// This host's claims and ends of claims that are queued or under way to the log, and the requests
+/// that hold operations at this host.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PendingClaims {
     /// The request at this host that claims or runs each operation.
--- a/src/idempotency/tests/operations.rs
+++ b/src/idempotency/tests/operations.rs
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Runs an attempt at the service, which may refuse it or whose answer may get lost.
+    /// Runs an attempt at the service. The service may refuse it, and its answer may get lost.
     fn run_operation(
         &mut self,
         u: &mut Unstructured<'_>,
--- a/src/placement/executor.rs
+++ b/src/placement/executor.rs
@@ -34,7 +34,7 @@
     unseen: bool,
     /// When the last call ended whose answer was lost, so that its effect is unknown.
     lost_at: Option<Millis>,
-    /// When the first of the latest unbroken series of calls that did not reach the engine ended.
+    /// If the last calls did not reach the engine: when the first of them ended.
     undelivered_since: Option<Millis>,
     /// The earliest time of the next call.
     retry_at: Millis,
--- a/src/placement/interleaving_tests.rs
+++ b/src/placement/interleaving_tests.rs
@@ -1,8 +1,8 @@
 //! Tests of executors, engines and calls between them, in random interleavings.
 //!
 //! Hosts read the log with any delay, calls of frozen or slow hosts arrive late, answers are lost,
-//! and hosts are evicted while they are alive. The engines enforce neither their memory nor one copy
-//! per model, so that every superfluous order shows up in the checks.
+//! and hosts are evicted while they are alive. The engines enforce neither their memory nor one
+//! copy per model, so that every superfluous order shows up in the checks.
 
 use crate::daemon::membership_flow::LONGEST_FLIGHT_MS;
 use crate::placement::executor::{Executor, ORDER_POLL_MS};
@@ -252,7 +252,6 @@
         Ok(())
     }
 
-    /// Lets a call reach its engine, and its answer the host if the host still waits.
     /// Delivers a random call. Calls that were lost too long ago do not arrive any more.
     fn deliver_any(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let now = self.log.now;
@@ -267,7 +266,8 @@
         self.deliver_one(u, index)
     }
 
-    /// Delivers a call to its engine. The order may fail and the answer may get lost.
+    /// Delivers a call to its engine, and the answer to the host if the host still waits. The order
+    /// may fail and the answer may get lost.
     fn deliver_one(&mut self, u: &mut Unstructured<'_>, index: usize) -> Result<()> {
         let call = self.calls.swap_remove(index);
         let fails = u.ratio(1, 8)?;
@@ -335,7 +335,7 @@
     }
 
     /// Kills a host, or if it was killed long enough ago that its calls cannot arrive any more,
-    /// records that its process has ended. Host C is never killed.
+    /// records that its departure counts and that its process has ended. Host C is never killed.
     fn kill_or_record_gone(&mut self, host: Incarnation) {
         let now = self.log.now;
         match self.hosts[&host].killed_at {
--- a/src/placement/policy/choice.rs
+++ b/src/placement/policy/choice.rs
@@ -66,27 +66,27 @@
 /// is ready. If the base model has no copy yet, the base model is loaded first, on an engine with
 /// enough free memory for both.
 pub fn choose<'a>(
-    view: &LoadContext<'a>,
+    context: &LoadContext<'a>,
     model: &str,
-    hint: impl Fn(&str) -> UpstreamStatus<'a>,
+    status: impl Fn(&str) -> UpstreamStatus<'a>,
 ) -> Choice {
-    let Some(spec) = view.table.model(model) else {
+    let Some(spec) = context.table.model(model) else {
         return Choice::Never;
     };
-    if view.configured_copies == 0 {
+    if context.configured_copies == 0 {
         return Choice::Never;
     }
-    let Some(copy_index) = free_copy_index(view, model) else {
+    let Some(copy_index) = free_copy_index(context, model) else {
         return Choice::Wait;
     };
     let base = spec.base.as_deref();
     let base_copies: Vec<&Copy> = base
-        .map(|base| view.placement.copies_of(base).map(|(_, copy)| copy))
+        .map(|base| context.placement.copies_of(base).map(|(_, copy)| copy))
         .into_iter()
         .flatten()
         .collect();
     let needs_base = base.is_some() && base_copies.is_empty();
-    let base_spec = base.and_then(|base| view.table.model(base));
+    let base_spec = base.and_then(|base| context.table.model(base));
     let extra_bytes = match base_spec {
         Some(base_spec) if needs_base => base_spec.reserved_bytes,
         _ => 0,
@@ -96,11 +96,11 @@
         upstream.role == UpstreamRole::Engine
             && upstream.memory_bytes >= bytes
             && !upstream.leaving
-            && view.data_centres.allow(&upstream.data_centre)
-            && !has_copy(view.placement, model, &upstream.name)
-            && hint(&upstream.name).usable
+            && context.data_centres.allow(&upstream.data_centre)
+            && !has_copy(context.placement, model, &upstream.name)
+            && status(&upstream.name).usable
     };
-    let engines: Vec<&UpstreamEntry> = view
+    let engines: Vec<&UpstreamEntry> = context
         .placement
         .upstreams
         .values()
@@ -108,11 +108,11 @@
         .filter(|upstream| needs_base || base.is_none() || has_ready(&base_copies, &upstream.name))
         .collect();
     if engines.is_empty() {
-        let is_possible = view
+        let is_possible = context
             .placement
             .upstreams
             .values()
-            .filter(|upstream| view.data_centres.allow(&upstream.data_centre))
+            .filter(|upstream| context.data_centres.allow(&upstream.data_centre))
             .any(|upstream| upstream.memory_bytes >= bytes);
         return if is_possible {
             Choice::Wait
@@ -122,14 +122,17 @@
     }
     let best = engines
         .iter()
-        .filter(|upstream| free_bytes(view, upstream, hint(&upstream.name).report) >= bytes)
+        .filter(|upstream| free_bytes(context, upstream, status(&upstream.name).report) >= bytes)
         .min_by_key(|upstream| {
-            let report = hint(&upstream.name).report;
-            let free_bytes = free_bytes(view, upstream, report);
-            (fetch_ms(view, model, spec, report), u64::MAX - free_bytes)
+            let report = status(&upstream.name).report;
+            let free_bytes = free_bytes(context, upstream, report);
+            (
+                fetch_ms(context, model, spec, report),
+                u64::MAX - free_bytes,
+            )
         });
     let (Some(upstream), true) = (best, !needs_base || base_spec.is_some()) else {
-        return choose_where_to_free(view, &engines, bytes, &hint);
+        return choose_where_to_free(context, &engines, bytes, &status);
     };
     match base.zip(base_spec) {
         Some((base, base_spec)) if needs_base => {
@@ -152,13 +155,14 @@
 /// Chooses the engine with the most free memory, where the least must be freed; waits while copies
 /// are being unloaded.
 fn choose_where_to_free<'a>(
-    view: &LoadContext<'a>,
+    context: &LoadContext<'a>,
     engines: &[&UpstreamEntry],
     bytes: u64,
-    hint: &impl Fn(&str) -> UpstreamStatus<'a>,
+    status: &impl Fn(&str) -> UpstreamStatus<'a>,
 ) -> Choice {
     let is_unloading = engines.iter().any(|upstream| {
-        view.placement
+        context
+            .placement
             .copies_on(&upstream.name)
             .any(|(_, copy)| copy.state == CopyState::Unloading)
     });
@@ -167,26 +171,26 @@
     }
     engines
         .iter()
-        .max_by_key(|upstream| free_bytes(view, upstream, hint(&upstream.name).report))
+        .max_by_key(|upstream| free_bytes(context, upstream, status(&upstream.name).report))
         .map_or(Choice::Wait, |upstream| Choice::FreeMemory {
             upstream: upstream.name.clone(),
             bytes,
         })
 }
 
-/// Returns the free memory of an engine. Copies that only the engine's own report lists count too:
-/// the engine may hold copies that the placement state does not have.
+/// Returns the free memory of an engine. Copies that only the engine's own report lists count as
+/// used memory too: the engine may hold copies that the placement state does not have.
 fn free_bytes(
-    view: &LoadContext<'_>,
+    context: &LoadContext<'_>,
     upstream: &UpstreamEntry,
     report: Option<&EngineReport>,
 ) -> u64 {
-    let reserved_bytes = view.placement.reserved_bytes(&upstream.name);
+    let reserved_bytes = context.placement.reserved_bytes(&upstream.name);
     let unlisted_bytes: u64 = report.map_or(0, |report| {
         report
             .copies
             .iter()
-            .filter(|copy| !view.placement.copies.contains_key(&copy.order))
+            .filter(|copy| !context.placement.copies.contains_key(&copy.order))
             .map(|copy| copy.bytes)
             .sum()
     });
@@ -208,13 +212,14 @@
         .any(|copy| &*copy.load.upstream == upstream && copy.state == CopyState::Ready)
 }
 
-fn free_copy_index(view: &LoadContext<'_>, model: &str) -> Option<u32> {
-    let copies = view.placement.copies_of(model).count();
-    if copies >= view.configured_copies as usize {
+fn free_copy_index(context: &LoadContext<'_>, model: &str) -> Option<u32> {
+    let copies = context.placement.copies_of(model).count();
+    if copies >= context.configured_copies as usize {
         return None;
     }
-    (0..view.configured_copies).find(|index| {
-        view.placement
+    (0..context.configured_copies).find(|index| {
+        context
+            .placement
             .copies_of(model)
             .all(|(_, copy)| copy.load.copy_index != *index)
     })
@@ -224,7 +229,7 @@
 /// cache or the weight store, whichever is the nearest that holds the checkpoint. Without an
 /// estimate for the weight store the result is zero.
 pub fn fetch_ms(
-    view: &LoadContext<'_>,
+    context: &LoadContext<'_>,
     model: &str,
     spec: &Model,
     report: Option<&EngineReport>,
@@ -235,16 +240,16 @@
     match report {
         Some(report) if holds(&report.cache.memory) => transfer_ms(bytes, MEMORY_BYTES_PER_S),
         Some(report) if holds(&report.cache.disk) => transfer_ms(bytes, DISK_BYTES_PER_S),
-        _ => store_fetch_ms(view, bytes),
+        _ => store_fetch_ms(context, bytes),
     }
 }
 
-fn store_fetch_ms(view: &LoadContext<'_>, bytes: u64) -> Millis {
-    let by_rate = view
+fn store_fetch_ms(context: &LoadContext<'_>, bytes: u64) -> Millis {
+    let by_rate = context
         .store
         .filter(|store| store.bytes_per_s > 0)
         .map(|store| transfer_ms(bytes, store.bytes_per_s));
-    view.load_ms.or(by_rate).unwrap_or(Millis::ZERO)
+    context.load_ms.or(by_rate).unwrap_or(Millis::ZERO)
 }
 
 /// Predicts how long a further load waits until the weight store's limit of parallel loads admits
--- a/src/placement/policy/gap_histogram.rs
+++ b/src/placement/policy/gap_histogram.rs
@@ -40,8 +40,8 @@
             return idle_s < cold_cost_s;
         }
         let first = bucket_of(idle_ms);
-        let longer_gaps = self.count_from(first);
-        if longer_gaps == 0.0 {
+        let remaining = self.count_from(first);
+        if remaining == 0.0 {
             return false;
         }
         let (mut within, mut waited_s) = (0.0, 0.0);
@@ -50,8 +50,8 @@
             within += count;
             waited_s += count * (middle_s(bucket) - idle_s).max(0.0);
             let until_s = (end_s(bucket) - idle_s).max(0.0);
-            let later = longer_gaps - within;
-            let cost_s = (waited_s + later * (until_s + cold_cost_s)) / longer_gaps;
+            let later = remaining - within;
+            let cost_s = (waited_s + later * (until_s + cold_cost_s)) / remaining;
             if cost_s < cold_cost_s {
                 return true;
             }
@@ -67,13 +67,13 @@
         }
         let idle_s = idle_ms.0 as f64 / 1_000.0;
         let first = bucket_of(idle_ms);
-        let longer_gaps = self.count_from(first);
-        if longer_gaps == 0.0 {
+        let remaining = self.count_from(first);
+        if remaining == 0.0 {
             return Some(end_s(BUCKETS - 1));
         }
         let waits = (first..BUCKETS)
             .map(|bucket| f64::from(self.counts[bucket]) * (middle_s(bucket) - idle_s).max(0.0));
-        Some(waits.sum::<f64>() / longer_gaps)
+        Some(waits.sum::<f64>() / remaining)
     }
 
     fn total(&self) -> u32 {
@@ -100,7 +100,8 @@
     (1_u64 << bucket) as f64
 }
 
-/// Returns the middle of a bucket in seconds, which stands for all gaps in it.
+/// Returns the length in seconds that stands for all gaps in a bucket: the middle of the bucket, or
+/// 0.75 s for bucket 0.
 fn middle_s(bucket: usize) -> f64 {
     end_s(bucket) * 0.75
 }
--- a/src/placement/policy/tests.rs
+++ b/src/placement/policy/tests.rs
@@ -70,7 +70,7 @@
 }
 
 fn choose_in(log: &TestLog, model: &str, report: Option<(&str, &EngineReport)>) -> Choice {
-    let view = LoadContext {
+    let context = LoadContext {
         placement: log.placement(),
         table: &log.shared.table,
         configured_copies: 1,
@@ -78,7 +78,7 @@
         store: None,
         load_ms: Some(Millis(60_000)),
     };
-    choose(&view, model, |upstream| UpstreamStatus {
+    choose(&context, model, |upstream| UpstreamStatus {
         usable: true,
         report: report
             .filter(|(name, _)| *name == upstream)
--- a/src/placement/retire.rs
+++ b/src/placement/retire.rs
@@ -17,7 +17,7 @@
     DataCentre,
     /// The upstream that holds the copy is leaving.
     UpstreamLeaving,
-    /// The engine does not report the copy (any more).
+    /// The engine's reports do not list the copy, or no longer do.
     Missing,
 }
 
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -69,7 +69,7 @@
     let per_record = started.elapsed() / (LOADS as u32 * 4);
     let started = Instant::now();
     for number in 0..LOADS {
-        let view = LoadContext {
+        let context = LoadContext {
             placement: log.placement(),
             table: &log.shared.table,
             configured_copies: 1,
@@ -77,7 +77,7 @@
             store: None,
             load_ms: None,
         };
-        let choice = choose(&view, &name("model", UPSTREAMS + number), |_| {
+        let choice = choose(&context, &name("model", UPSTREAMS + number), |_| {
             UpstreamStatus {
                 usable: true,
                 report: None,
