--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -86,7 +86,7 @@
         };
         request.enter(now, Phase::Claiming);
         let pending = PendingClaim { request: id, claim };
-        if self.pending_claims.begin(pending).is_err() {
+        if self.pending_claims.queue_claim(pending).is_err() {
             let refusal = Refusal::new(ErrorKind::Overloaded, "too many claims wait for the log");
             self.refuse(now, id, refusal.after(LOG_RETRY_AFTER_MS), fx);
         }
@@ -234,7 +234,7 @@
                 continue;
             }
             if let Some(operation) = &request.operation {
-                self.pending_claims.let_go(operation, id);
+                self.pending_claims.release(operation, id);
             }
             self.claim_or_follow(now, id, fx);
         }
@@ -264,7 +264,7 @@
                 self.enqueue(now, id, fx);
             }
             Some(holder) if holder == id => {
-                self.pending_claims.let_go(operation, id);
+                self.pending_claims.release(operation, id);
                 self.on_claim_lost(now, id, operation, fx);
             }
             // A later request holds the operation; its own record settles it.
@@ -377,7 +377,7 @@
             | Phase::Releasing { .. }
             | Phase::Running { .. } => {}
         }
-        self.pending_claims.let_go(operation, request.head.id);
+        self.pending_claims.release(operation, request.head.id);
     }
 
     /// Returns whether this host may run a request: it has no operation, or the replicated state
@@ -403,7 +403,7 @@
             return;
         }
         let too_long = now.since(request.phase_since) > CLAIM_TIMEOUT_MS;
-        if too_long || self.pending_claims.log_lost_ms(now) > MAX_LOG_OUTAGE_MS {
+        if too_long || self.pending_claims.log_unreachable_ms(now) > MAX_LOG_OUTAGE_MS {
             self.refuse(now, id, log_unavailable(), fx);
         }
     }
@@ -441,7 +441,7 @@
     }
 
     fn end_claim(&mut self, operation: &OperationKey, outcome: ClaimOutcome) {
-        self.pending_claims.end(ClaimEnd {
+        self.pending_claims.queue_end(ClaimEnd {
             operation: operation.clone(),
             outcome,
         });
--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -49,7 +49,7 @@
             Choice::Never if self.is_engine_expected(model) => Ready::Soon,
             Choice::Never => Ready::Never,
             Choice::Wait => Ready::Soon,
-            Choice::Load(_) | Choice::MakeRoom { .. } => Ready::After(self.cold_start_ms(model)),
+            Choice::Load(_) | Choice::FreeMemory { .. } => Ready::After(self.cold_start_ms(model)),
         }
     }
 
@@ -63,7 +63,7 @@
             .model(model)
             .map(|spec| spec.reserved_bytes);
         let known = &self.shared.placement.upstreams;
-        let places = self.demand.decided.places_of(model);
+        let places = self.demand.decided.data_centres_of(model);
         let may_be_listed = self.platform.may_list_upstream(|entry| {
             !known.contains_key(&entry.name)
                 && places.allow(&entry.data_centre)
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -8,13 +8,13 @@
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::home;
 use crate::membership::message::PeerRequest;
+use crate::placement::configured::ConfiguredCopies;
 use crate::placement::copies::{Copy, CopyState, Placement};
-use crate::placement::decided::DecidedCopies;
 use crate::placement::message::StoreReport;
-use crate::placement::policy::choice::{Choice, LoadView, UpstreamHint, choose};
-use crate::placement::policy::demand::{DemandHints, RoomWanted, UseHint, Uses};
+use crate::placement::missing_copies::MissingCopyDetector;
+use crate::placement::policy::choice::{Choice, LoadContext, UpstreamStatus, choose};
+use crate::placement::policy::demand::{DemandHints, MemoryRequest, UsageHint, UsageTracker};
 use crate::placement::policy::keep_warm::IdleCopy;
-use crate::placement::presence::Presence;
 use crate::prelude::*;
 use crate::table::message::Urgency;
 use std::cmp::Reverse;
@@ -48,11 +48,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Demand {
     /// The use of models, at this host and as hinted by others.
-    pub(super) uses: Uses,
+    pub(super) uses: UsageTracker,
     /// Which ready copies the engines still report.
-    pub(super) presence: Presence,
+    pub(super) presence: MissingCopyDetector,
     /// The number of copies and the data centres that the table configures for each model.
-    pub(super) decided: DecidedCopies,
+    pub(super) decided: ConfiguredCopies,
     /// The index of the copy at which the next check for unloads starts.
     pub(super) cursor: usize,
     /// The weight store's last report.
@@ -66,7 +66,7 @@
     /// Since when the weight store's limits allow another load.
     store_room_since: Option<Millis>,
     /// The memory needed on upstreams, to be sent to the homes of those upstreams.
-    room_wanted: Vec<RoomWanted>,
+    room_wanted: Vec<MemoryRequest>,
     next_hints_at: Millis,
     /// When the loads under way were decided, by the timestamps of the log.
     loads_since: IndexMap<Offset, Millis>,
@@ -94,7 +94,7 @@
 impl Demand {
     /// Records that a request of this host uses a model.
     pub fn note_use(&mut self, now: Millis, model: &Name) {
-        self.uses.note_own(now, model);
+        self.uses.note_own_request(now, model);
     }
 
     /// Replaces the weight store's report; `None` if the store did not answer.
@@ -237,7 +237,10 @@
         self.demand.decided.refresh(&self.shared.table);
         let available_since = self.note_store_availability(now);
         let limits = &self.shared.table.store.value;
-        let available = self.shared.placement.store_room(self.log_now(now), limits);
+        let available = self
+            .shared
+            .placement
+            .available_loads(self.log_now(now), limits);
         let mut free = available.saturating_sub(self.demand.proposed_at.len());
         let mut models: Vec<(Name, WantedModel)> = self
             .demand
@@ -275,7 +278,10 @@
     /// The time for which the home of a model goes first counts from then.
     fn note_store_availability(&mut self, now: Millis) -> Millis {
         let limits = &self.shared.table.store.value;
-        let available = self.shared.placement.store_room(self.log_now(now), limits);
+        let available = self
+            .shared
+            .placement
+            .available_loads(self.log_now(now), limits);
         if available == 0 {
             self.demand.store_room_since = None;
             return now;
@@ -299,9 +305,11 @@
                 self.driver.queue(RecordBody::Load { load });
                 true
             }
-            Choice::MakeRoom { upstream, bytes } => {
+            Choice::FreeMemory { upstream, bytes } => {
                 self.demand.proposed_at.insert(model.clone(), now);
-                self.demand.room_wanted.push(RoomWanted { upstream, bytes });
+                self.demand
+                    .room_wanted
+                    .push(MemoryRequest { upstream, bytes });
                 false
             }
             Choice::Wait | Choice::Never => false,
@@ -310,7 +318,7 @@
 
     pub(super) fn choose_load(&self, now: Millis, model: &str) -> Choice {
         let context = self.load_context(model);
-        choose(&context, model, |upstream| UpstreamHint {
+        choose(&context, model, |upstream| UpstreamStatus {
             usable: self.routing.is_usable(now, upstream),
             report: self
                 .routing
@@ -319,12 +327,12 @@
         })
     }
 
-    pub(super) fn load_context(&self, model: &str) -> LoadView<'_> {
-        LoadView {
+    pub(super) fn load_context(&self, model: &str) -> LoadContext<'_> {
+        LoadContext {
             placement: &self.shared.placement,
             table: &self.shared.table,
-            decided: self.demand.decided.of(model),
-            places: self.demand.decided.places_of(model),
+            configured_copies: self.demand.decided.of(model),
+            data_centres: self.demand.decided.data_centres_of(model),
             store: self.demand.store.as_ref(),
             load_ms: self.demand.uses.load_ms(model),
         }
@@ -373,12 +381,12 @@
         let mut recent: Vec<(&Name, Millis)> = self
             .demand
             .uses
-            .own_since(now - recent_ms)
+            .used_here_since(now - recent_ms)
             .map(|(model, used)| (model, used.own_use_at))
             .collect();
         recent.sort_by_key(|(_, at)| Reverse(*at));
         for (model, at) in recent {
-            let hint = UseHint {
+            let hint = UsageHint {
                 model: model.clone(),
                 idle_ms: now.since(at),
                 waiting: self.queues.waiting(model) as u32,
@@ -399,7 +407,7 @@
     fn note_models_in_use(&mut self, now: Millis) {
         let in_use: Vec<Name> = self.requests_by_model().into_keys().cloned().collect();
         for model in in_use {
-            self.demand.uses.touch_own(now, &model);
+            self.demand.uses.note_own_in_use(now, &model);
         }
     }
 
@@ -442,7 +450,7 @@
 
     /// Proposes to unload idle copies of an upstream, the least valuable ones first, until the
     /// memory that a load needs is free.
-    fn free_memory(&mut self, now: Millis, request: &RoomWanted) {
+    fn free_memory(&mut self, now: Millis, request: &MemoryRequest) {
         let Some(upstream) = self.shared.placement.upstreams.get(&request.upstream) else {
             return;
         };
@@ -491,7 +499,9 @@
     /// values are unloaded first, and a copy in use has the highest.
     fn keep_value(&self, now: Millis, copy: &Copy) -> f64 {
         let idle = self.idle_copy(now, copy);
-        idle.map_or(f64::MAX, |idle| self.config.keep_warm.value(&idle))
+        idle.map_or(f64::MAX, |idle| {
+            self.config.keep_warm.retention_value(&idle)
+        })
     }
 
     /// Returns the input of the keep-warm rule for a copy, or `None` while its model is in use.
--- a/src/daemon/life_flow.rs
+++ b/src/daemon/life_flow.rs
@@ -45,7 +45,10 @@
     /// Rejoins under a new incarnation after an eviction, once no call to an engine and no append
     /// of the former incarnation is in flight.
     fn try_rejoin(&mut self, now: Millis) {
-        if self.executor.is_calling(now) || self.driver.is_appending() || self.driver.is_halted() {
+        if self.executor.has_call_in_flight(now)
+            || self.driver.is_appending()
+            || self.driver.is_halted()
+        {
             return;
         }
         let former = self.config.me;
@@ -62,7 +65,7 @@
         let entries_expired = now.since(since) > ENTRY_TTL_MS;
         let executing = self
             .executor
-            .is_busy(self.config.me, &self.shared.placement);
+            .has_order_in_flight(self.config.me, &self.shared.placement);
         if !entries_expired || executing || !self.requests.is_empty() {
             return;
         }
--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -99,7 +99,10 @@
     /// departed host writes it too.
     fn relinquish_lost_orders(&mut self, now: Millis) {
         let me = self.config.me;
-        for copy in self.executor.relinquished(now, me, &self.shared.placement) {
+        for copy in self
+            .executor
+            .newly_relinquished(now, me, &self.shared.placement)
+        {
             LogEvent::OrderRelinquished.write(&format!("copy={copy}"));
             self.driver.queue(RecordBody::Relinquish { copy });
         }
@@ -168,7 +171,7 @@
             return Some(RetireReason::UpstreamLeaving);
         }
         let upstream = self.shared.placement.upstreams.get(&copy.load.upstream);
-        let places = self.demand.decided.places_of(&copy.load.model);
+        let places = self.demand.decided.data_centres_of(&copy.load.model);
         if upstream.is_some_and(|upstream| !places.allow(&upstream.data_centre)) {
             return Some(RetireReason::DataCentre);
         }
@@ -186,10 +189,10 @@
         let Some(copy) = self.shared.placement.copies.get(&id) else {
             return false;
         };
-        self.demand.uses.meet(now, &copy.load.model);
+        self.demand.uses.note_first_seen(now, &copy.load.model);
         let idle = self.idle_copy(now, copy);
         idle.is_some_and(|idle| {
-            idle.idle_ms >= MIN_IDLE_TIME_MS && self.config.keep_warm.is_due(&idle)
+            idle.idle_ms >= MIN_IDLE_TIME_MS && self.config.keep_warm.should_unload(&idle)
         })
     }
 
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -167,7 +167,7 @@
     /// Handles all requests whose deadline or waiting time has passed. Runs at each tick.
     pub fn tick_requests(&mut self, now: Millis, fx: &mut Effects) {
         self.pending_claims
-            .note_log(now, self.driver.is_reachable());
+            .note_log_reachable(now, self.driver.is_reachable());
         self.restart_claims_after_rejoin(now, fx);
         self.settle_claims(now, fx);
         self.finished.expire(now);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,13 +1,14 @@
-//! Which copies of which models exist, on which upstreams, and the orders that make and remove them.
+//! Placement: which copies of which models exist, on which upstreams, and the orders to engines
+//! that load and unload them.
 
 mod checks;
+pub mod configured;
 pub mod copies;
-pub mod decided;
 pub mod executor;
 mod index;
 pub mod message;
+pub mod missing_copies;
 pub mod policy;
-pub mod presence;
 pub mod retire;
 
 #[cfg(test)]
--- a/src/placement/retire.rs
+++ b/src/placement/retire.rs
@@ -1,30 +1,31 @@
-//! Why a ready copy is to go whatever the demand for it.
+//! The reasons to unload a ready copy regardless of the demand for it.
 
+use crate::placement::configured::ConfiguredCopies;
 use crate::placement::copies::{Copy, CopyState};
-use crate::placement::decided::DecidedCopies;
 use crate::prelude::*;
 use crate::table::Table;
 
-/// Why a copy is to go.
+/// The reason to unload a copy. Written to the log line of the unload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetireReason {
-    /// The table has another version of the model, or no model.
+    /// The table has another version of the model, or no longer has the model.
     OldVersion,
-    /// The table asks for fewer copies.
+    /// The table now configures fewer copies of the model.
     Surplus,
-    /// A row allows the model in other data centres only.
+    /// A row of the table allows the model in other data centres only.
     DataCentre,
-    /// The upstream is leaving.
+    /// The upstream that holds the copy is leaving.
     UpstreamLeaving,
-    /// The engine no longer reports it.
+    /// The engine's reports do not list the copy, or no longer do.
     Missing,
 }
 
-/// Returns why a copy is to go by the table, if it is.
+/// Returns the reason in the table to unload a copy: [`RetireReason::OldVersion`],
+/// [`RetireReason::Surplus`], or `None` if there is none or the copy is not ready.
 pub fn retired_by_table(
     copy: &Copy,
-    decided: &DecidedCopies,
+    configured: &ConfiguredCopies,
     table: &Table,
 ) -> Option<RetireReason> {
     if copy.state != CopyState::Ready {
@@ -36,5 +37,5 @@
     if !is_current {
         return Some(RetireReason::OldVersion);
     }
-    (copy.load.copy_index >= decided.of(&copy.load.model)).then_some(RetireReason::Surplus)
+    (copy.load.copy_index >= configured.of(&copy.load.model)).then_some(RetireReason::Surplus)
 }
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -137,7 +137,7 @@
             }
             RecordBody::Edit { edit } => self.table.apply_edit(offset, edit),
             RecordBody::Upstream { entry } => self.placement.put_upstream(entry),
-            RecordBody::UpstreamGone { name } => self.placement.upstream_gone(name),
+            RecordBody::UpstreamGone { name } => self.placement.remove_upstream(name),
             RecordBody::Load { load } => {
                 self.placement.load(offset, now, writer, load, &self.table)
             }
@@ -150,7 +150,7 @@
                 copy,
                 fence,
                 outcome,
-            } => self.placement.outcome(now, *copy, *fence, *outcome),
+            } => self.placement.apply_outcome(now, *copy, *fence, *outcome),
             RecordBody::Claims { claims } => self.claims.claim(offset, now, writer, claims),
             RecordBody::ClaimEnds { ends } => self.claims.end(writer, ends),
         }
