--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -1,43 +1,47 @@
-//! Checkpoints of the fold's state, and how a host without state finds one.
+//! Checkpoints of the shared state, and the search for one by a host that cannot apply the log from
+//! the record that it needs next, because that record was trimmed.
 //!
-//! A checkpoint is a run of parts on the log, all by one writer and as of one offset. The fold notes
-//! which checkpoints are whole; a [`Scan`] puts the texts of one together.
+//! A checkpoint is a sequence of parts on the log, all by one writer and of the state at one
+//! offset. The shared state records which checkpoints are complete, but not their text. A [`Scan`]
+//! reads the log and joins the text of the parts.
 
 use crate::prelude::*;
 use crate::shared_log::codec::{DecodeError, decode};
 use crate::shared_log::fold::Shared;
 use crate::shared_log::record::{CheckpointPart, LoggedRecord};
 
-/// The longest text of one part, so that the encoded record fits an append.
+/// Longest text of one part, so that the encoded record fits into one append.
 pub const MAX_PART_BYTES: usize = 128 << 10;
 /// Most parts of one checkpoint.
 pub const MAX_PARTS: usize = 4096;
-/// Most checkpoints that may be incomplete at once.
+/// Most incomplete checkpoints that are tracked at once; the oldest is dropped to make room.
 pub const MAX_INCOMPLETE: usize = 4;
-/// How many records a new host reads at most after the newest checkpoint.
+/// Number of records after the newest checkpoint at which another one is due. It bounds how many
+/// records a new host has to apply.
 pub const MAX_TAIL_RECORDS: u64 = 10_000;
-/// How old the newest checkpoint may get by the log's clock.
+/// Age of the newest checkpoint, by the log's clock, at which another one is due.
 pub const MAX_CHECKPOINT_AGE_MS: Millis = Millis(600_000);
-/// How many records make another checkpoint worthwhile.
+/// Fewest records after the newest checkpoint for another one, unless some of them were trimmed.
 pub const MIN_TAIL_RECORDS: u64 = 64;
 
-/// A checkpoint whose parts are all on the log.
+/// A checkpoint of which all parts were appended to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WholeCheckpoint {
-    /// The next offset after the last record in its state.
+pub struct CompleteCheckpoint {
+    /// The offset of the first record that is not in the checkpoint's state.
     pub as_of: Offset,
-    /// When its last part was appended, by the log's clock.
+    /// The time at which its last part was appended, by the log's clock.
     pub written_ms: Millis,
 }
 
+/// The parts of one writer's checkpoint that were read so far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Progress {
+struct PartProgress {
     as_of: Offset,
     parts: u32,
     next_part: u32,
 }
 
-impl Progress {
+impl PartProgress {
     fn start(part: &CheckpointPart) -> Self {
         Self {
             as_of: part.as_of,
@@ -46,34 +50,35 @@
         }
     }
 
-    fn takes(&self, part: &CheckpointPart) -> bool {
+    fn accepts(&self, part: &CheckpointPart) -> bool {
         let same = self.as_of == part.as_of && self.parts == part.parts;
         same && self.next_part == part.part
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.next_part == self.parts
     }
 }
 
-/// The fold's part: which checkpoints are on the log.
+/// The part of the shared state that tracks the checkpoints on the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Checkpoints {
-    newest: Option<WholeCheckpoint>,
-    incomplete: IndexMap<Incarnation, Progress>,
+    newest: Option<CompleteCheckpoint>,
+    incomplete: IndexMap<Incarnation, PartProgress>,
 }
 
 impl Checkpoints {
-    /// Returns the newest whole checkpoint.
-    pub fn newest(&self) -> Option<WholeCheckpoint> {
+    /// Returns the complete checkpoint with the highest offset.
+    pub fn newest(&self) -> Option<CompleteCheckpoint> {
         self.newest
     }
 
-    /// Takes the next part of a writer's checkpoint.
+    /// Records one part of a writer's checkpoint. Part 0 replaces an incomplete checkpoint of the
+    /// same writer. `now` is the log's clock.
     ///
     /// # Errors
     ///
-    /// Rejects a part that does not follow the writer's last one.
+    /// Returns [`Rejection::PartOutOfOrder`] if the part does not follow the writer's last one.
     pub fn take(
         &mut self,
         now: Millis,
@@ -81,28 +86,34 @@
         part: &CheckpointPart,
     ) -> Result<(), Rejection> {
         if part.part == 0 {
-            begin(&mut self.incomplete, writer, Progress::start(part));
+            start_checkpoint(&mut self.incomplete, writer, PartProgress::start(part));
         }
         let progress = self.incomplete.get_mut(&writer);
         let progress = progress.ok_or(Rejection::PartOutOfOrder)?;
-        if !progress.takes(part) {
+        if !progress.accepts(part) {
             return Err(Rejection::PartOutOfOrder);
         }
         progress.next_part += 1;
-        if progress.is_whole() {
+        if progress.is_complete() {
             self.incomplete.shift_remove(&writer);
-            self.note_whole(part.as_of, now);
+            self.note_complete(part.as_of, now);
         }
         Ok(())
     }
 
-    fn note_whole(&mut self, as_of: Offset, written_ms: Millis) {
+    fn note_complete(&mut self, as_of: Offset, written_ms: Millis) {
         if self.newest.is_none_or(|newest| newest.as_of < as_of) {
-            self.newest = Some(WholeCheckpoint { as_of, written_ms });
+            self.newest = Some(CompleteCheckpoint { as_of, written_ms });
         }
     }
 
-    /// Tells whether another checkpoint is due, `oldest` being the oldest record that the log keeps.
+    /// Returns whether another checkpoint is due. `oldest` is the offset of the oldest record that
+    /// the log retains.
+    ///
+    /// One is due when records after the state of the newest checkpoint were trimmed. Otherwise at
+    /// least [`MIN_TAIL_RECORDS`] records must follow that state, and one of these must hold: there
+    /// are [`MAX_TAIL_RECORDS`] of them, the checkpoint is [`MAX_CHECKPOINT_AGE_MS`] old, or the
+    /// log was trimmed before and the state lies in the older half of what it retains.
     pub fn is_due(&self, log_ms: Millis, next_offset: Offset, oldest: Offset) -> bool {
         let as_of = self.newest.map_or(Offset(0), |newest| newest.as_of);
         if as_of < oldest {
@@ -113,15 +124,19 @@
             return false;
         }
         let written_ms = self.newest.map_or(log_ms, |newest| newest.written_ms);
-        let kept = next_offset.0.saturating_sub(oldest.0);
-        let in_older_half = oldest > Offset(0) && tail > kept / 2;
+        let retained = next_offset.0.saturating_sub(oldest.0);
+        let in_older_half = oldest > Offset(0) && tail > retained / 2;
         tail >= MAX_TAIL_RECORDS
             || log_ms.since(written_ms) >= MAX_CHECKPOINT_AGE_MS
             || in_older_half
     }
 }
 
-fn begin<T>(incomplete: &mut IndexMap<Incarnation, T>, writer: Incarnation, progress: T) {
+fn start_checkpoint<T>(
+    incomplete: &mut IndexMap<Incarnation, T>,
+    writer: Incarnation,
+    progress: T,
+) {
     incomplete.shift_remove(&writer);
     if incomplete.len() >= MAX_INCOMPLETE {
         incomplete.shift_remove_index(0);
@@ -129,11 +144,12 @@
     incomplete.insert(writer, progress);
 }
 
-/// Writes a state as the parts of a checkpoint.
+/// Serialises a state and splits it into the parts of a checkpoint. Returns no parts if the state
+/// needs more than [`MAX_PARTS`].
 ///
 /// # Errors
 ///
-/// Returns the encoder's error. A state that takes more than [`MAX_PARTS`] gives no parts.
+/// Returns the error of the JSON serialiser.
 pub fn parts_of(shared: &Shared) -> Result<Vec<CheckpointPart>, serde_json::Error> {
     let text = serde_json::to_string(shared)?;
     let texts = split(&text);
@@ -161,36 +177,37 @@
     texts
 }
 
+/// The parts of one writer's checkpoint that a scan has read so far, and their joined text.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Collected {
-    progress: Progress,
+struct PartialCheckpoint {
+    progress: PartProgress,
     text: String,
 }
 
-/// A search for a whole checkpoint, by a host whose next record is no longer kept.
+/// The search for a complete checkpoint, for a host whose next record was trimmed from the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Scan {
     from: Offset,
     next: Offset,
-    collected: IndexMap<Incarnation, Collected>,
+    collected: IndexMap<Incarnation, PartialCheckpoint>,
 }
 
-/// What a record means to a [`Scan`].
+/// What the next record did to a [`Scan`].
 #[derive(Clone, Debug)]
 pub enum ScanStep {
-    /// The search goes on.
+    /// No checkpoint is complete yet; the search continues.
     More,
-    /// A checkpoint is whole, and all records after its state are kept.
+    /// A checkpoint is complete, and the log retains all records after its state.
     Whole(Box<Shared>),
-    /// A newer release wrote the record, so the state after it is out of reach.
+    /// The record has a newer format, so this release cannot compute the state after it.
     Newer {
-        /// The record's format.
+        /// The format of the record.
         format: u32,
     },
 }
 
 impl Scan {
-    /// Begins at the oldest record that the log keeps.
+    /// Creates a search that starts at the oldest record that the log retains.
     pub fn new(oldest: Offset) -> Self {
         Self {
             from: oldest,
@@ -199,17 +216,19 @@
         }
     }
 
-    /// Returns where the search began.
+    /// Returns the offset at which the search started. Checkpoints of an older state are not used,
+    /// because records after that state may have been trimmed.
     pub fn from(&self) -> Offset {
         self.from
     }
 
-    /// Returns the next offset to read.
+    /// Returns the offset of the next record to read.
     pub fn next_offset(&self) -> Offset {
         self.next
     }
 
-    /// Takes the next record. After a gap the search begins anew.
+    /// Processes the next record. A record after a gap restarts the search at its own offset; one
+    /// that was processed before is ignored.
     pub fn take(&mut self, logged: &LoggedRecord) -> ScanStep {
         if logged.offset < self.next {
             return ScanStep::More;
@@ -219,13 +238,13 @@
         }
         self.next = logged.offset.next();
         match decode(&logged.payload) {
-            Ok(record) => self.take_record(record),
+            Ok(record) => self.process_record(record),
             Err(DecodeError::Newer { format }) => ScanStep::Newer { format },
             Err(DecodeError::Garbage { .. }) => ScanStep::More,
         }
     }
 
-    fn take_record(&mut self, record: Record) -> ScanStep {
+    fn process_record(&mut self, record: Record) -> ScanStep {
         let RecordBody::Checkpoint { part } = record.body else {
             return ScanStep::More;
         };
@@ -233,25 +252,29 @@
         if !usable {
             return ScanStep::More;
         }
-        self.take_part(record.id.host, &part)
+        self.add_part(record.id.host, &part)
             .map_or(ScanStep::More, |shared| ScanStep::Whole(Box::new(shared)))
     }
 
-    fn take_part(&mut self, writer: Incarnation, part: &CheckpointPart) -> Option<Shared> {
+    fn add_part(&mut self, writer: Incarnation, part: &CheckpointPart) -> Option<Shared> {
         let known = self.collected.get(&writer);
         let repeated = known.is_some_and(|known| known.progress.as_of == part.as_of);
         if part.part == 0 && !repeated {
-            let progress = Progress::start(part);
+            let progress = PartProgress::start(part);
             let text = String::new();
-            begin(&mut self.collected, writer, Collected { progress, text });
+            start_checkpoint(
+                &mut self.collected,
+                writer,
+                PartialCheckpoint { progress, text },
+            );
         }
         let collected = self.collected.get_mut(&writer)?;
-        if !collected.progress.takes(part) {
+        if !collected.progress.accepts(part) {
             return None;
         }
         collected.progress.next_part += 1;
         collected.text.push_str(&part.text);
-        if !collected.progress.is_whole() {
+        if !collected.progress.is_complete() {
             return None;
         }
         let text = self.collected.shift_remove(&writer)?.text;
--- a/src/shared_log/codec.rs
+++ b/src/shared_log/codec.rs
@@ -1,74 +1,77 @@
-//! How records become texts on the log, and which texts a release may skip.
+//! Encoding and decoding of the log's records, with their format version.
 //!
-//! Each text carries the number of its format. A text without a readable number, or one of a known
-//! format that does not decode, is skipped at every host. A text of a newer format may mean something
-//! that this release cannot apply, so the fold stops before it.
+//! Each record has a format number. A record without a readable number, or one of a known format
+//! that cannot be decoded, is skipped at every host. A record of a newer format may have effects
+//! that this release does not know, so a host stops applying the log before it.
 
 use crate::prelude::*;
 use snafu::Snafu;
 
 /// The newest record format that this release writes and applies.
 ///
-/// Any new kind of record, and any new field that changes what a record does, takes the next number.
+/// A new kind of record, or a new field that changes the effect of a record, needs the next number.
 pub const RECORD_FORMAT: u32 = 1;
 
-/// Why a text is not a record of this release.
+/// Why a record on the log cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum DecodeError {
-    /// A newer release wrote it.
+    /// The record has a newer format than [`RECORD_FORMAT`].
     #[snafu(display("format {format} is newer than {RECORD_FORMAT}"))]
     Newer {
-        /// Its format.
+        /// The format of the record.
         format: u32,
     },
-    /// No release can apply it.
+    /// The record is invalid in every release, so that all hosts skip it.
     #[snafu(display("{why}"))]
     Garbage {
-        /// Why.
+        /// The error of the JSON parser.
         why: String,
     },
 }
 
+/// The encoding of a record.
 #[derive(Serialize)]
-struct Outgoing<'a> {
+struct VersionedRecord<'a> {
     format: u32,
     #[serde(flatten)]
     record: &'a Record,
 }
 
+/// The field that the encodings of all formats have in common.
 #[derive(Deserialize)]
 struct Envelope {
     format: u32,
 }
 
-/// Writes a record as the text that the log keeps.
+/// Encodes a record as JSON, with its format number.
 ///
 /// # Errors
 ///
-/// Returns the encoder's error.
+/// Returns the error of the JSON serialiser.
 pub fn encode(record: &Record) -> Result<String, serde_json::Error> {
-    serde_json::to_string(&Outgoing {
+    serde_json::to_string(&VersionedRecord {
         format: RECORD_FORMAT,
         record,
     })
 }
 
-/// Reads a record from its text.
+/// Decodes a record.
 ///
 /// # Errors
 ///
-/// Tells a newer release's record, which must not be skipped, from garbage, which is.
+/// Returns [`DecodeError::Newer`] for a newer format, which a host must not skip, and
+/// [`DecodeError::Garbage`] for an invalid record, which every host skips.
 pub fn decode(text: &str) -> Result<Record, DecodeError> {
-    let envelope: Envelope = serde_json::from_str(text).map_err(garbage)?;
+    let envelope: Envelope = serde_json::from_str(text).map_err(undecodable)?;
     if envelope.format > RECORD_FORMAT {
         return Err(DecodeError::Newer {
             format: envelope.format,
         });
     }
-    serde_json::from_str(text).map_err(garbage)
+    serde_json::from_str(text).map_err(undecodable)
 }
 
-fn garbage(error: serde_json::Error) -> DecodeError {
+fn undecodable(error: serde_json::Error) -> DecodeError {
     DecodeError::Garbage {
         why: error.to_string(),
     }
--- a/src/shared_log/driver.rs
+++ b/src/shared_log/driver.rs
@@ -1,9 +1,10 @@
-//! The driver that tails the log and appends to it, as a pure state machine.
+//! The driver of a host's reads from the log and appends to it, as a state machine without I/O.
 //!
-//! One read and one append are outstanding at most, and at most one batch is on its way, so that a
-//! writer's records stand on the log in the order of their sequence numbers. A batch whose answer was lost is appended again
-//! only after a read that started later reached the end of the log without showing it; the fold
-//! ignores the second copy if the first turns up after all.
+//! At most one read and one append are in progress, and at most one batch has not been read back,
+//! so that a writer's records are on the log in the order of their sequence numbers. After an
+//! append with an unknown result, a read that starts later must reach the end of the log; only the
+//! records that were not read back by then are appended again. If the first append takes effect
+//! late all the same, the second copies of its records have no effect when they are applied.
 
 use crate::prelude::*;
 use crate::shared_log::codec::encode;
@@ -14,27 +15,27 @@
 pub const MAX_BATCH_RECORDS: usize = 64;
 /// Most bytes of records in one append.
 pub const MAX_BATCH_BYTES: usize = 900 << 10;
-/// Most records waiting to be appended.
+/// Most records that wait to be appended, without the batch that is being appended.
 pub const MAX_PENDING_RECORDS: usize = 4096;
 /// Most records in one read.
 pub const MAX_READ_RECORDS: usize = 512;
-/// How long a read waits at the end of the log.
-pub const READ_WAIT_MS: Millis = Millis(500);
-/// How long reads must have failed before the log counts as out of reach.
-pub const OUT_OF_REACH_AFTER_MS: Millis = Millis(1_000);
-/// How long to wait after a failed call.
-pub const RETRY_MS: Millis = Millis(100);
-
-/// A read's answer.
+/// Long-poll time-out: how long a read at the end of the log waits for new records.
+pub const LONG_POLL_MS: Millis = Millis(500);
+/// For how long reads must have failed before the log counts as unreachable.
+pub const UNREACHABLE_AFTER_MS: Millis = Millis(1_000);
+/// Back-off after a failed read or a refused append.
+pub const RETRY_BACKOFF_MS: Millis = Millis(100);
+
+/// The answer to a read of the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The records, in order.
+    /// The records, in the order of their offsets.
     pub records: Vec<LoggedRecord>,
-    /// The next offset after them.
+    /// The offset after the last of them.
     pub next_offset: Offset,
-    /// The end of the log when the answer was made.
+    /// The end of the log at the time of the answer: the offset that the next append gets.
     pub end_offset: Offset,
-    /// The oldest record that the log kept when the answer was made.
+    /// The offset of the oldest record that the log retained at the time of the answer.
     #[serde(default)]
     pub oldest_offset: Offset,
 }
@@ -43,20 +44,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogCallError {
-    /// Certainly without effect.
+    /// The call certainly had no effect.
     Refused,
-    /// The effect is unknown.
+    /// The call may or may not have had an effect.
     Unknown,
-    /// The offset asked for was trimmed; this is the oldest kept.
+    /// The requested offset was trimmed; the value is the oldest retained offset.
     Trimmed(Offset),
 }
 
+/// The state of the batch that is being appended.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 enum AppendState {
     #[default]
     Idle,
     Sent,
     AwaitingReadBack,
+    /// The result of the append is unknown since this time.
     UnknownSince(Millis),
     RetryAt(Millis),
 }
@@ -69,32 +72,36 @@
     RetryAt(Millis),
 }
 
+/// A record that waits to be appended, and the length of its encoding.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Queued {
+struct QueuedRecord {
     record: Record,
     len_bytes: usize,
 }
 
-/// The state of the driver.
+/// The state of one host's reads and appends.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Driver {
     me: Incarnation,
     last_seq: u64,
-    pending: VecDeque<Queued>,
-    /// Parts of a checkpoint; each waits until nothing else does.
+    pending: VecDeque<QueuedRecord>,
+    /// Records of low priority, which are appended only when `pending` is empty.
     background: VecDeque<RecordBody>,
+    /// The records that were sent to the log, or are about to be, and were not read back yet.
     batch: Vec<Record>,
     append: AppendState,
     read: ReadState,
     reachable: bool,
     end_seen_at: Option<Millis>,
+    /// The time of the first of the consecutive failed reads.
     failing_since: Option<Millis>,
+    /// Whether the log line about an unreachable log was written for this failure.
     loss_told: bool,
     halted: bool,
 }
 
 impl Driver {
-    /// Makes the driver of one incarnation.
+    /// Creates the driver of a host's incarnation.
     pub fn new(me: Incarnation) -> Self {
         Self {
             me,
@@ -102,7 +109,7 @@
         }
     }
 
-    /// Begins anew under another incarnation; what was queued stays behind. Calls under way go on.
+    /// Restarts under a new incarnation. Queued records are dropped; a read in progress continues.
     pub fn rejoin(&mut self, me: Incarnation) {
         *self = Self {
             me,
@@ -114,49 +121,51 @@
         };
     }
 
-    /// Tells whether an append's answer is still awaited.
+    /// Returns whether an append is in progress.
     pub fn is_appending(&self) -> bool {
         matches!(self.append, AppendState::Sent)
     }
 
-    /// Tells whether the log answered lately: reads that fail for less than [`OUT_OF_REACH_AFTER_MS`] do not count.
+    /// Returns whether the log is reachable. It counts as unreachable until the first answer, after
+    /// reads have failed for [`UNREACHABLE_AFTER_MS`], and once the driver is halted.
     pub fn is_reachable(&self) -> bool {
         self.reachable
     }
 
-    /// Returns the start of the newest read that reached the end of the log.
+    /// Returns the start time of the latest read that reached the end of the log.
     pub fn end_seen_at(&self) -> Option<Millis> {
         self.end_seen_at
     }
 
-    /// Tells whether everything queued was read back.
+    /// Returns whether all queued records were appended and read back.
     pub fn is_drained(&self) -> bool {
         self.batch.is_empty() && self.pending.is_empty() && self.background.is_empty()
     }
 
-    /// Tells whether a record that this release cannot apply ended the reading for good.
+    /// Returns whether [`Driver::halt`] was called.
     pub fn is_halted(&self) -> bool {
         self.halted
     }
 
-    /// Ends reading and appending for good.
+    /// Stops reading and appending permanently, before a record of a newer format.
     pub fn halt(&mut self) {
         self.halted = true;
         self.reachable = false;
     }
 
-    /// Queues a record and returns its id, or nothing when the queue is full or the record too long.
+    /// Queues a record and returns its id, or `None` if the queue is full or the record is longer
+    /// than [`MAX_BATCH_BYTES`].
     pub fn queue(&mut self, body: RecordBody) -> Option<RecordId> {
         if self.pending.len() >= MAX_PENDING_RECORDS {
             return None;
         }
-        let queued = self.number(body)?;
+        let queued = self.assign_id(body)?;
         let id = queued.record.id;
         self.pending.push_back(queued);
         Some(id)
     }
 
-    fn number(&mut self, body: RecordBody) -> Option<Queued> {
+    fn assign_id(&mut self, body: RecordBody) -> Option<QueuedRecord> {
         let id = RecordId {
             host: self.me,
             seq: self.last_seq + 1,
@@ -167,15 +176,16 @@
             return None;
         }
         self.last_seq += 1;
-        Some(Queued { record, len_bytes })
+        Some(QueuedRecord { record, len_bytes })
     }
 
-    /// Queues records that give way to all others.
+    /// Queues records of low priority, such as the parts of a checkpoint. Each is appended only
+    /// when no other record waits.
     pub fn queue_background(&mut self, bodies: impl IntoIterator<Item = RecordBody>) {
         self.background.extend(bodies);
     }
 
-    /// Tells whether records of [`Driver::queue_background`] still wait.
+    /// Returns whether records of [`Driver::queue_background`] still wait.
     pub fn has_background(&self) -> bool {
         !self.background.is_empty()
     }
@@ -185,7 +195,8 @@
         self.background.clear();
     }
 
-    /// Drops own records that the fold has seen, after the state was taken from a checkpoint.
+    /// Drops this host's records up to the sequence number `last_seq`, which are in a state that
+    /// was loaded from a checkpoint.
     pub fn on_state_replaced(&mut self, last_seq: u64) {
         self.batch.retain(|record| record.id.seq > last_seq);
         self.pending
@@ -195,7 +206,7 @@
         }
     }
 
-    /// Starts whatever call is due.
+    /// Starts the reads and appends that are due. `next_offset` is the next record to apply.
     pub fn drive(&mut self, now: Millis, next_offset: Offset, fx: &mut Effects) {
         if self.halted {
             return;
@@ -217,7 +228,7 @@
         let urgent = matches!(self.append, AppendState::UnknownSince(_))
             || self.failing_since.is_some()
             || !self.reachable;
-        let wait_ms = if urgent { Millis::ZERO } else { READ_WAIT_MS };
+        let wait_ms = if urgent { Millis::ZERO } else { LONG_POLL_MS };
         fx.push(Effect::ReadLog {
             from: next_offset,
             wait_ms,
@@ -241,12 +252,12 @@
         if self.pending.is_empty()
             && let Some(body) = self.background.pop_front()
         {
-            let queued = self.number(body);
+            let queued = self.assign_id(body);
             self.pending.extend(queued);
         }
         let mut left_bytes = MAX_BATCH_BYTES;
         while self.batch.len() < MAX_BATCH_RECORDS {
-            let fits = |queued: &mut Queued| queued.len_bytes <= left_bytes;
+            let fits = |queued: &mut QueuedRecord| queued.len_bytes <= left_bytes;
             let Some(queued) = self.pending.pop_front_if(fits) else {
                 return;
             };
@@ -262,12 +273,13 @@
         });
     }
 
-    /// Takes the answer to a read that cannot be applied yet, so that another one may start.
+    /// Records that the answer to a read was not applied, so that the next read may start.
     pub fn on_page_unused(&mut self) {
         self.read = ReadState::Idle;
     }
 
-    /// Takes a read's answer; the caller has applied its records to the fold, up to `next_offset`.
+    /// Records the answer to a read that started at `asked_at`. The caller has applied the log up
+    /// to `next_offset`; `end_offset` was the end of the log.
     pub fn on_page(&mut self, asked_at: Millis, next_offset: Offset, end_offset: Offset) {
         self.read = ReadState::Idle;
         if !self.reachable {
@@ -287,18 +299,19 @@
         }
     }
 
-    /// Takes a read's failure.
+    /// Records that a read failed, and schedules the next one.
     pub fn on_read_failed(&mut self, now: Millis) {
-        self.read = ReadState::RetryAt(now + RETRY_MS);
+        self.read = ReadState::RetryAt(now + RETRY_BACKOFF_MS);
         let since = *self.failing_since.get_or_insert(now);
-        if !self.loss_told && now.since(since) >= OUT_OF_REACH_AFTER_MS {
+        if !self.loss_told && now.since(since) >= UNREACHABLE_AFTER_MS {
             self.reachable = false;
             self.loss_told = true;
             LogEvent::LogLost.write("waiting for the log, retrying");
         }
     }
 
-    /// Takes note of an own record read back; the batch ends with its last record.
+    /// Removes a record that was read back from the batch. The next batch may be appended when none
+    /// is left and no append is in progress. Records of other hosts are ignored.
     pub fn on_own_record(&mut self, id: RecordId) {
         if id.host != self.me {
             return;
@@ -309,7 +322,7 @@
         }
     }
 
-    /// Takes an append's success.
+    /// Records that an append succeeded.
     pub fn on_appended(&mut self) {
         self.append = if self.batch.is_empty() {
             AppendState::Idle
@@ -318,14 +331,15 @@
         };
     }
 
-    /// Takes an append's failure.
+    /// Records that an append failed. It is retried after [`RETRY_BACKOFF_MS`] if it certainly had
+    /// no effect, else after a read has shown which of its records are on the log.
     pub fn on_append_failed(&mut self, now: Millis, error: &LogCallError) {
         if self.batch.is_empty() {
             self.append = AppendState::Idle;
             return;
         }
         self.append = match error {
-            LogCallError::Refused => AppendState::RetryAt(now + RETRY_MS),
+            LogCallError::Refused => AppendState::RetryAt(now + RETRY_BACKOFF_MS),
             LogCallError::Unknown | LogCallError::Trimmed(_) => {
                 LogEvent::AppendUnknown.write(&format!("records={}", self.batch.len()));
                 AppendState::UnknownSince(now)
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -1,4 +1,5 @@
-//! The fold: one pure function from records to the state that all hosts share.
+//! The fold: the pure function that applies the records of the log, in order, to the shared state,
+//! which is therefore the same at all hosts that have applied the same records.
 
 use crate::idempotency::claims::Claims;
 use crate::membership::members::Members;
@@ -9,61 +10,62 @@
 use crate::shared_log::record::LoggedRecord;
 use crate::table::Table;
 
-/// Everything the hosts agree on, as of one offset.
+/// The state that all hosts share, as of one offset of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Shared {
-    /// The next offset to apply.
+    /// The offset of the next record to apply.
     pub next_offset: Offset,
-    /// The log's clock at the last applied record.
+    /// The highest append time, by the log's clock, of the applied records. It serves as the
+    /// current time when a record is applied.
     pub log_ms: Millis,
-    /// The hosts.
+    /// The hosts that joined or departed.
     pub members: Members,
-    /// The table.
+    /// The brands, models, services and rows that operators edit.
     pub table: Table,
-    /// Upstreams and copies.
+    /// The upstreams and the copies of models on them.
     pub placement: Placement,
-    /// Operations that may run at most once.
+    /// The claims on operations that may run at most once.
     pub claims: Claims,
-    /// The checkpoints on the log.
+    /// The checkpoints that are on the log.
     pub checkpoints: Checkpoints,
 }
 
-/// An applied record with its verdict.
+/// An applied record with its verdict; a rejected or duplicate one had no effect.
 #[derive(Clone, Debug)]
 pub struct Applied {
-    /// Where the record stands.
+    /// The offset of the record.
     pub offset: Offset,
-    /// The log's clock at the record.
+    /// The time at which the record was appended, by the log's clock.
     pub appended_ms: Millis,
-    /// The record.
+    /// The record as decoded.
     pub record: Record,
-    /// What the fold said.
+    /// Whether the record was accepted, rejected or a duplicate.
     pub verdict: Verdict,
 }
 
-/// What became of a record that came from the log.
+/// The outcome of [`Shared::apply_logged`].
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// It was applied.
+    /// The record was decoded and has a verdict.
     Applied(Box<Applied>),
-    /// It was applied before.
+    /// The offset was processed before; the record is ignored.
     Known,
-    /// It is no record of any release; it is passed over, as at every host.
+    /// The record is invalid in every release, so that every host skips it.
     Garbage {
-        /// Why it does not decode.
+        /// The error of the decoder.
         why: String,
     },
-    /// A newer release wrote it; the state stays before it.
+    /// The record has a newer format than this release knows; the state is unchanged.
     Newer {
-        /// The record's format.
+        /// The format of the record.
         format: u32,
     },
-    /// Records before it are missing; the state stays before them.
+    /// Records between the state and this record are missing; the state is unchanged.
     Gap,
 }
 
 impl Shared {
-    /// Applies a record if it is the next one.
+    /// Applies a record if its offset is the next one.
     pub fn apply_logged(&mut self, logged: &LoggedRecord) -> Step {
         if logged.offset < self.next_offset {
             return Step::Known;
--- a/src/shared_log/mod.rs
+++ b/src/shared_log/mod.rs
@@ -1,5 +1,7 @@
-//! The platform's log as the one place of agreement: records, the fold, and the driver that reads and
-//! appends.
+//! The shared log: the platform's ordered log, from which all hosts derive the same state.
+//!
+//! It has the records and their encoding, the function that applies them to the state, checkpoints
+//! of that state, and the driver of reads and appends.
 
 pub mod checkpoint;
 pub mod codec;
--- a/src/shared_log/record.rs
+++ b/src/shared_log/record.rs
@@ -1,7 +1,7 @@
 //! The records on the log.
 //!
-//! Records are JSON texts, so that an operator can read the log with any HTTP client. Each carries the
-//! number of its format (see [`crate::shared_log::codec`] and `docs/design/shared-log.md`).
+//! Records are encoded as JSON, so that an operator can read the log with any HTTP client. Each has
+//! a format number (see [`crate::shared_log::codec`] and `docs/design/shared-log.md`).
 
 use crate::clock::Millis;
 use crate::idempotency::message::{ClaimEnd, ClaimRequest};
@@ -12,7 +12,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The position of a record in the log. An accepted record's offset is its fencing number.
+/// The position of a record in the log, from 0. The offset of an accepted record also serves as a
+/// fencing number, for example of an order to an engine, and as a version of the table.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,7 +21,7 @@
 pub struct Offset(pub u64);
 
 impl Offset {
-    /// Returns the next offset.
+    /// Returns the offset after this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -32,7 +33,7 @@
     }
 }
 
-/// One life of one host's process: a number that no other start of any host has.
+/// The identity of one run of a host's process; every start of a host has another one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -42,7 +43,7 @@
 impl Incarnation {
     const RANDOM_BITS: u32 = 20;
 
-    /// Makes an incarnation from the start time and random bits.
+    /// Makes an incarnation from the start time in milliseconds and the lowest 20 bits of `random`.
     pub fn new(started_at: Millis, random: u64) -> Self {
         let mask = (1 << Self::RANDOM_BITS) - 1;
         Self((started_at.0 << Self::RANDOM_BITS) | (random & mask))
@@ -55,135 +56,136 @@
     }
 }
 
-/// Names a record for good: a second copy of the same id is ignored by the fold.
+/// The unique identity of a record. A second copy with the same id has no effect when applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordId {
-    /// Who wrote it.
+    /// The incarnation of the host that wrote the record.
     pub host: Incarnation,
-    /// The writer's count of records, from 1, without gaps in the order of the log.
+    /// The writer's sequence number, from 1, without gaps in the order of the log.
     pub seq: u64,
 }
 
-/// One record.
+/// A record: an event that hosts apply to their shared state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The record's identity.
+    /// The record's identity, by which duplicates are recognised.
     pub id: RecordId,
-    /// What it says.
+    /// The event.
     #[serde(flatten)]
     pub body: RecordBody,
 }
 
-/// What a record says.
+/// The event that a record describes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum RecordBody {
-    /// The writer joins.
+    /// The writer joins the members.
     Join {
-        /// Its addresses and data centre.
+        /// The writer's addresses and data centre.
         entry: HostEntry,
     },
-    /// A membership change counts for quorums from here on.
+    /// A host's join or departure counts for majorities from this record on.
     Counted {
-        /// The host whose join or departure counts.
+        /// The host that joined or departed.
         host: Incarnation,
-        /// An offset that a majority of the counted hosts has applied.
+        /// An offset that a majority of the voters has applied.
         confirmed_offset: Offset,
     },
     /// The writer leaves after a planned stop.
     Leave,
-    /// The writer found another host dead.
+    /// The writer evicts another host, which it considers dead.
     Evict {
-        /// The dead host.
+        /// The evicted host.
         host: Incarnation,
     },
-    /// The platform and the probes agree that a host's process no longer exists.
+    /// A departed host's process no longer exists, according to the platform and the probes.
     Gone {
-        /// The host.
+        /// The host whose process ended.
         host: Incarnation,
     },
-    /// An operator's edit of the table.
+    /// An operator edits the table.
     Edit {
-        /// The edit.
+        /// The changes, with the operator's edit id.
         edit: Edit,
     },
-    /// An upstream was met, or its entry changed.
+    /// An upstream was found in the platform's list, or its entry changed.
     Upstream {
-        /// Its entry.
+        /// The upstream's entry in the list.
         entry: UpstreamEntry,
     },
-    /// An upstream is gone from the platform's list.
+    /// An upstream is no longer in the platform's list.
     UpstreamGone {
-        /// Its name.
+        /// The name of the upstream.
         name: Arc<str>,
     },
-    /// A copy of a model is to be loaded by the writer.
+    /// The writer is to load a copy of a model.
     Load {
-        /// The decision.
+        /// The model and where to load it.
         load: LoadDecision,
     },
-    /// A ready copy is to be unloaded by the writer.
+    /// The writer is to unload a ready copy.
     Unload {
         /// The offset of the copy's load.
         copy: Offset,
     },
-    /// The writer becomes the executor of a copy's order under way.
+    /// The writer takes over a copy's running order from its executor.
     Takeover {
         /// The offset of the copy's load.
         copy: Offset,
     },
-    /// The writer lost a copy's order to another executor and sends it no more. A departed host may
-    /// still say so.
+    /// The writer lost a copy's order to another executor and will not send it again. A host that
+    /// has departed may still write this record.
     Relinquish {
         /// The offset of the copy's load.
         copy: Offset,
     },
-    /// How a copy's order ended.
+    /// A copy's order ended.
     Outcome {
         /// The offset of the copy's load.
         copy: Offset,
         /// The fencing number of the order that ended.
         fence: Offset,
-        /// How.
+        /// How the order ended.
         outcome: OrderOutcome,
     },
-    /// Operations that the writer is about to run.
+    /// The writer claims operations that may run at most once, before it runs them.
     Claims {
-        /// One claim each.
+        /// One claim for each operation.
         claims: Vec<ClaimRequest>,
     },
-    /// Claims of the writer that ended.
+    /// Claims of the writer ended.
     ClaimEnds {
-        /// One end each.
+        /// One end for each claim.
         ends: Vec<ClaimEnd>,
     },
-    /// A part of a checkpoint. It changes nothing in the fold.
+    /// A part of a checkpoint. Its text does not change the shared state, which only records the
+    /// progress of the checkpoint.
     Checkpoint {
         /// The part.
         part: CheckpointPart,
     },
 }
 
-/// A part of the fold's state, written so that older records may be trimmed.
+/// A part of a checkpoint of the shared state, written so that older records may be trimmed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointPart {
-    /// The next offset after the last record in the state.
+    /// The offset of the first record that is not in the state.
     pub as_of: Offset,
-    /// Which part, from 0.
+    /// The number of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// The number of parts of the checkpoint.
     pub parts: u32,
-    /// The part's text.
+    /// A section of the state's JSON; the sections of all parts are joined before it is parsed.
     pub text: String,
 }
 
-/// A record as it came from the log.
+/// A record as read from the log, still encoded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoggedRecord {
-    /// Where it stands.
+    /// The position that the log gave it.
     pub offset: Offset,
-    /// When the log took it, by the log's clock.
+    /// The time at which it was appended, by the log's clock.
     pub appended_ms: Millis,
-    /// Its text.
+    /// The encoded record (see [`crate::shared_log::codec`]).
     pub payload: Arc<str>,
 }
--- a/src/shared_log/tests.rs
+++ b/src/shared_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the log's driver and of the fold.
+//! Tests of the driver, of the fold and of checkpoints.
 
 mod checkpoints;
 pub(crate) mod fake_log;
--- a/src/shared_log/tests/checkpoints.rs
+++ b/src/shared_log/tests/checkpoints.rs
@@ -1,35 +1,39 @@
-//! A host without state finds a whole checkpoint and the records after it, or keeps looking.
+//! Tests of checkpoints: a host without state restores a complete checkpoint and applies the
+//! records after it, and does not use a checkpoint from which it cannot continue.
 
 use super::fake_log::{FakeHost, FakeLog, check_seeds, put_model, text_of};
 use crate::prelude::*;
 use crate::shared_log::checkpoint::{MAX_PART_BYTES, Scan, ScanStep, parts_of};
 use crate::shared_log::fold::Shared;
-use crate::shared_log::tests::fake_log::AppendFate;
+use crate::shared_log::tests::fake_log::AppendResult;
 
-const LONG_NAME: usize = 100;
+const NAME_BYTES: usize = 100;
 
-fn drain(host: &mut FakeHost, log: &mut FakeLog, fate: AppendFate) {
+/// Runs the host's reads and appends until all of its records are read back.
+fn drain(host: &mut FakeHost, log: &mut FakeLog, result: AppendResult) {
     let mut now = Millis(1_000);
     while !host.driver.is_drained() {
         now += Millis(101);
         host.drive(now);
-        host.end_append(now, log, fate);
+        host.end_append(now, log, result);
         host.answer_read(log, usize::MAX);
     }
 }
 
-/// A host whose state takes several parts.
+/// Returns a host with a state so large that its checkpoint has several parts. The names contain a
+/// character of two bytes, which a split must not cut.
 fn host_with_state(log: &mut FakeLog) -> FakeHost {
     let mut host = FakeHost::new(1);
     for number in 0..1_200 {
-        let name = format!("é{number}-{}", "n".repeat(LONG_NAME));
+        let name = format!("é{number}-{}", "n".repeat(NAME_BYTES));
         host.queue(put_model(&format!("edit-{number}"), Offset(0), &name));
     }
-    drain(&mut host, log, AppendFate::Answered);
+    drain(&mut host, log, AppendResult::Answered);
     host
 }
 
-fn write_checkpoint(host: &mut FakeHost, log: &mut FakeLog, fate: AppendFate) -> Shared {
+/// Appends a checkpoint of the host's state and returns that state.
+fn write_checkpoint(host: &mut FakeHost, log: &mut FakeLog, result: AppendResult) -> Shared {
     let parts = parts_of(&host.shared).unwrap();
     assert!(parts.len() > 2 && parts.iter().all(|part| part.text.len() <= MAX_PART_BYTES));
     let state = host.shared.clone();
@@ -37,10 +41,11 @@
         .into_iter()
         .map(|part| RecordBody::Checkpoint { part });
     host.driver.queue_background(bodies);
-    drain(host, log, fate);
+    drain(host, log, result);
     state
 }
 
+/// Scans the log from `oldest` and returns the state of the first complete checkpoint.
 fn scan(log: &FakeLog, oldest: Offset) -> Option<Shared> {
     let mut scan = Scan::new(oldest);
     for logged in &log.records[oldest.0 as usize..] {
@@ -52,12 +57,12 @@
 }
 
 #[test]
-fn a_new_host_goes_on_from_a_checkpoint() {
+fn a_new_host_resumes_from_a_checkpoint() {
     let mut log = FakeLog::default();
     let mut host = host_with_state(&mut log);
-    let state = write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    let state = write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     host.queue(put_model("after", Offset(u64::MAX), "after"));
-    drain(&mut host, &mut log, AppendFate::Answered);
+    drain(&mut host, &mut log, AppendResult::Answered);
     let mut found = scan(&log, state.next_offset).expect("a checkpoint");
     assert_eq!(text_of(&found), text_of(&state));
     for logged in &log.records[found.next_offset.0 as usize..] {
@@ -71,10 +76,10 @@
 }
 
 #[test]
-fn parts_that_stand_twice_on_the_log_are_taken_once() {
+fn duplicate_parts_on_the_log_are_used_once() {
     let mut log = FakeLog::default();
     let mut host = host_with_state(&mut log);
-    let state = write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    let state = write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     let parts = log.records.split_off(state.next_offset.0 as usize);
     for logged in &parts {
         log.append_text(&logged.payload);
@@ -85,10 +90,10 @@
 }
 
 #[test]
-fn a_checkpoint_whose_tail_was_trimmed_is_not_used() {
+fn a_checkpoint_is_not_used_if_records_after_its_state_were_trimmed() {
     let mut log = FakeLog::default();
     let mut host = host_with_state(&mut log);
-    let state = write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    let state = write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     assert!(scan(&log, state.next_offset.next()).is_none());
 }
 
@@ -96,7 +101,7 @@
 fn an_incomplete_checkpoint_is_not_used() {
     let mut log = FakeLog::default();
     let mut host = host_with_state(&mut log);
-    let state = write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    let state = write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     let removed = log.records.pop();
     assert!(removed.is_some());
     assert!(scan(&log, state.next_offset).is_none());
@@ -108,7 +113,7 @@
     let mut first = host_with_state(&mut log);
     let mut second = FakeHost::new(2);
     second.read(&log, usize::MAX);
-    drain(&mut second, &mut log, AppendFate::Answered);
+    drain(&mut second, &mut log, AppendResult::Answered);
     first.read(&log, usize::MAX);
     let state = first.shared.clone();
     for host in [&mut first, &mut second] {
@@ -123,7 +128,7 @@
         now += Millis(101);
         for host in [&mut first, &mut second] {
             host.drive(now);
-            host.end_append(now, &mut log, AppendFate::Answered);
+            host.end_append(now, &mut log, AppendResult::Answered);
             host.answer_read(&log, usize::MAX);
         }
     }
@@ -132,13 +137,13 @@
 }
 
 #[test]
-fn any_trim_gives_the_state_of_all_records_or_none() {
+fn after_any_trim_a_scan_restores_the_full_state_or_nothing() {
     let mut log = FakeLog::default();
     let mut host = host_with_state(&mut log);
-    write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     host.queue(put_model("between", Offset(u64::MAX), "between"));
-    drain(&mut host, &mut log, AppendFate::Answered);
-    write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    drain(&mut host, &mut log, AppendResult::Answered);
+    write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     let whole = text_of(&host.shared);
     let newest = host.shared.checkpoints.newest().unwrap();
     check_seeds(300, 64, |u| {
@@ -156,7 +161,7 @@
 }
 
 #[test]
-fn a_checkpoint_is_due_well_before_its_records_are_trimmed() {
+fn a_checkpoint_is_due_before_the_records_after_its_state_are_trimmed() {
     let mut log = FakeLog::default();
     let mut host = host_with_state(&mut log);
     let next = host.shared.next_offset;
@@ -168,7 +173,7 @@
     };
     assert!(!is_due(&host, Offset(0)));
     assert!(is_due(&host, Offset(1)));
-    write_checkpoint(&mut host, &mut log, AppendFate::Answered);
+    write_checkpoint(&mut host, &mut log, AppendResult::Answered);
     assert!(!is_due(&host, Offset(1)));
     assert!(is_due(&host, next.next()));
 }
--- a/src/shared_log/tests/fake_log.rs
+++ b/src/shared_log/tests/fake_log.rs
@@ -1,4 +1,4 @@
-//! A log in memory, and hosts that read and append to it step by step.
+//! An in-memory log, and simulated hosts that read it and append to it step by step.
 
 use crate::membership::message::HostEntry;
 use crate::prelude::*;
@@ -10,7 +10,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 
-/// The records of a stream.
+/// A log that keeps its records in memory. Its clock advances by 10 ms per record.
 #[derive(Default)]
 pub struct FakeLog {
     pub records: Vec<LoggedRecord>,
@@ -37,40 +37,48 @@
     }
 }
 
-/// How an append ends.
+/// How an append ends for the host and on the log.
 #[derive(Clone, Copy, Debug)]
-pub enum AppendFate {
+pub enum AppendResult {
+    /// The records are appended, and the host gets the answer.
     Answered,
+    /// The records are not appended, and the host gets the error.
     Refused,
-    LostAfterEffect,
-    LostWithoutEffect,
-    LostAndLate,
+    /// The records are appended, but the host gets no answer.
+    AppendedAnswerLost,
+    /// The records are not appended, and the host gets no answer.
+    RequestLost,
+    /// The host gets no answer, and the records are appended by a later call of `append_delayed`.
+    AppendedLater,
 }
 
-/// A host: its driver, its state, and the calls that it waits for.
+/// A simulated host: its driver, its state, and the calls that are in progress.
 pub struct FakeHost {
     pub driver: Driver,
     pub shared: Shared,
+    /// The records that this host queued.
     pub queued: Vec<RecordId>,
+    /// The records of any host that were accepted when this host applied them.
     pub accepted: Vec<RecordId>,
-    pub late: Vec<Vec<Record>>,
-    read_asked_at: Option<Millis>,
-    append_under_way: Option<Vec<Record>>,
+    /// The batches whose append takes effect later.
+    pub delayed: Vec<Vec<Record>>,
+    read_started_at: Option<Millis>,
+    running_append: Option<Vec<Record>>,
 }
 
 impl FakeHost {
-    pub fn new(number: u64) -> Self {
+    pub fn new(id: u64) -> Self {
         let mut host = Self {
-            driver: Driver::new(Incarnation(number)),
+            driver: Driver::new(Incarnation(id)),
             shared: Shared::default(),
             queued: Vec::new(),
             accepted: Vec::new(),
-            late: Vec::new(),
-            read_asked_at: None,
-            append_under_way: None,
+            delayed: Vec::new(),
+            read_started_at: None,
+            running_append: None,
         };
         host.queue(RecordBody::Join {
-            entry: host_entry(number),
+            entry: host_entry(id),
         });
         host
     }
@@ -85,30 +93,30 @@
         self.driver.drive(now, self.shared.next_offset, &mut fx);
         for effect in fx {
             match effect {
-                Effect::ReadLog { .. } => self.read_asked_at = Some(now),
+                Effect::ReadLog { .. } => self.read_started_at = Some(now),
                 Effect::AppendLog { records } => {
-                    assert!(self.append_under_way.is_none(), "one append at a time");
-                    self.append_under_way = Some(records);
+                    assert!(self.running_append.is_none(), "one append at a time");
+                    self.running_append = Some(records);
                 }
                 other => panic!("unexpected {other:?}"),
             }
         }
     }
 
-    /// Answers the outstanding read with at most `most` records.
-    pub fn answer_read(&mut self, log: &FakeLog, most: usize) {
-        let Some(asked_at) = self.read_asked_at.take() else {
+    /// Answers the read in progress with at most `max_records` records.
+    pub fn answer_read(&mut self, log: &FakeLog, max_records: usize) {
+        let Some(asked_at) = self.read_started_at.take() else {
             return;
         };
-        self.read(log, most);
+        self.read(log, max_records);
         self.driver
             .on_page(asked_at, self.shared.next_offset, log.end());
     }
 
-    /// Applies at most `most` records, as from the log or from a peer.
-    pub fn read(&mut self, log: &FakeLog, most: usize) {
+    /// Applies at most `max_records` records, as when a peer forwards them.
+    pub fn read(&mut self, log: &FakeLog, max_records: usize) {
         let from = self.shared.next_offset.0 as usize;
-        for logged in log.records[from..].iter().take(most) {
+        for logged in log.records[from..].iter().take(max_records) {
             self.apply(logged);
         }
     }
@@ -124,53 +132,53 @@
     }
 
     pub fn fail_read(&mut self, now: Millis) {
-        if self.read_asked_at.take().is_some() {
+        if self.read_started_at.take().is_some() {
             self.driver.on_read_failed(now);
         }
     }
 
-    pub fn end_append(&mut self, now: Millis, log: &mut FakeLog, fate: AppendFate) {
-        let Some(records) = self.append_under_way.take() else {
+    pub fn end_append(&mut self, now: Millis, log: &mut FakeLog, result: AppendResult) {
+        let Some(records) = self.running_append.take() else {
             return;
         };
-        match fate {
-            AppendFate::Answered => {
+        match result {
+            AppendResult::Answered => {
                 log.append(&records);
                 self.driver.on_appended();
             }
-            AppendFate::Refused => self.driver.on_append_failed(now, &LogCallError::Refused),
-            AppendFate::LostAfterEffect => {
+            AppendResult::Refused => self.driver.on_append_failed(now, &LogCallError::Refused),
+            AppendResult::AppendedAnswerLost => {
                 log.append(&records);
                 self.driver.on_append_failed(now, &LogCallError::Unknown);
             }
-            AppendFate::LostWithoutEffect => {
+            AppendResult::RequestLost => {
                 self.driver.on_append_failed(now, &LogCallError::Unknown);
             }
-            AppendFate::LostAndLate => {
-                self.late.push(records);
+            AppendResult::AppendedLater => {
+                self.delayed.push(records);
                 self.driver.on_append_failed(now, &LogCallError::Unknown);
             }
         }
     }
 
-    pub fn land_late(&mut self, log: &mut FakeLog) {
-        if let Some(records) = self.late.pop() {
+    pub fn append_delayed(&mut self, log: &mut FakeLog) {
+        if let Some(records) = self.delayed.pop() {
             log.append(&records);
         }
     }
 }
 
-pub fn host_entry(number: u64) -> HostEntry {
-    let address = format!("127.0.0.1:{}", 1000 + number);
+pub fn host_entry(id: u64) -> HostEntry {
+    let address = format!("127.0.0.1:{}", 1000 + id);
     HostEntry {
-        name: format!("entry-{number}").into(),
+        name: format!("entry-{id}").into(),
         data_centre: "otaru".into(),
         caller_address: address.parse().unwrap(),
         peer_address: address.parse().unwrap(),
     }
 }
 
-/// An edit that puts a model.
+/// Returns the record of an edit that adds or replaces a model.
 pub fn put_model(edit_id: &str, base_version: Offset, name: &str) -> RecordBody {
     let model = Model {
         version: "1".into(),
@@ -195,14 +203,14 @@
     serde_json::to_string(shared).unwrap()
 }
 
-/// Runs a property on a fixed row of seeds, each with `size_bytes` of entropy.
+/// Checks a property for fixed seeds, each with `size_bytes` of random input.
 pub fn check_seeds<P>(runs: u64, size_bytes: u64, property: P)
 where
     P: FnMut(&mut Unstructured<'_>) -> Result<()> + Copy,
 {
-    const SPREAD: u64 = 0x9e37_79b9;
+    const SEED_MULTIPLIER: u64 = 0x9e37_79b9;
     for run in 1..=runs {
-        let random = run.wrapping_mul(SPREAD) << u32::BITS;
+        let random = run.wrapping_mul(SEED_MULTIPLIER) << u32::BITS;
         arbtest(property).seed(random | size_bytes);
     }
 }
--- a/src/shared_log/tests/fold.rs
+++ b/src/shared_log/tests/fold.rs
@@ -1,4 +1,5 @@
-//! The same records give the same state, and unreadable ones are met the same way everywhere.
+//! Tests of the fold: the same records give the same state however they are read, and records that
+//! cannot be decoded are handled in the same way at all hosts.
 
 use super::fake_log::{FakeHost, FakeLog, check_seeds, host_entry, put_model, text_of};
 use crate::prelude::*;
@@ -31,6 +32,7 @@
     })
 }
 
+/// Returns a log with records of several hosts, some of them duplicates and some undecodable.
 fn arbitrary_log(u: &mut Unstructured<'_>) -> Result<FakeLog> {
     let mut log = FakeLog::default();
     for number in 0..u.int_in_range(1..=60usize)? {
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn a_gap_is_not_applied_over() {
+fn a_record_after_a_gap_is_not_applied() {
     let mut log = FakeLog::default();
     for _ in 0..3 {
         log.append_text("garbage");
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn garbage_is_passed_over() {
+fn undecodable_records_are_skipped() {
     let mut log = FakeLog::default();
     for text in ["", "null", "{}", "{\"format\":\"1\"}", "{\"format\":1}"] {
         log.append_text(text);
@@ -103,7 +105,7 @@
 }
 
 #[test]
-fn a_newer_record_stops_the_fold_before_it() {
+fn a_record_of_a_newer_format_is_not_applied() {
     let mut log = FakeLog::default();
     log.append_text(&format!("{{\"format\":{}}}", RECORD_FORMAT + 1));
     let mut shared = Shared::default();
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn records_survive_their_text() {
+fn records_are_equal_after_encoding_and_decoding() {
     let record = Record {
         id: RecordId {
             host: Incarnation(u64::MAX >> 1),
@@ -127,8 +129,10 @@
     assert!(matches!(decode(&unknown), Err(DecodeError::Garbage { .. })));
 }
 
+// Guards against the return of a host after its process ended, by a copy of its join record that
+// was appended late.
 #[test]
-fn a_late_copy_of_a_forgotten_host_s_join_has_no_effect() {
+fn a_late_copy_of_the_join_of_a_forgotten_host_has_no_effect() {
     let mut host = FakeHost::new(1);
     let mut log = FakeLog::default();
     let join = |seq| Record {
--- a/src/shared_log/tests/lost_answers.rs
+++ b/src/shared_log/tests/lost_answers.rs
@@ -1,23 +1,25 @@
-//! No record has two effects and none is lost, whatever becomes of the answers to appends.
+//! Tests of the driver: each queued record takes effect exactly once, also when answers to appends
+//! are lost or appends take effect late.
 
-use super::fake_log::{AppendFate, FakeHost, FakeLog, check_seeds, put_model, text_of};
+use super::fake_log::{AppendResult, FakeHost, FakeLog, check_seeds, put_model, text_of};
 use crate::prelude::*;
 use arbtest::arbitrary::{Result, Unstructured};
 
 const HOSTS: u64 = 3;
 const STEPS: usize = 120;
 
-fn fate(u: &mut Unstructured<'_>) -> Result<AppendFate> {
-    let fates = [
-        AppendFate::Answered,
-        AppendFate::Refused,
-        AppendFate::LostAfterEffect,
-        AppendFate::LostWithoutEffect,
-        AppendFate::LostAndLate,
+fn arbitrary_result(u: &mut Unstructured<'_>) -> Result<AppendResult> {
+    let results = [
+        AppendResult::Answered,
+        AppendResult::Refused,
+        AppendResult::AppendedAnswerLost,
+        AppendResult::RequestLost,
+        AppendResult::AppendedLater,
     ];
-    u.choose(&fates).copied()
+    u.choose(&results).copied()
 }
 
+/// Makes the host's due calls, then does one random step with it.
 fn step(
     u: &mut Unstructured<'_>,
     now: Millis,
@@ -33,8 +35,8 @@
             let edit_id = format!("{}-{count}", host.queued[0].host);
             host.queue(put_model(&edit_id, base, &name));
         }
-        1 => host.end_append(now, log, fate(u)?),
-        2 => host.land_late(log),
+        1 => host.end_append(now, log, arbitrary_result(u)?),
+        2 => host.append_delayed(log),
         3 => host.fail_read(now),
         4 => host.read(log, u.int_in_range(0..=5usize)?),
         _ => host.answer_read(log, u.int_in_range(0..=8usize)?),
@@ -42,16 +44,17 @@
     Ok(())
 }
 
+/// Lets all calls succeed until every host has read back its records, then applies the whole log.
 fn settle(now: &mut Millis, log: &mut FakeLog, hosts: &mut [FakeHost]) {
     for _ in 0..200 {
         *now += Millis(101);
         for host in &mut *hosts {
             host.drive(*now);
-            host.end_append(*now, log, AppendFate::Answered);
-            host.land_late(log);
+            host.end_append(*now, log, AppendResult::Answered);
+            host.append_delayed(log);
             host.answer_read(log, usize::MAX);
         }
-        let done = |host: &FakeHost| host.driver.is_drained() && host.late.is_empty();
+        let done = |host: &FakeHost| host.driver.is_drained() && host.delayed.is_empty();
         if hosts.iter().all(done) {
             break;
         }
@@ -62,7 +65,8 @@
     }
 }
 
-/// Every record of a host took its one place, in the order in which it was queued.
+/// Checks that each record of a host is on the log, that copies of it are recognised as duplicates,
+/// and that the first copies are in the order in which the records were queued.
 fn check_sequences(log: &FakeLog, hosts: &[FakeHost]) {
     let mut reader = FakeHost::new(99);
     let mut first_copies = Vec::new();
@@ -87,7 +91,7 @@
 }
 
 #[test]
-fn lost_answers_neither_lose_nor_repeat_a_record() {
+fn lost_append_answers_neither_lose_nor_duplicate_records() {
     check_seeds(400, 2048, |u| {
         let mut log = FakeLog::default();
         let mut hosts: Vec<FakeHost> = (1..=HOSTS).map(FakeHost::new).collect();
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn a_batch_stays_within_the_bounds_of_an_append() {
+fn a_batch_stays_within_the_limits_of_an_append() {
     let mut host = FakeHost::new(1);
     let mut log = FakeLog::default();
     let long = "m".repeat(60 << 10);
@@ -120,7 +124,7 @@
         now += Millis(101);
         let before = log.records.len();
         host.drive(now);
-        host.end_append(now, &mut log, AppendFate::Answered);
+        host.end_append(now, &mut log, AppendResult::Answered);
         let batch = &log.records[before..];
         let bytes: usize = batch.iter().map(|logged| logged.payload.len()).sum();
         assert!(batch.len() <= 64 && bytes <= 1 << 20, "{bytes} bytes");
--- a/src/shared_log/verdict.rs
+++ b/src/shared_log/verdict.rs
@@ -1,8 +1,8 @@
-//! What the fold says of a record.
+//! The verdict on a record when it is applied.
 
 use serde::{Deserialize, Serialize};
 
-/// The fold's decision on one record, the same at every host.
+/// The result of applying one record, which is the same at every host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -10,12 +10,12 @@
     Accepted,
     /// The record took no effect.
     Rejected(Rejection),
-    /// The record was seen before; this copy took no effect.
+    /// A copy of the record was applied before; this one took no effect.
     Duplicate,
 }
 
 impl Verdict {
-    /// Tells whether the record took effect.
+    /// Returns whether the record took effect.
     pub fn is_accepted(&self) -> bool {
         matches!(self, Self::Accepted)
     }
@@ -27,48 +27,48 @@
 pub enum Rejection {
     /// The writer is not a member.
     NotMember,
-    /// The host it speaks of is not known, or is already in that state.
+    /// The host that the record is about is unknown or not in the state that the record needs.
     WrongHostState,
-    /// Too few hosts confirmed.
+    /// No majority of the voters has confirmed the join or departure.
     NotConfirmed,
-    /// The edit is based on an older version.
+    /// An entry that the edit changes was changed after the edit's base version.
     EditConflict {
-        /// What had moved on.
+        /// The entry, as in `model NAME`.
         what: String,
     },
-    /// The table would be invalid.
+    /// The edit is invalid, or would make the table invalid.
     EditInvalid {
-        /// Why.
+        /// The reason, for the operator.
         why: String,
     },
-    /// The same edit id came before.
+    /// An edit with the same id was processed before.
     EditRepeated,
-    /// The model or version is not in the table.
+    /// The table has no such model, or it has another version or memory reservation of it.
     UnknownModel,
     /// The upstream is not known or not an engine.
     UnknownUpstream,
-    /// The upstream is leaving.
+    /// The upstream is about to stop.
     UpstreamLeaving,
-    /// The copy exists or is on its way.
+    /// The upstream already has a copy of the model, or the copy's index is taken.
     CopyExists,
-    /// The decided number of copies is reached.
+    /// The model already has the decided number of copies, or the copy's index is not below it.
     CopiesReached,
-    /// The memory does not suffice.
+    /// The upstream has too little free memory.
     NoMemory,
     /// An adapter's base model is not ready on the upstream.
     NoBase,
     /// An adapter on the upstream needs the copy as its base model.
     BaseInUse,
-    /// The weight store's limits are reached.
+    /// The weight store's limits on loads are reached.
     StoreBusy,
-    /// No such copy, or not in the state that the record needs.
+    /// The copy is unknown or not in the state that the record needs.
     WrongCopyState,
-    /// The fencing number is not the order's present one.
+    /// The fencing number is not that of the copy's current order.
     StaleFence,
-    /// The executor is still a member.
+    /// The order cannot be taken over, because its executor is still a member.
     ExecutorAlive,
     /// The part of a checkpoint does not follow the writer's last one.
     PartOutOfOrder,
-    /// A table of the fold is full.
+    /// A collection of the shared state has reached its maximum size.
     Full,
 }
