--- a/src/table/acceptance.rs
+++ b/src/table/acceptance.rs
@@ -1,9 +1,10 @@
-//! When an operator may be told that an edit is in force.
+//! The edits whose operators wait for an answer, and the rule by which an edit is in force.
 //!
-//! An edit is in force once every host that may still serve has confirmed its offset, or once a majority
-//! of the counted hosts has and the freshness bound has passed since: whoever has not confirmed by then
-//! refuses new work by its own rule. A departed host may not know yet that it departed, so it is waited
-//! for like a present one until its process is gone. `docs/design/membership.md` has the argument.
+//! An edit is in force once every host that may still serve has confirmed its offset. It is also in
+//! force once a majority of the voters has confirmed it and the freshness bound has passed since:
+//! by then every host that has not confirmed refuses new requests on its own. A departed host may
+//! not know yet that it departed, so its confirmation is needed like that of a present host until
+//! its process no longer exists. `docs/design/membership.md` explains why this is correct.
 
 use crate::membership::members::Members;
 use crate::prelude::*;
@@ -11,37 +12,41 @@
 use crate::table::Table;
 use crate::table::message::{Edit, EditAnswer};
 
-/// Most edits of operators under way at one host.
-pub const MAX_EDITS_UNDER_WAY: usize = 256;
-/// How long an operator waits before it is told that an edit is still pending.
+/// Most edits at one host whose operators wait for an answer.
+pub const MAX_PENDING_EDITS: usize = 256;
+/// Time after which an operator is told that its edit is still pending.
 pub const PENDING_ANSWER_MS: Millis = Millis(5_000);
 
-/// Names an operator's call within one process.
+/// The identity of an operator's call to this host, unique within one run of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CallId(pub u64);
 
-/// An edit under way.
+/// An edit whose operator waits for an answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct EditUnderWay {
+struct PendingEdit {
     edit_id: Name,
+    /// The record that this host queued; none if the edit was in the history before.
     record: Option<RecordId>,
     asked_at: Millis,
+    /// The table version that the edit produced, once it was accepted.
     accepted: Option<Offset>,
+    /// The time at which this host first saw that a majority of the voters had confirmed it.
     majority_at: Option<Millis>,
 }
 
-/// The edits that operators at this host wait for.
+/// The edits of this host whose operators wait for an answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Acceptance {
-    under_way: IndexMap<CallId, EditUnderWay>,
+    under_way: IndexMap<CallId, PendingEdit>,
 }
 
-/// A final answer to an operator's call.
+/// The answer to an operator's call.
 pub type EditResult = Result<EditAnswer, Refusal>;
 
 impl Acceptance {
-    /// Takes an edit whose record was queued, or one that is already in the history.
+    /// Adds an edit. It has either a queued `record`, or the `accepted` version if it is a repeated
+    /// edit that is already in the history.
     pub fn start(
         &mut self,
         now: Millis,
@@ -51,7 +56,7 @@
         accepted: Option<Offset>,
     ) {
         let edit_id = edit.edit_id.clone();
-        let entry = EditUnderWay {
+        let entry = PendingEdit {
             edit_id,
             record,
             asked_at: now,
@@ -61,17 +66,17 @@
         self.under_way.insert(call, entry);
     }
 
-    /// Tells whether another edit may start.
+    /// Returns whether there are fewer than [`MAX_PENDING_EDITS`] edits.
     pub fn has_room(&self) -> bool {
-        self.under_way.len() < MAX_EDITS_UNDER_WAY
+        self.under_way.len() < MAX_PENDING_EDITS
     }
 
-    /// Tells whether no operator waits.
+    /// Returns whether no operator waits for an answer.
     pub fn is_empty(&self) -> bool {
         self.under_way.is_empty()
     }
 
-    /// Returns the newest version that an operator waits for.
+    /// Returns the newest table version whose confirmation an operator waits for.
     pub fn newest_version(&self) -> Option<Offset> {
         self.under_way
             .values()
@@ -79,7 +84,8 @@
             .max()
     }
 
-    /// Takes an applied record; answers the operator when the fold rejected its edit.
+    /// Processes an applied record: notes the version of an accepted edit of this host, and refuses
+    /// a rejected one.
     pub fn on_applied(&mut self, applied: &Applied, table: &Table, fx: &mut Effects) {
         let RecordBody::Edit { edit } = &applied.record.body else {
             return;
@@ -91,8 +97,8 @@
             if entry.record != Some(id) || entry.accepted.is_some() {
                 continue;
             }
-            match first_verdict(applied, edit, table) {
-                Verdict::Accepted => entry.accepted = Some(entry_version(applied, edit, table)),
+            match effective_verdict(applied, edit, table) {
+                Verdict::Accepted => entry.accepted = Some(accepted_version(applied, edit, table)),
                 Verdict::Duplicate => {}
                 Verdict::Rejected(rejection) => refused.push((*call, refusal(&rejection))),
             }
@@ -100,7 +106,7 @@
         self.refuse(refused, fx);
     }
 
-    /// Looks the edits up in the history, after the state was taken from a checkpoint.
+    /// Looks up the edits in the history, after the state was loaded from a checkpoint.
     pub fn on_state_replaced(&mut self, table: &Table, fx: &mut Effects) {
         let mut refused = Vec::new();
         for (call, entry) in &mut self.under_way {
@@ -125,7 +131,9 @@
         }
     }
 
-    /// Answers whoever can be answered now.
+    /// Answers the operators whose edits are in force, or that have waited [`PENDING_ANSWER_MS`].
+    /// `confirmed` has the offset up to which each host has confirmed that it applied the log; the
+    /// record at that offset is the next one.
     pub fn on_tick(
         &mut self,
         now: Millis,
@@ -150,7 +158,7 @@
     }
 }
 
-impl EditUnderWay {
+impl PendingEdit {
     fn check(
         &mut self,
         now: Millis,
@@ -160,21 +168,22 @@
     ) -> Option<EditResult> {
         let overdue = now.since(self.asked_at) >= PENDING_ANSWER_MS;
         let Some(version) = self.accepted else {
-            return overdue.then(|| Err(not_logged()));
+            return overdue.then(|| Err(not_read_back()));
         };
-        let has_it = |host: &Incarnation| confirmed.get(host).is_some_and(|next| *next > version);
+        let has_confirmed =
+            |host: &Incarnation| confirmed.get(host).is_some_and(|next| *next > version);
         let unconfirmed: Vec<Name> = members
             .iter()
             .chain(members.departed())
-            .filter(|(host, _)| !has_it(host))
+            .filter(|(host, _)| !has_confirmed(host))
             .map(|(_, member)| member.entry.name.clone())
             .collect();
         if unconfirmed.is_empty() {
             return Some(Ok(EditAnswer::InForce { version }));
         }
-        let counted = members.voters().count();
-        let with_it = members.voters().filter(has_it).count();
-        if with_it * 2 > counted {
+        let voters = members.voters().count();
+        let confirmations = members.voters().filter(has_confirmed).count();
+        if confirmations * 2 > voters {
             let since = *self.majority_at.get_or_insert(now);
             if now.since(since) > fresh_bound_ms {
                 return Some(Ok(EditAnswer::InForce { version }));
@@ -187,8 +196,9 @@
     }
 }
 
-/// Returns the verdict on the first record of an edit; a repeated one has no verdict of its own.
-fn first_verdict(applied: &Applied, edit: &Edit, table: &Table) -> Verdict {
+/// Returns the verdict on the first record with this edit id. That of a repeated edit, which is
+/// always rejected, is replaced by the result in the history.
+fn effective_verdict(applied: &Applied, edit: &Edit, table: &Table) -> Verdict {
     if applied.verdict != Verdict::Rejected(Rejection::EditRepeated) {
         return applied.verdict.clone();
     }
@@ -197,17 +207,17 @@
     rejected.map_or(Verdict::Accepted, Verdict::Rejected)
 }
 
-fn entry_version(applied: &Applied, edit: &Edit, table: &Table) -> Offset {
+fn accepted_version(applied: &Applied, edit: &Edit, table: &Table) -> Offset {
     let first = table.find_edit(&edit.edit_id);
     first.map_or(applied.offset, |line| line.offset)
 }
 
-fn not_logged() -> Refusal {
+fn not_read_back() -> Refusal {
     let message = "the edit has not been read back from the log; repeat it with the same edit id";
     Refusal::new(ErrorKind::EditPending, message).after(Millis(1_000))
 }
 
-/// Turns the fold's rejection of an edit into the operator's answer.
+/// Converts the rejection of an edit into the refusal that its operator gets.
 pub fn refusal(rejection: &Rejection) -> Refusal {
     match rejection {
         Rejection::EditConflict { what } => Refusal::new(
--- a/src/table/message.rs
+++ b/src/table/message.rs
@@ -1,57 +1,59 @@
-//! The table's rows and the edits that change it.
+//! The entries of the table, and the edits that change it.
 
 use crate::clock::Millis;
 use crate::shared_log::record::Offset;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// How urgent a row's requests are, most urgent first.
+/// The urgency of a row's requests, most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// A person waits and cannot go on.
+    /// A person waits for the answer and cannot work without it.
     Critical,
-    /// A person waits.
+    /// A person waits for the answer.
     #[default]
     Normal,
-    /// Nobody waits.
+    /// No person waits for the answer.
     Batch,
 }
 
-/// Names a row: one brand and one model or service.
+/// The key of a row: one brand and one model or service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RowKey {
-    /// The brand.
+    /// The name of the brand.
     pub brand: Arc<str>,
-    /// The model, adapter or service.
+    /// The name of the model, adapter or service.
     pub model: Arc<str>,
 }
 
-/// What a brand gets of a model or service.
+/// The limits and priorities of one brand's requests to one model or service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Its share under saturation, relative to the other rows.
+    /// The share of capacity under saturation, relative to the other rows; 1 by default.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most requests a second over all hosts, or no limit.
+    /// Most requests per second over all hosts together; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_s: Option<u32>,
-    /// Most requests at once at each host, or no limit.
+    /// Most running requests at each host; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrent_requests: Option<u32>,
-    /// Most replicas of the model that this brand asks for.
+    /// Most replicas of the model that this brand asks for; 1 by default.
     #[serde(default = "default_copies")]
     pub copies: u32,
-    /// How urgent its requests are.
+    /// The urgency of the row's requests.
     #[serde(default)]
     pub urgency: Urgency,
-    /// The deadline of a request that names none.
+    /// The time from its arrival within which a request must be answered if it states none; one
+    /// minute by default.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: Millis,
-    /// The data centres where it may run; all when empty. A model runs where all of its rows allow it.
+    /// The data centres in which the model may run; all if empty. A model with several rows runs
+    /// only where all of them allow it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub data_centres: Vec<Arc<str>>,
 }
@@ -72,13 +74,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version to serve.
+    /// The version that is served.
     pub version: Arc<str>,
-    /// Bytes to reserve for a copy: weights and key-value cache.
+    /// The engine memory that a copy needs for its weights and key-value cache.
     pub reserved_bytes: u64,
-    /// Bytes to fetch for a copy.
+    /// The bytes that an engine fetches from the weight store to load a copy.
     pub checkpoint_bytes: u64,
-    /// The model that this adapter needs beside it.
+    /// For an adapter, the base model that must be loaded on the same engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Arc<str>>,
 }
@@ -87,25 +89,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The upstreams' names.
+    /// The names of these upstreams.
     pub upstreams: Vec<Arc<str>>,
 }
 
-/// A brand that calls.
+/// A brand whose callers may send requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Brand {
-    /// SHA-256 of each of its API keys, as 64 hex digits.
+    /// The SHA-256 digest of each of its API keys, as 64 hex digits.
     pub key_sha256: Vec<Arc<str>>,
 }
 
-/// What the weight store allows.
+/// The limits on loads of copies, which protect the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreLimits {
-    /// Most loads at once.
+    /// Most loads that run at the same time.
     pub parallel_loads: u32,
-    /// Most loads begun in a second.
+    /// Most loads that start within one second.
     pub loads_per_s: u32,
 }
 
@@ -118,58 +120,58 @@
     }
 }
 
-/// One change of the table.
+/// One change of an entry of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum Change {
     /// Adds or replaces a row.
     PutRow {
-        /// Which.
+        /// The brand and the model or service of the row.
         #[serde(flatten)]
         key: RowKey,
-        /// Its new content.
+        /// The new content of the row.
         row: Row,
     },
     /// Removes a row.
     RemoveRow {
-        /// Which.
+        /// The brand and the model or service of the row.
         #[serde(flatten)]
         key: RowKey,
     },
     /// Adds or replaces a model.
     PutModel {
-        /// Which.
+        /// The name of the model or adapter.
         name: Arc<str>,
-        /// Its new content.
+        /// The new content of the model.
         model: Model,
     },
-    /// Removes a model.
+    /// Removes a model, which no row or adapter may still refer to.
     RemoveModel {
-        /// Which.
+        /// The name of the model or adapter.
         name: Arc<str>,
     },
     /// Adds or replaces a service.
     PutService {
-        /// Which.
+        /// The name of the service.
         name: Arc<str>,
-        /// Its new content.
+        /// The new content of the service.
         service: Service,
     },
-    /// Removes a service.
+    /// Removes a service, which no row may still refer to.
     RemoveService {
-        /// Which.
+        /// The name of the service.
         name: Arc<str>,
     },
     /// Adds or replaces a brand.
     PutBrand {
-        /// Which.
+        /// The name of the brand.
         name: Arc<str>,
-        /// Its new content.
+        /// The new content of the brand.
         brand: Brand,
     },
-    /// Removes a brand.
+    /// Removes a brand, which no row may still refer to.
     RemoveBrand {
-        /// Which.
+        /// The name of the brand.
         name: Arc<str>,
     },
     /// Sets the weight store's limits.
@@ -179,49 +181,52 @@
     },
 }
 
-/// An edit: all of its changes take effect, or none.
+/// An operator's edit of the table, which takes effect as a whole or not at all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// The operator's own identity of the edit; a repeated one has the first one's answer.
+    /// An id chosen by the operator, which makes the edit idempotent: a repeated edit gets the
+    /// answer of the first one.
     pub edit_id: Arc<str>,
-    /// Who made it.
+    /// The name of the operator, for the history.
     pub operator: Arc<str>,
-    /// The table version it was made from.
+    /// The table version on which the edit is based. It is rejected if an entry that it changes
+    /// was changed after this version.
     pub base_version: Offset,
     /// The changes, applied in order.
     pub changes: Vec<Change>,
 }
 
-/// A line of the table's history.
+/// An edit in the table's history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryLine {
-    /// The edit's offset: the table version it made, when it was accepted.
+    /// The offset of the edit's record. If the edit was accepted, it is also the table version that
+    /// the edit produced.
     pub offset: Offset,
-    /// The edit's identity.
+    /// The id chosen by the operator.
     pub edit_id: Arc<str>,
-    /// Who made it.
+    /// The name of the operator.
     pub operator: Arc<str>,
-    /// How many changes it had.
+    /// The number of its changes.
     pub changes: u32,
-    /// Why it was rejected, when it was.
+    /// The reason if the edit was rejected.
     pub rejected: Option<crate::shared_log::verdict::Rejection>,
 }
 
-/// What an operator is told of an edit.
+/// The answer to an operator whose edit was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum EditAnswer {
-    /// Every host that serves has it.
+    /// No host serves requests by an older version of the table any more.
     InForce {
-        /// The table version that it made.
+        /// The table version that the edit produced.
         version: Offset,
     },
-    /// It is on the log; these hosts have not confirmed it yet.
+    /// The edit is on the log, but some hosts may still serve requests by an older version.
     Pending {
-        /// The table version that it makes.
+        /// The table version that the edit produced.
         version: Offset,
-        /// Who has not confirmed.
+        /// The names of the hosts that have not confirmed the version.
         unconfirmed: Vec<Arc<str>>,
     },
 }
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -1,4 +1,7 @@
-//! The table that operators edit: brands, models, services and rows.
+//! The table that operators edit: brands, models, services, and rows that say what a brand may use.
+//!
+//! It is part of the shared state, so it is the same at all hosts that have applied the same
+//! records.
 
 pub mod acceptance;
 pub mod message;
@@ -9,44 +12,45 @@
 
 use crate::prelude::*;
 use message::{Brand, Change, Edit, HistoryLine, Model, Row, RowKey, Service, StoreLimits};
+use undo::PreviousEntries;
 use std::collections::VecDeque;
-use undo::Former;
 
-/// Most lines of history kept.
+/// Most edits in the history, and most removals that are remembered to detect conflicts.
 pub const MAX_HISTORY_LINES: usize = 1024;
 /// Most changes in one edit.
 pub const MAX_CHANGES: usize = 4096;
-/// Most entries in each sheet.
-pub const MAX_SHEET_ENTRIES: usize = 400_000;
+/// Most entries in each of the maps of brands, models, services and rows.
+pub const MAX_ENTRIES: usize = 400_000;
 
-/// An entry of a sheet with the version at which it last changed.
+/// An entry of the table with the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// The version that last changed it.
+    /// The offset of the edit that last changed the entry.
     pub version: Offset,
-    /// Its content, or nothing once removed.
+    /// The content of the entry.
     pub value: T,
 }
 
-/// The table as the fold keeps it.
+/// The table in the shared state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// The offset of the last accepted edit.
     pub version: Offset,
-    /// The brands.
+    /// The brands by name.
     pub brands: IndexMap<Name, Versioned<Brand>>,
-    /// The models and adapters.
+    /// The models and adapters by name.
     pub models: IndexMap<Name, Versioned<Model>>,
-    /// The plain services.
+    /// The plain services by name.
     pub services: IndexMap<Name, Versioned<Service>>,
-    /// The rows.
+    /// The rows by brand and model or service.
     #[serde(with = "row_list")]
     pub rows: IndexMap<RowKey, Versioned<Row>>,
-    /// The weight store's limits.
+    /// The limits on loads from the weight store.
     pub store: Versioned<StoreLimits>,
-    /// When removed entries were removed, for the check of base versions.
+    /// The offset of the removal of each entry removed last, by [`change_name`], to detect
+    /// conflicts.
     removed: IndexMap<Name, Offset>,
-    /// The last edits, oldest first.
+    /// The latest accepted and rejected edits, oldest first.
     pub history: VecDeque<HistoryLine>,
 }
 
@@ -60,21 +64,22 @@
 }
 
 impl Table {
-    /// Applies an edit whole, or rejects it whole.
+    /// Applies all changes of an edit, or none of them, and adds it to the history.
     ///
     /// # Errors
     ///
-    /// Returns why the edit was rejected; the table is then unchanged but for its history.
+    /// Returns why the edit was rejected; only the history is changed then. A repeated edit id is
+    /// rejected without an entry in the history.
     pub fn apply_edit(&mut self, offset: Offset, edit: &Edit) -> Result<(), Rejection> {
         if self.find_edit(&edit.edit_id).is_some() {
             return Err(Rejection::EditRepeated);
         }
         let outcome = self.try_edit(offset, edit);
-        self.remember(offset, edit, outcome.clone().err());
+        self.add_to_history(offset, edit, outcome.clone().err());
         outcome
     }
 
-    /// Finds an edit of the history by its identity.
+    /// Returns the edit with this id from the history.
     pub fn find_edit(&self, edit_id: &str) -> Option<&HistoryLine> {
         self.history
             .iter()
@@ -82,7 +87,7 @@
             .find(|line| &*line.edit_id == edit_id)
     }
 
-    /// Returns the brand whose API key has this hash.
+    /// Returns the name of the brand that has an API key with this SHA-256 digest, in hex digits.
     pub fn brand_of_key(&self, key_sha256: &str) -> Option<&Name> {
         self.brands
             .iter()
@@ -101,17 +106,17 @@
         self.rows.get(key).map(|row| &row.value)
     }
 
-    /// Returns a model.
+    /// Returns a model or adapter by name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.get(name).map(|model| &model.value)
     }
 
-    /// Returns a service.
+    /// Returns a plain service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name).map(|service| &service.value)
     }
 
-    /// Returns the most copies of a model that any row asks for.
+    /// Returns the highest number of copies of a model that any of its rows asks for; 0 if none.
     pub fn copies_allowed(&self, model: &str) -> u32 {
         self.rows
             .iter()
@@ -131,13 +136,13 @@
             )));
         }
         for change in &edit.changes {
-            self.check_base(edit.base_version, change)?;
+            self.check_conflict(edit.base_version, change)?;
         }
-        let former = Former::of(self, &edit.changes);
+        let previous = PreviousEntries::of(self, &edit.changes);
         let outcome = self.apply_changes(offset, &edit.changes);
         match outcome {
             Ok(()) => self.version = offset,
-            Err(_) => former.restore(self),
+            Err(_) => previous.restore(self),
         }
         outcome
     }
@@ -152,7 +157,7 @@
         Ok(())
     }
 
-    fn check_base(&self, base: Offset, change: &Change) -> Result<(), Rejection> {
+    fn check_conflict(&self, base: Offset, change: &Change) -> Result<(), Rejection> {
         let name = change_name(change);
         let present = match change {
             Change::PutRow { key, .. } | Change::RemoveRow { key } => {
@@ -180,19 +185,19 @@
         match change {
             Change::PutRow { key, row } => {
                 check_row(key, row)?;
-                put(&mut self.rows, key.clone(), row.clone(), version)
+                put_entry(&mut self.rows, key.clone(), row.clone(), version)
             }
             Change::PutModel { name, model } => {
                 check_model(name, model)?;
-                put(&mut self.models, name.clone(), model.clone(), version)
+                put_entry(&mut self.models, name.clone(), model.clone(), version)
             }
             Change::PutService { name, service } => {
                 check_name(name)?;
-                put(&mut self.services, name.clone(), service.clone(), version)
+                put_entry(&mut self.services, name.clone(), service.clone(), version)
             }
             Change::PutBrand { name, brand } => {
                 check_brand(name, brand)?;
-                put(&mut self.brands, name.clone(), brand.clone(), version)
+                put_entry(&mut self.brands, name.clone(), brand.clone(), version)
             }
             Change::SetStore { limits } => {
                 check_store(limits)?;
@@ -202,22 +207,22 @@
                 };
                 Ok(())
             }
-            Change::RemoveRow { key } => self.removed_if(version, change, |table| {
+            Change::RemoveRow { key } => self.remove_entry(version, change, |table| {
                 table.rows.shift_remove(key).is_some()
             }),
-            Change::RemoveModel { name } => self.removed_if(version, change, |table| {
+            Change::RemoveModel { name } => self.remove_entry(version, change, |table| {
                 table.models.shift_remove(name).is_some()
             }),
-            Change::RemoveService { name } => self.removed_if(version, change, |table| {
+            Change::RemoveService { name } => self.remove_entry(version, change, |table| {
                 table.services.shift_remove(name).is_some()
             }),
-            Change::RemoveBrand { name } => self.removed_if(version, change, |table| {
+            Change::RemoveBrand { name } => self.remove_entry(version, change, |table| {
                 table.brands.shift_remove(name).is_some()
             }),
         }
     }
 
-    fn removed_if(
+    fn remove_entry(
         &mut self,
         version: Offset,
         change: &Change,
@@ -286,7 +291,7 @@
         }
     }
 
-    fn remember(&mut self, offset: Offset, edit: &Edit, rejected: Option<Rejection>) {
+    fn add_to_history(&mut self, offset: Offset, edit: &Edit, rejected: Option<Rejection>) {
         self.history.push_back(HistoryLine {
             offset,
             edit_id: edit.edit_id.clone(),
@@ -300,7 +305,8 @@
     }
 }
 
-/// Returns the name by which messages speak of what a change touches.
+/// Returns the kind and name of the entry that a change concerns, as in `row BRAND/MODEL`. It is
+/// used in messages, and as the key of removed entries.
 pub fn change_name(change: &Change) -> String {
     match change {
         Change::PutRow { key, .. } | Change::RemoveRow { key } => {
@@ -315,16 +321,16 @@
     }
 }
 
-fn put<K: std::hash::Hash + Eq, T>(
-    sheet: &mut IndexMap<K, Versioned<T>>,
+fn put_entry<K: std::hash::Hash + Eq, T>(
+    entries: &mut IndexMap<K, Versioned<T>>,
     key: K,
     value: T,
     version: Offset,
 ) -> Result<(), Rejection> {
-    if sheet.len() >= MAX_SHEET_ENTRIES && !sheet.contains_key(&key) {
+    if entries.len() >= MAX_ENTRIES && !entries.contains_key(&key) {
         return Err(Rejection::Full);
     }
-    sheet.insert(key, Versioned { version, value });
+    entries.insert(key, Versioned { version, value });
     Ok(())
 }
 
@@ -389,13 +395,13 @@
     Rejection::EditInvalid { why: why.into() }
 }
 
-/// Writes the rows as a list, since JSON maps take text keys only.
+/// Serialises the rows as a list, because keys of JSON objects must be strings.
 mod row_list {
     use super::*;
     use serde::{Deserializer, Serializer};
 
     #[derive(Serialize, Deserialize)]
-    struct Line {
+    struct RowEntry {
         key: RowKey,
         row: Versioned<Row>,
     }
@@ -404,7 +410,7 @@
         rows: &IndexMap<RowKey, Versioned<Row>>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        serializer.collect_seq(rows.iter().map(|(key, row)| Line {
+        serializer.collect_seq(rows.iter().map(|(key, row)| RowEntry {
             key: key.clone(),
             row: row.clone(),
         }))
@@ -413,7 +419,7 @@
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<IndexMap<RowKey, Versioned<Row>>, D::Error> {
-        let lines = Vec::<Line>::deserialize(deserializer)?;
+        let lines = Vec::<RowEntry>::deserialize(deserializer)?;
         Ok(lines.into_iter().map(|line| (line.key, line.row)).collect())
     }
 }
--- a/src/table/tests.rs
+++ b/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the table: an edit takes effect whole or not at all.
+//! Tests of the table: an edit takes effect as a whole or not at all, and conflicts are detected.
 
 use crate::prelude::*;
 use crate::shared_log::tests::fake_log::check_seeds;
@@ -47,7 +47,7 @@
     })
 }
 
-/// The table's text, which shows the order of its sheets, without the history.
+/// Returns the table's JSON without the history. It shows the order of the entries.
 fn text_of(table: &Table) -> String {
     let mut table = table.clone();
     table.history.clear();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_rejected_edit_leaves_the_table_as_it_was() {
+fn a_rejected_edit_leaves_the_table_unchanged() {
     check_seeds(400, 1024, |u| {
         let mut table = Table::default();
         for offset in 1..=40u64 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_edit_on_an_older_version_of_what_it_touches_is_rejected() {
+fn an_edit_based_on_an_older_version_of_a_changed_entry_is_rejected() {
     let mut table = Table::default();
     let edit = |id: &str, base: u64| Edit {
         edit_id: id.into(),
