--- a/src/attempt/events.rs
+++ b/src/attempt/events.rs
@@ -1,33 +1,35 @@
-//! Checks a streamed answer event by event: each must be this attempt's, in order, and the end marked.
+//! Validation of an engine's streamed answer, event by event: each must belong to this attempt,
+//! none may be missing, and the stream must have its end mark.
 
 use crate::prelude::*;
 
-/// The longest event.
+/// Longest event of a stream.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-const DONE: &str = "[DONE]";
+const END_MARK: &str = "[DONE]";
 const DATA_FIELD: &str = "data:";
 
-/// What the bytes read so far give.
+/// The next result of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamStep {
-    /// An event to pass on.
+    /// A valid event, to be forwarded to the caller.
     Pass(Vec<u8>),
-    /// The end mark of a whole answer, to pass on.
+    /// The end mark of a complete answer, to be forwarded to the caller.
     End(Vec<u8>),
-    /// The answer is broken from here on.
+    /// The answer is invalid from here on, for the given reason.
     Broken(String),
 }
 
+/// The fields of a chunk (the JSON of one event) that are checked.
 #[derive(Deserialize)]
-struct ChunkHead {
+struct ChunkFields {
     id: Option<String>,
     index: Option<u32>,
     finish_reason: Option<String>,
     error: Option<serde_json::Value>,
 }
 
-/// The state of one streamed answer, over all connections that carry parts of it.
+/// The validation of one streamed answer, over all connections by which it is received.
 #[derive(Clone, Debug)]
 pub struct AnswerEvents {
     id: Name,
@@ -37,7 +39,7 @@
 }
 
 impl AnswerEvents {
-    /// Starts the answer whose chunks carry `id`.
+    /// Creates the validation of an answer. Its chunks must carry `id`, which names the attempt.
     pub fn new(id: Name) -> Self {
         Self {
             id,
@@ -47,26 +49,26 @@
         }
     }
 
-    /// Returns the position at which the answer goes on.
+    /// Returns the index of the next chunk, from which a broken stream is resumed.
     pub fn next_index(&self) -> u32 {
         self.next_index
     }
 
-    /// Forgets a partial event, since the answer goes on over another connection.
+    /// Discards an incomplete event, because the answer is resumed over another connection.
     pub fn restart(&mut self) {
         self.buffer.clear();
     }
 
-    /// Takes bytes of the answer.
+    /// Adds received bytes of the answer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next step, or nothing until more bytes come.
+    /// Returns the next result, or `None` until more bytes are added. Repeated chunks are dropped.
     pub fn next_step(&mut self) -> Option<StreamStep> {
         while let Some(end) = end_of_event(&self.buffer) {
             let event: Vec<u8> = self.buffer.drain(..end).collect();
-            if let Some(step) = self.check(event) {
+            if let Some(step) = self.check_event(event) {
                 return Some(step);
             }
         }
@@ -77,30 +79,30 @@
         broken("an event is too long")
     }
 
-    /// Returns the step for an event, or nothing when it is passed over.
-    fn check(&mut self, event: Vec<u8>) -> Option<StreamStep> {
-        let data = match data_of(&event) {
+    /// Returns the result for a complete event, or `None` if it is a repeated chunk.
+    fn check_event(&mut self, event: Vec<u8>) -> Option<StreamStep> {
+        let data = match data_of_event(&event) {
             Ok(Some(data)) => data,
-            // Comments keep a connection alive.
+            // An event without data is a comment, which keeps the connection alive.
             Ok(None) => return Some(StreamStep::Pass(event)),
             Err(why) => return broken(why),
         };
-        if data == DONE {
+        if data == END_MARK {
             return match self.finished {
                 true => Some(StreamStep::End(event)),
                 false => broken("the end mark came before the last chunk"),
             };
         }
-        let Ok(head) = serde_json::from_str::<ChunkHead>(&data) else {
+        let Ok(chunk) = serde_json::from_str::<ChunkFields>(&data) else {
             return broken("a chunk is not JSON");
         };
-        if let Some(error) = head.error {
+        if let Some(error) = chunk.error {
             return broken(&format!("the upstream says {error}"));
         }
-        if head.id.as_deref() != Some(&*self.id) {
+        if chunk.id.as_deref() != Some(&*self.id) {
             return broken("a chunk belongs to another request");
         }
-        let index = head.index.unwrap_or(self.next_index);
+        let index = chunk.index.unwrap_or(self.next_index);
         if index < self.next_index {
             return None;
         }
@@ -108,7 +110,7 @@
             return broken("a chunk is missing");
         }
         self.next_index += 1;
-        self.finished |= head.finish_reason.is_some();
+        self.finished |= chunk.finish_reason.is_some();
         Some(StreamStep::Pass(event))
     }
 }
@@ -127,7 +129,7 @@
     (0..buffer.len()).filter(ends_line).find_map(blank_follows)
 }
 
-fn data_of(event: &[u8]) -> Result<Option<String>, &'static str> {
+fn data_of_event(event: &[u8]) -> Result<Option<String>, &'static str> {
     let text = std::str::from_utf8(event).map_err(|_| "an event is not UTF-8")?;
     let lines: Vec<&str> = text
         .lines()
@@ -137,10 +139,11 @@
     Ok((!lines.is_empty()).then(|| lines.join("\n")))
 }
 
-/// Tells whether a whole answer is complete JSON and, when it names a request, this attempt's.
+/// Returns whether an answer that is not streamed is complete JSON and, if it carries an id, that
+/// this is the one of the attempt.
 pub fn is_own_whole_answer(id: &str, body: &[u8]) -> bool {
-    match serde_json::from_slice::<ChunkHead>(body) {
-        Ok(head) => head.id.is_none_or(|own| own == id),
+    match serde_json::from_slice::<ChunkFields>(body) {
+        Ok(chunk) => chunk.id.is_none_or(|own| own == id),
         Err(_) => false,
     }
 }
--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -1,4 +1,5 @@
-//! What is said about requests and attempts.
+//! The data about requests and attempts that the connections to callers and upstreams exchange
+//! with the code that decides.
 
 use crate::clock::Millis;
 use crate::idempotency::message::KeptAnswer;
@@ -8,7 +9,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Names a request within one process; callers see it with the host's incarnation before it.
+/// The identity of a request, unique within one run of a host's process. Callers see it prefixed
+/// with the host's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u64);
@@ -19,17 +21,17 @@
     }
 }
 
-/// Whether running a request twice does the same as running it once.
+/// Whether a request is idempotent, so that an attempt that may have run it can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeatable {
-    /// It may be sent again.
+    /// The request may run more than once.
     Yes,
-    /// It may run at most once.
+    /// The request may run at most once.
     No,
 }
 
-/// What a request is for.
+/// The kind of target that a request names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
@@ -39,65 +41,67 @@
     Service,
 }
 
-/// What the decisions need to know of a request. The body stays with the caller's connection.
+/// The properties of a request by which it is admitted, routed and retried. Its body stays with the
+/// task of the caller's connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestHead {
-    /// The request.
+    /// The identity of the request in this process.
     pub id: RequestId,
-    /// SHA-256 of the API key, as hex digits.
+    /// The SHA-256 digest of the caller's API key, as hex digits.
     pub key_sha256: Arc<str>,
-    /// What it is for.
+    /// Whether the request is for a model or for a plain service.
     pub target: TargetKind,
-    /// The name of the model or service.
+    /// The name of the model, adapter or service.
     pub name: Arc<str>,
-    /// How long the caller waits, when it says so.
+    /// How long the caller waits for the answer; that of the row applies if absent.
     pub deadline_ms: Option<Millis>,
-    /// Whether it may be sent again.
+    /// Whether the request is idempotent.
     pub repeatable: Repeatable,
-    /// The caller's `Idempotency-Key`.
+    /// The caller's `Idempotency-Key` header.
     pub idempotency_key: Option<Arc<str>>,
-    /// SHA-256 of method, path and body, as hex digits.
+    /// The SHA-256 digest of method, path and body, as hex digits.
     pub request_sha256: Arc<str>,
-    /// Whether it asks for its answer as a stream.
+    /// Whether the caller wants the answer as an event stream.
     #[serde(default)]
     pub streamed: bool,
-    /// The length of its body.
+    /// The length of the request's body in bytes.
     pub body_bytes: u64,
     /// Hashes of the prompt's leading blocks, shortest prefix first, for cache affinity.
     #[serde(default)]
     pub prefix_hashes: Vec<u64>,
 }
 
-/// Which connections an attempt may use.
+/// Which connection to the upstream an attempt uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectionChoice {
-    /// A kept one when there is one.
+    /// An idle connection from the pool, or a new one if there is none.
     Kept,
-    /// A new one, so that the attempt meets no connection that went silent.
+    /// A new connection, because an idle one may have failed without notice.
     New,
 }
 
-/// One attempt of a request at an upstream.
+/// An attempt to have one upstream run a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The request.
+    /// The request of which this is an attempt.
     pub request: RequestId,
-    /// Which attempt, from 1.
+    /// The number of the attempt within the request, from 1.
     pub number: u32,
-    /// The upstream's name.
+    /// The name of the upstream.
     pub upstream: Arc<str>,
-    /// The upstream's address.
+    /// The address of the upstream.
     pub address: SocketAddr,
-    /// Over which connection it goes.
+    /// Whether the attempt may use an idle connection.
     pub connection: ConnectionChoice,
-    /// The attempt must not begin after this point.
+    /// The time after which the attempt must not start any more, because the host was paused since
+    /// it was decided.
     pub begin_by: Millis,
-    /// The request's deadline.
+    /// The time at which the request's deadline passes.
     pub deadline_at: Millis,
-    /// How long the upstream may take to its first byte.
+    /// The time-out for the first byte of the upstream's answer.
     pub first_byte_ms: Millis,
-    /// Its urgency, passed to the engine.
+    /// The urgency of the request's row.
     pub urgency: Urgency,
 }
 
@@ -105,20 +109,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// The caller has the whole answer.
+    /// The upstream's answer is complete.
     Answered,
-    /// The same, with the answer to keep for later arrivals of the operation.
+    /// The same for a request that may run at most once; the answer is kept for later requests with
+    /// the same idempotency key.
     OperationAnswered(KeptAnswer),
-    /// Nothing ran: no byte of the request left this host, or the upstream said so.
+    /// The request certainly did not run, for the given reason: it was not sent, the upstream could
+    /// not be connected to, or the upstream said so.
     NotRun(String),
-    /// Nothing ran, since the upstream has too much to do.
+    /// The upstream did not run the request, because it is overloaded.
     Busy(String),
-    /// No answer began within the bound; it may have run.
+    /// No answer started before the first-byte time-out; the request may have run.
     Silent(String),
-    /// It may have run, and the caller has nothing of an answer.
+    /// The request may have run, and the caller has received no part of an answer.
     Unknown(String),
-    /// The answer broke off after the caller had its start; the caller was told.
+    /// The answer broke off after its start was sent to the caller, which was told so.
     Broken(String),
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerGone,
 }
--- a/src/attempt/mod.rs
+++ b/src/attempt/mod.rs
@@ -1,4 +1,4 @@
-//! One request's way: its attempts at upstreams, their outcomes, and its one final answer.
+//! The requests of a host, their attempts at upstreams, and the checks of streamed answers.
 
 pub mod events;
 pub mod message;
--- a/src/attempt/requests.rs
+++ b/src/attempt/requests.rs
@@ -1,78 +1,78 @@
-//! The requests that this host holds, each until its one final answer.
+//! The requests that this host has accepted, each until it gets its only final answer.
 
 use crate::attempt::message::{RequestHead, RequestId};
 use crate::idempotency::message::OperationKey;
 use crate::prelude::*;
 use crate::table::message::{RowKey, Urgency};
 
-/// Most requests held at once.
+/// Most requests of a host that have no final answer yet.
 pub const MAX_REQUESTS: usize = 20_000;
-/// Most failed attempts of one request.
+/// Number of failed attempts after which a request is not retried any more.
 pub const MAX_FAILURES: u32 = 4;
 
-/// How long after its deadline the task of a running request may still answer it.
+/// Time after the deadline until which a running attempt may still report how it ended.
 pub const RUNNING_MARGIN_MS: Millis = Millis(2_000);
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It was just admitted.
+    /// The request was just accepted.
     Arrived,
-    /// It waits for a slice of its row's limit.
+    /// The request waits for a quota grant, because its row has a rate limit.
     Metered,
-    /// It waits for its claim to be read back.
+    /// The request waits until the claim on its operation is read back from the log.
     Claiming,
-    /// It waits for the outcome of the request that claimed its operation.
+    /// The request waits for the outcome of another request, which claimed the same operation.
     Following {
-        /// When the claimer is asked again.
+        /// The time at which the host of that request is asked again.
         ask_at: Millis,
     },
-    /// It did not run, and waits for the release of its claim.
+    /// The request did not run and waits until the claim on its operation is released.
     Releasing {
-        /// What the caller is told then.
+        /// The final answer, sent to the caller after the release.
         refusal: Refusal,
     },
-    /// It waits for an upstream.
+    /// The request waits in the queue for an upstream.
     Waiting,
-    /// An attempt is under way.
+    /// An attempt of the request is running.
     Running {
-        /// At which upstream.
+        /// The name of the upstream of the attempt.
         upstream: Name,
     },
 }
 
-/// A request with what was decided about it.
+/// A request without a final answer, and its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldRequest {
-    /// What the edge told of it.
+    /// The properties of the request, as read from the caller's connection.
     pub head: RequestHead,
-    /// Its row.
+    /// The brand and the model or service of the request.
     pub row: RowKey,
-    /// Its urgency.
+    /// The urgency of its row.
     pub urgency: Urgency,
-    /// When it came.
+    /// The time of its arrival.
     pub arrived_at: Millis,
-    /// When it must be answered.
+    /// The time by which it must be answered.
     pub deadline_at: Millis,
-    /// How many attempts were begun.
+    /// The number of attempts that were started.
     pub attempts: u32,
-    /// How many of them failed, other than by a busy upstream.
+    /// The number of attempts that failed, without those that an overloaded upstream refused.
     pub failures: u32,
-    /// Upstreams that failed it.
+    /// The upstreams at which attempts failed.
     pub failed_upstreams: Vec<Name>,
-    /// Whether an attempt may have run it.
+    /// Whether an attempt may have run the request.
     pub may_have_run: bool,
-    /// Its operation, when it may run once only and has a key.
+    /// The operation, if the request may run at most once and has an idempotency key.
     pub operation: Option<OperationKey>,
-    /// Since when it is in its phase.
+    /// The time at which it entered its phase.
     pub phase_since: Millis,
-    /// Where it stands.
+    /// The state of the request.
     pub phase: Phase,
 }
 
 impl HeldRequest {
-    /// Moves the request to another phase.
+    /// Changes the phase of the request.
     pub fn enter(&mut self, now: Millis, phase: Phase) {
         self.phase = phase;
         self.phase_since = now;
@@ -88,54 +88,54 @@
     }
 }
 
-/// The requests held.
+/// The requests of a host that have no final answer yet.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Requests {
     held: IndexMap<RequestId, HeldRequest>,
 }
 
 impl Requests {
-    /// Tells whether another request may be held.
+    /// Returns whether there are fewer than [`MAX_REQUESTS`] requests.
     pub fn has_room(&self) -> bool {
         self.held.len() < MAX_REQUESTS
     }
 
-    /// Returns how many requests are held.
+    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Tells whether none is held.
+    /// Returns whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Holds a request.
+    /// Adds a request, by the identity in its head.
     pub fn insert(&mut self, request: HeldRequest) {
         self.held.insert(request.head.id, request);
     }
 
-    /// Returns a request.
+    /// Returns a request by its identity.
     pub fn get(&self, id: RequestId) -> Option<&HeldRequest> {
         self.held.get(&id)
     }
 
-    /// Returns a request for change.
+    /// Returns a request by its identity, to change it.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut HeldRequest> {
         self.held.get_mut(&id)
     }
 
-    /// Lets a request go.
+    /// Removes a request, which gets its final answer or lost its caller.
     pub fn remove(&mut self, id: RequestId) -> Option<HeldRequest> {
         self.held.swap_remove(&id)
     }
 
-    /// Returns the requests held.
+    /// Iterates over the requests.
     pub fn iter(&self) -> impl Iterator<Item = &HeldRequest> {
         self.held.values()
     }
 
-    /// Returns the requests for which something is due by time alone.
+    /// Returns the requests that need a periodic check or whose next action is due by now.
     pub fn due(&self, now: Millis) -> Vec<RequestId> {
         self.held
             .values()
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of streamed answers: whole, in order, and the attempt's own, or broken.
+//! Tests of the validation of answers: only complete answers of the attempt, in order, are valid.
 
 use crate::attempt::events::{AnswerEvents, MAX_EVENT_BYTES, StreamStep, is_own_whole_answer};
 use arbtest::arbtest;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_whole_answer_passes_however_its_bytes_are_cut_and_repeated() {
+fn a_complete_answer_passes_for_any_split_and_repetition_of_its_bytes() {
     arbtest(|u| {
         let bytes = answer(6);
         let mut events = AnswerEvents::new("r".into());
@@ -53,7 +53,7 @@
             }
             from += count;
             if !u.is_empty() && u.ratio(1, 5)? && !ended {
-                // Another connection goes on from the position, or from some tokens before it.
+                // Another connection resumes at the next chunk, or up to 2 chunks before it.
                 events.restart();
                 let back = events.next_index().saturating_sub(u.int_in_range(0..=2)?);
                 from = (0..back).map(|index| chunk("r", index, false).len()).sum();
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn chunks_of_another_request_break_the_answer() {
+fn a_chunk_of_another_request_makes_the_answer_invalid() {
     let mut events = AnswerEvents::new("r".into());
     assert_eq!(steps(&mut events, &chunk("r", 0, false)).len(), 1);
     assert!(is_broken(&steps(&mut events, &chunk("q", 1, false))));
 }
 
 #[test]
-fn a_gap_an_early_end_and_an_error_break_the_answer() {
+fn a_missing_chunk_an_early_end_mark_and_an_error_make_the_answer_invalid() {
     let broken = |bytes: &[u8]| {
         let mut events = AnswerEvents::new("r".into());
         is_broken(&steps(&mut events, bytes))
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_whole_answer_is_complete_json_of_its_own_request() {
+fn an_answer_must_be_complete_json_of_its_own_request() {
     assert!(is_own_whole_answer("r", br#"{"id":"r"}"#));
     assert!(is_own_whole_answer("r", br#"{"answer":1}"#));
     assert!(!is_own_whole_answer("r", br#"{"id":"q"}"#));
