--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -1,33 +1,38 @@
-//! Reading a body piece by piece under any framing.
+//! Incremental reading of a body with any framing.
 
 use crate::http1::connection::{Connection, ReadError};
 use crate::http1::head::Framing;
 use futures_lite::{AsyncRead, AsyncWrite};
 
-/// The longest line that begins a chunk, extensions included.
+/// Longest line before a chunk, including chunk extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// The longest block of trailers after the last chunk.
+/// Longest block of trailers after the last chunk.
 const MAX_TRAILER_BYTES: usize = 4 << 10;
 
-/// Where in a body a reader is.
+/// The position of a reader within the framing of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Bytes { left: u64 },
+    Bytes {
+        left: u64,
+    },
     ChunkLine,
-    ChunkBytes { left: u64 },
+    ChunkBytes {
+        left: u64,
+    },
+    /// The line break after the bytes of a chunk.
     ChunkEnd,
     UntilClose,
     Done,
 }
 
-/// Reads one body.
+/// The state of reading one body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyReader {
     state: State,
 }
 
 impl BodyReader {
-    /// Makes a reader of a body with this framing.
+    /// Creates a reader of a body with this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
@@ -38,17 +43,18 @@
         Self { state }
     }
 
-    /// Tells whether the body was read to its end.
+    /// Returns whether the body was read to its end.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Returns the next piece, or nothing at the body's end. Only whole steps change the reader, so a
-    /// dropped call loses nothing.
+    /// Returns the next bytes of the body, without its chunk framing, or `None` at its end. The
+    /// state changes only when a step is complete, so the future can be dropped without data loss.
     ///
     /// # Errors
     ///
-    /// Returns [`ReadError::Ended`] when the connection ends first, and the fault of a malformed chunk.
+    /// Returns [`ReadError::Ended`] if the connection ends before the body does,
+    /// [`ReadError::Malformed`] for an invalid chunk, and errors of the connection.
     pub async fn next<S>(&mut self, from: &mut Connection<S>) -> Result<Option<Vec<u8>>, ReadError>
     where
         S: AsyncRead + AsyncWrite + Unpin,
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -1,4 +1,5 @@
-//! Calls of other HTTP services: whole requests, whole answers, kept connections.
+//! A client for calls to other HTTP services, with complete requests, complete answers and a pool
+//! of idle connections; also the TCP options and the time-outs of all connections.
 
 use crate::http1::{BodyReader, Connection, Headers, ReadError};
 use crate::prelude::*;
@@ -9,76 +10,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest head of an answer.
+/// Longest head of an answer.
 pub const MAX_HEAD_BYTES: usize = 64 << 10;
-/// The longest body of an answer to a call; pages of the log are up to 2 MiB.
+/// Longest body of an answer to a call; pages of the log have up to 2 MiB.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Idle connections kept for each address; three calls run side by side at most times.
+/// Most idle connections to one address; usually no more than three calls run at the same time.
 const MAX_IDLE: usize = 4;
-/// How long bytes may stay unacknowledged before the kernel gives a connection up: a peer without power or
-/// behind a partition sends no reset.
-const UNACKNOWLEDGED_MS: u32 = 2_000;
-
-/// How long a connection is silent before the kernel asks whether the other side is still there, and how often it asks
-/// again, in whole seconds as the kernel takes them. A silent peer is found within some [`UNACKNOWLEDGED_MS`]; one that
-/// is there but has nothing to say keeps its connection.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-
-/// Why a call has no answer.
+/// Time for which sent data may be unacknowledged before the kernel closes a connection. A peer
+/// that lost power or is behind a network partition sends no reset.
+const TCP_USER_TIMEOUT_MS: u32 = 2_000;
+
+/// Time without data after which the kernel sends the first keep-alive probe; the kernel takes
+/// whole seconds. An unreachable peer is detected within about [`TCP_USER_TIMEOUT_MS`], while a
+/// reachable one that sends no data keeps its connection.
+const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Interval between keep-alive probes, in whole seconds too.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Why a call has no complete answer.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection could be opened; nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[snafu(display("cannot connect: {source}"))]
     Connect {
-        /// Why.
+        /// The error of the socket.
         source: std::io::Error,
     },
-    /// The request could not be written whole.
+    /// The request could not be sent completely.
     #[snafu(display("cannot send: {source}"))]
     Send {
-        /// Why.
+        /// The error of the socket.
         source: std::io::Error,
     },
-    /// The answer broke off or is malformed.
+    /// The answer ended early or is malformed.
     #[snafu(display("cannot read the answer: {source}"))]
     Read {
-        /// Why.
+        /// The error from reading the head or the body.
         source: ReadError,
     },
-    /// The answer is longer than allowed.
+    /// The body of the answer is longer than 16 MiB.
     #[snafu(display("the answer is longer than allowed"))]
     TooLong,
-    /// There was no whole answer in time.
+    /// The answer was not complete within the time-out of the call.
     #[snafu(display("no answer in time"))]
     TimedOut,
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, Default)]
 pub struct Call<'a> {
-    /// The method.
+    /// The HTTP method, in upper case.
     pub method: &'a str,
-    /// The path with its query.
+    /// The path and query.
     pub target: String,
-    /// Header lines besides the host and the length.
+    /// The header lines without `Host` and `Content-Length`, which the client adds.
     pub headers: Vec<(&'a str, String)>,
-    /// The body.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct CallAnswer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The header lines.
+    /// The header lines, in their order.
     pub headers: Headers,
-    /// The body.
+    /// The body, without chunk framing.
     pub body: Vec<u8>,
 }
 
-/// Calls one address.
+/// A client for calls to one address, with a pool of idle connections.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -86,7 +88,7 @@
 }
 
 impl Client {
-    /// Makes a client of an address.
+    /// Creates a client without connections.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -94,25 +96,25 @@
         }
     }
 
-    /// Returns the address.
+    /// Returns the address that is called.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes a call. A connection whose call failed is not used again.
+    /// Sends a request and waits for the answer. The connection of a failed call is not used again.
     ///
     /// # Errors
     ///
-    /// Returns why there is no whole answer within `timeout_ms`.
+    /// Returns why there is no complete answer within `timeout_ms`.
     pub async fn call(&self, call: &Call<'_>, timeout_ms: Millis) -> Result<CallAnswer, CallError> {
-        within(timeout_ms, self.call_now(call))
+        within(timeout_ms, self.exchange(call))
             .await
             .unwrap_or(Err(CallError::TimedOut))
     }
 
-    async fn call_now(&self, call: &Call<'_>) -> Result<CallAnswer, CallError> {
-        let kept = self.idle.borrow_mut().pop();
-        let mut connection = match kept {
+    async fn exchange(&self, call: &Call<'_>) -> Result<CallAnswer, CallError> {
+        let pooled = self.idle.borrow_mut().pop();
+        let mut connection = match pooled {
             Some(connection) => connection,
             None => open(self.address)
                 .await
@@ -135,7 +137,7 @@
                 return Err(CallError::TooLong);
             }
         }
-        self.keep(connection, head.keep_alive);
+        self.return_to_pool(connection, head.keep_alive);
         Ok(CallAnswer {
             status: head.status,
             headers: head.headers,
@@ -155,7 +157,7 @@
         bytes
     }
 
-    fn keep(&self, connection: Connection<TcpStream>, keep_alive: bool) {
+    fn return_to_pool(&self, connection: Connection<TcpStream>, keep_alive: bool) {
         let mut idle = self.idle.borrow_mut();
         if keep_alive && !connection.has_unused_bytes() && idle.len() < MAX_IDLE {
             idle.push(connection);
@@ -163,32 +165,33 @@
     }
 }
 
-/// Opens a connection that sends small writes at once and notices a peer that went silent.
+/// Opens a TCP connection with the options of [`prepare`].
 ///
 /// # Errors
 ///
-/// Returns why it cannot be opened.
+/// Returns the error of the socket.
 pub async fn open(address: SocketAddr) -> std::io::Result<Connection<TcpStream>> {
     let stream = TcpStream::connect(address).await?;
     prepare(&stream)?;
     Ok(Connection::new(stream))
 }
 
-/// Sets the options that every connection of a host has.
+/// Sets the TCP options of a host's connections: small writes are sent without delay, and an
+/// unreachable peer is detected by a user time-out and by keep-alive probes.
 ///
 /// # Errors
 ///
-/// Returns why they cannot be set.
+/// Returns the error of the socket.
 pub fn prepare(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    rustix::net::sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_MS)?;
+    rustix::net::sockopt::set_tcp_user_timeout(stream, TCP_USER_TIMEOUT_MS)?;
     rustix::net::sockopt::set_socket_keepalive(stream, true)?;
-    rustix::net::sockopt::set_tcp_keepidle(stream, PROBE_AFTER)?;
-    rustix::net::sockopt::set_tcp_keepintvl(stream, PROBE_INTERVAL)?;
+    rustix::net::sockopt::set_tcp_keepidle(stream, KEEP_ALIVE_IDLE)?;
+    rustix::net::sockopt::set_tcp_keepintvl(stream, KEEP_ALIVE_INTERVAL)?;
     Ok(())
 }
 
-/// Waits for a future for a while. Returns nothing when the time is up first.
+/// Runs a future with a time-out. Drops it and returns `None` if the time-out passes first.
 pub async fn within<T>(timeout_ms: Millis, future: impl Future<Output = T>) -> Option<T> {
     let timer = async {
         Timer::after(timeout_ms.to_duration()).await;
--- a/src/http1/head.rs
+++ b/src/http1/head.rs
@@ -1,70 +1,74 @@
-//! Heads of requests and answers: strict parsing, and writing back.
+//! Heads of requests and answers: strict parsing, and serialisation of header lines.
 
 use snafu::Snafu;
 
-/// Most header lines of one head; a head of 16 KiB seldom has more than 60.
+/// Most header lines in one head; a head of 16 KiB rarely has more than 60.
 const MAX_HEADERS: usize = 128;
 
-/// Why a head cannot be used.
+/// Why a head is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum HeadError {
-    /// It breaks the grammar.
+    /// The head violates the grammar of HTTP/1.1.
     #[snafu(display("the head is malformed"))]
     Malformed,
-    /// It is longer than allowed.
+    /// The head has too many bytes or more than 128 header lines.
     #[snafu(display("the head is longer than allowed"))]
     TooLarge,
-    /// Its body's framing is ambiguous, so that two readers could see two requests.
+    /// The framing of the body is ambiguous: two parsers could disagree about where the request
+    /// ends, which allows request smuggling.
     #[snafu(display("the body's framing is ambiguous"))]
     AmbiguousFraming,
 }
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// With the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// With the connection; answers only.
+    /// The body ends when the connection is closed; only in answers.
     UntilClose,
 }
 
-/// Header lines in the order in which they came.
+/// Header lines in the order of the head, with names as received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(Box<str>, Box<[u8]>)>);
 
 impl Headers {
-    /// Returns the first value of a header as text, or nothing when it is absent or no text.
+    /// Returns the first value of a header without surrounding white space, or `None` if the header
+    /// is absent or not UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.bytes(name)?).ok().map(str::trim)
     }
 
-    /// Returns the first value of a header.
+    /// Returns the first value of a header, or `None` if it is absent.
     pub fn bytes(&self, name: &str) -> Option<&[u8]> {
         let mut lines = self.0.iter();
-        let line = lines.find(|(own, _)| own.eq_ignore_ascii_case(name));
+        let line = lines.find(|(header, _)| header.eq_ignore_ascii_case(name));
         line.map(|(_, value)| &**value)
     }
 
-    /// Returns a header's value as a number.
+    /// Returns the first value of a header as a number, or `None` if it is absent or not a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.text(name)?.parse().ok()
     }
 
-    /// Adds a header line at the end.
+    /// Appends a header line.
     pub fn push(&mut self, name: &str, value: &str) {
         self.0.push((name.into(), value.as_bytes().into()));
     }
 
-    /// Removes every line of a header.
+    /// Removes all lines of a header.
     pub fn remove(&mut self, name: &str) {
-        self.0.retain(|(own, _)| !own.eq_ignore_ascii_case(name));
+        self.0
+            .retain(|(header, _)| !header.eq_ignore_ascii_case(name));
     }
 
-    /// Removes the lines that concern only one connection, those that `Connection` names included.
+    /// Removes the hop-by-hop headers, which apply to a single connection, including those that a
+    /// `Connection` header names.
     pub fn remove_hop_by_hop(&mut self) {
         let named: Vec<String> = self
             .values("connection")
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Appends the lines to a head that is being written.
+    /// Serialises the header lines and appends them to `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
         for (name, value) in &self.0 {
             out.extend_from_slice(name.as_bytes());
@@ -87,12 +91,12 @@
         }
     }
 
-    /// Returns every value of a header.
+    /// Iterates over the values of all lines of a header.
     pub fn values<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a [u8]> {
         let name = name.to_owned();
         self.0
             .iter()
-            .filter(move |(own, _)| own.eq_ignore_ascii_case(&name))
+            .filter(move |(header, _)| header.eq_ignore_ascii_case(&name))
             .map(|(_, value)| &**value)
     }
 
@@ -100,11 +104,11 @@
         self.values(name)
             .filter_map(|value| std::str::from_utf8(value).ok())
             .flat_map(|value| value.split(','))
-            .any(|own| own.trim().eq_ignore_ascii_case(token))
+            .any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// The headers that concern one connection only (RFC 9110, section 7.6.1).
+/// The headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -120,26 +124,27 @@
 /// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// The HTTP method as received.
     pub method: Box<str>,
-    /// The path with its query, as it came.
+    /// The path and query as received.
     pub target: Box<str>,
-    /// The header lines.
+    /// The header lines, including hop-by-hop headers.
     pub headers: Headers,
-    /// How the body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// Whether the caller keeps the connection open.
+    /// Whether the caller keeps the connection open after the answer.
     pub keep_alive: bool,
-    /// Whether the caller waits for permission to send the body.
+    /// Whether the caller waits for a `100 Continue` answer before it sends the body.
     pub expects_continue: bool,
 }
 
 impl RequestHead {
-    /// Parses a head. Returns it with its length in bytes, or nothing while it is incomplete.
+    /// Parses a head. Returns it with its length in bytes, or `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns [`HeadError::TooLarge`] for a head of more than `max_bytes` or too many header
+    /// lines, and the other errors for an invalid one.
     pub fn parse(bytes: &[u8], max_bytes: usize) -> Result<Option<(Self, usize)>, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut lines);
@@ -168,7 +173,7 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Returns the host that is asked, in lower case and without a port.
+    /// Returns the host name of the `Host` header in lower case, without its port.
     pub fn host(&self) -> String {
         let host = self.headers.text("host").unwrap_or_default();
         host.split(':')
@@ -177,13 +182,13 @@
             .to_ascii_lowercase()
     }
 
-    /// Returns the value of a key of the query, as it came.
+    /// Returns the value of a key of the query as received, still percent-encoded.
     pub fn query(&self, key: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
-            .find(|(own, _)| *own == key)
+            .find(|(name, _)| *name == key)
             .map(|(_, value)| value)
     }
 }
@@ -191,24 +196,25 @@
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: Box<str>,
-    /// The header lines.
+    /// The header lines, including hop-by-hop headers.
     pub headers: Headers,
-    /// How the body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// Whether the upstream keeps the connection open.
+    /// Whether the upstream keeps the connection open after the answer.
     pub keep_alive: bool,
 }
 
 impl ResponseHead {
-    /// Parses a head. Returns it with its length in bytes, or nothing while it is incomplete.
+    /// Parses a head. Returns it with its length in bytes, or `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns [`HeadError::TooLarge`] for an incomplete head of more than `max_bytes` or too many
+    /// header lines, and the other errors for an invalid one.
     pub fn parse(
         bytes: &[u8],
         max_bytes: usize,
@@ -277,8 +283,9 @@
     Ok(declared_framing(headers)?.unwrap_or(Framing::UntilClose))
 }
 
-/// Returns the framing that the headers declare. A length beside chunks, two different lengths and an
-/// unknown coding are refused: readers that disagree about them see different requests.
+/// Returns the framing that the headers declare. A length together with a transfer coding, two
+/// different lengths, more than one coding line and an unknown coding are refused: parsers that
+/// interpret them differently would see different requests.
 fn declared_framing(headers: &Headers) -> Result<Option<Framing>, HeadError> {
     let mut codings = headers.values("transfer-encoding");
     let mut lengths = headers.values("content-length");
--- a/src/http1/mod.rs
+++ b/src/http1/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 as exact bytes: heads, bodies and connections for forwarding without change.
+//! HTTP/1.1 heads, bodies and connections for forwarding requests and answers byte for byte.
 //!
-//! A general HTTP library hides what forwarding must see: bytes after a complete answer, an answer that
-//! ends early, and two framings of one body.
+//! A general HTTP library hides what a proxy must detect: bytes after a complete answer, an answer
+//! that ends early, and a body with two conflicting framings.
 
 pub mod body;
 pub mod client;
--- a/src/http1/tests.rs
+++ b/src/http1/tests.rs
@@ -1,4 +1,4 @@
-//! Framing, truncation and bytes that belong to nothing.
+//! Tests of parsing, framing, truncated bodies and bytes after a complete message.
 
 use super::*;
 use futures_lite::io::Cursor;
@@ -25,8 +25,10 @@
     Ok(body)
 }
 
+// Guards against request smuggling: a proxy and an upstream that disagree about the framing see
+// different requests.
 #[test]
-fn a_request_with_two_framings_is_refused() {
+fn a_request_with_ambiguous_framing_is_refused() {
     for framing in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 5\r\nContent-Length: 6\r\n",
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn a_head_over_the_bound_is_refused_before_it_ends() {
+fn a_head_over_the_limit_is_refused_while_incomplete() {
     let endless = format!("GET /{} ", "a".repeat(300));
     assert_eq!(
         RequestHead::parse(endless.as_bytes(), 256),
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_removed_with_those_that_they_name() {
+fn hop_by_hop_headers_and_those_named_by_connection_are_removed() {
     let head = "GET /a/ HTTP/1.1\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-End: 2\r\n\r\n";
     let mut headers = parse(head).expect("the head is proper").headers;
     headers.remove_hop_by_hop();
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn a_pipelined_request_stays_for_the_next_read() {
+fn a_pipelined_request_stays_buffered_for_the_next_read() {
     let mut two =
         connection(b"GET /1/ HTTP/1.1\r\nHost: x\r\n\r\nGET /2/ HTTP/1.1\r\nHost: x\r\n\r\n");
     let first = block_on(two.read_request_head(1024)).expect("a head");
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn a_chunked_body_is_joined_and_what_follows_stays() {
+fn a_chunked_body_is_decoded_and_later_bytes_stay_buffered() {
     let mut from = connection(b"3\r\nabc\r\n2;x=1\r\nde\r\n0\r\nTrailer: 1\r\n\r\nrest");
     let body = read_body(Framing::Chunked, &mut from).expect("a whole body");
     assert_eq!(body, b"abcde");
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn a_body_that_ends_early_is_never_complete() {
+fn a_body_that_ends_early_is_an_error() {
     for (framing, bytes) in [
         (Framing::Length(9), &b"abc"[..]),
         (Framing::Chunked, &b"3\r\nabc\r\n"[..]),
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn a_malformed_chunk_is_a_fault() {
+fn a_malformed_chunk_is_an_error() {
     for bytes in [
         &b"zz\r\nabc\r\n"[..],
         &b"\r\nabc\r\n"[..],
