--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -5,14 +5,14 @@
 
 pub mod acceptance;
 pub mod message;
-mod undo;
+mod rollback;
 
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 use message::{Brand, Change, Edit, HistoryLine, Model, Row, RowKey, Service, StoreLimits};
-use undo::PreviousEntries;
+use rollback::PreviousEntries;
 use std::collections::VecDeque;
 
 /// Most edits in the history, and most removals that are remembered to detect conflicts.
