--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -7,7 +7,7 @@
 use mangovale::placement::message::{LoadDecision, OrderOutcome};
 use mangovale::placement::policy::keep_warm::KeepWarmRule;
 use mangovale::shared_log::codec::encode;
-use mangovale::shared_log::fold::{Shared, Step};
+use mangovale::shared_log::fold::{SharedState, Step};
 use mangovale::shared_log::record::{Incarnation, LoggedRecord, Record, RecordBody, RecordId};
 use mangovale::table::message::{Change, Edit, Model, StoreLimits};
 use serde::Serialize;
@@ -65,7 +65,7 @@
 }
 
 struct Fold {
-    shared: Shared,
+    shared: SharedState,
     seq: u64,
     record_bytes: usize,
     load_record_bytes: usize,
@@ -108,7 +108,7 @@
 /// Measures the slopes at a size.
 pub fn measure(size: Size) -> Slopes {
     let mut fold = Fold {
-        shared: Shared::default(),
+        shared: SharedState::default(),
         seq: 0,
         record_bytes: 0,
         load_record_bytes: 0,
@@ -133,7 +133,7 @@
     let state = serde_json::to_string(&fold.shared).expect("the state can be encoded");
     let encode_ms = micros(started_at) / 1_000.0;
     let started_at = Instant::now();
-    let decoded: Shared = serde_json::from_str(&state).expect("the state can be decoded");
+    let decoded: SharedState = serde_json::from_str(&state).expect("the state can be decoded");
     let decode_ms = micros(started_at) / 1_000.0;
     assert!(
         decoded == fold.shared,
@@ -249,7 +249,7 @@
     }
 }
 
-fn tick_us(shared: Shared) -> f64 {
+fn tick_us(shared: SharedState) -> f64 {
     let entry = HostEntry {
         name: "entry-0".into(),
         data_centre: "sapporo-a".into(),
@@ -293,10 +293,11 @@
 
 /// Measures what one decoded state holds resident, as the mean over several kept for good, so that
 /// freed memory is not counted as free twice.
-fn footprint_bytes(shared: &Shared) -> f64 {
+fn footprint_bytes(shared: &SharedState) -> f64 {
     const KEPT: usize = 3;
     let text = serde_json::to_string(shared).expect("the state can be encoded");
-    let decode = || -> Shared { serde_json::from_str(&text).expect("the state can be decoded") };
+    let decode =
+        || -> SharedState { serde_json::from_str(&text).expect("the state can be decoded") };
     // The first one takes what earlier work left free.
     Box::leak(Box::new(decode()));
     let before = resident_bytes();
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 use crate::shared_log::checkpoint::{Scan, ScanStep, parts_of};
 use crate::shared_log::driver::{LogCallError, LogPage};
-use crate::shared_log::fold::{Applied, Shared, Step};
+use crate::shared_log::fold::{Applied, SharedState, Step};
 use crate::shared_log::record::LoggedRecord;
 
 /// Most applied records kept for peers.
@@ -98,7 +98,7 @@
     }
 
     /// Goes on from the state of a checkpoint.
-    fn replace_state(&mut self, shared: Shared, fx: &mut Effects) {
+    fn replace_state(&mut self, shared: SharedState, fx: &mut Effects) {
         self.scan = None;
         if shared.next_offset < self.shared.next_offset {
             return;
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -17,7 +17,7 @@
 use crate::routing::upstreams::Routing;
 use crate::shared_log::checkpoint::Scan;
 use crate::shared_log::driver::Driver;
-use crate::shared_log::fold::Shared;
+use crate::shared_log::fold::SharedState;
 use crate::shared_log::record::LoggedRecord;
 use crate::table::acceptance::Acceptance;
 use std::collections::VecDeque;
@@ -76,7 +76,7 @@
     /// Where it is in its life.
     pub life: Life,
     /// What all hosts agree on.
-    pub shared: Shared,
+    pub shared: SharedState,
     /// The log's driver.
     pub driver: Driver,
     /// The search for a checkpoint, while the next record is no longer kept.
@@ -122,7 +122,7 @@
     pub fn new(config: NodeConfig) -> Self {
         Self {
             life: Life::default(),
-            shared: Shared::default(),
+            shared: SharedState::default(),
             driver: Driver::new(config.me),
             scan: None,
             log_oldest: Offset(0),
--- a/src/placement/interleaving_tests.rs
+++ b/src/placement/interleaving_tests.rs
@@ -9,7 +9,7 @@
 use crate::placement::message::{EngineOrder, OrderAction, OrderAnswer};
 use crate::placement::test_site::{A, B, C, MEMORY_BYTES, TestLog};
 use crate::prelude::*;
-use crate::shared_log::fold::{Shared, Step};
+use crate::shared_log::fold::{SharedState, Step};
 use arbtest::arbitrary::{Result, Unstructured};
 
 const MODELS: [&str; 3] = ["m", "n", "o"];
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Host {
-    shared: Shared,
+    shared: SharedState,
     executor: Executor,
     killed_at: Option<Millis>,
 }
--- a/src/placement/test_site.rs
+++ b/src/placement/test_site.rs
@@ -5,7 +5,7 @@
 use crate::placement::message::{LoadDecision, OrderOutcome};
 use crate::prelude::*;
 use crate::shared_log::codec::encode;
-use crate::shared_log::fold::{Shared, Step};
+use crate::shared_log::fold::{SharedState, Step};
 use crate::shared_log::record::LoggedRecord;
 use crate::table::message::{Change, Edit, Model, Row, RowKey, StoreLimits};
 
@@ -17,7 +17,7 @@
 /// A log with its fold.
 #[derive(Clone, Debug, Default)]
 pub struct TestLog {
-    pub shared: Shared,
+    pub shared: SharedState,
     pub records: Vec<LoggedRecord>,
     pub now: Millis,
     last_seq: IndexMap<Incarnation, u64>,
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -7,7 +7,7 @@
 
 use crate::prelude::*;
 use crate::shared_log::codec::{DecodeError, decode};
-use crate::shared_log::fold::Shared;
+use crate::shared_log::fold::SharedState;
 use crate::shared_log::record::{CheckpointPart, LoggedRecord};
 
 /// Longest text of one part, so that the encoded record fits into one append.
@@ -150,7 +150,7 @@
 /// # Errors
 ///
 /// Returns the error of the JSON serialiser.
-pub fn parts_of(shared: &Shared) -> Result<Vec<CheckpointPart>, serde_json::Error> {
+pub fn parts_of(shared: &SharedState) -> Result<Vec<CheckpointPart>, serde_json::Error> {
     let text = serde_json::to_string(shared)?;
     let texts = split(&text);
     if texts.len() > MAX_PARTS {
@@ -198,7 +198,7 @@
     /// No checkpoint is complete yet; the search continues.
     More,
     /// A checkpoint is complete, and the log retains all records after its state.
-    Whole(Box<Shared>),
+    Whole(Box<SharedState>),
     /// The record has a newer format, so this release cannot compute the state after it.
     Newer {
         /// The format of the record.
@@ -256,7 +256,7 @@
             .map_or(ScanStep::More, |shared| ScanStep::Whole(Box::new(shared)))
     }
 
-    fn add_part(&mut self, writer: Incarnation, part: &CheckpointPart) -> Option<Shared> {
+    fn add_part(&mut self, writer: Incarnation, part: &CheckpointPart) -> Option<SharedState> {
         let known = self.collected.get(&writer);
         let repeated = known.is_some_and(|known| known.progress.as_of == part.as_of);
         if part.part == 0 && !repeated {
@@ -278,7 +278,7 @@
             return None;
         }
         let text = self.collected.shift_remove(&writer)?.text;
-        let shared: Shared = serde_json::from_str(&text).ok()?;
+        let shared: SharedState = serde_json::from_str(&text).ok()?;
         (shared.next_offset == part.as_of).then_some(shared)
     }
 }
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -12,7 +12,7 @@
 
 /// The state that all hosts share, as of one offset of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shared {
+pub struct SharedState {
     /// The offset of the next record to apply.
     pub next_offset: Offset,
     /// The highest append time, by the log's clock, of the applied records. It serves as the
@@ -43,7 +43,7 @@
     pub verdict: Verdict,
 }
 
-/// The outcome of [`Shared::apply_logged`].
+/// The outcome of [`SharedState::apply_logged`].
 #[derive(Clone, Debug)]
 pub enum Step {
     /// The record was decoded and has a verdict.
@@ -64,7 +64,7 @@
     Gap,
 }
 
-impl Shared {
+impl SharedState {
     /// Applies a record if its offset is the next one.
     pub fn apply_logged(&mut self, logged: &LoggedRecord) -> Step {
         if logged.offset < self.next_offset {
--- a/src/shared_log/tests/checkpoints.rs
+++ b/src/shared_log/tests/checkpoints.rs
@@ -4,7 +4,7 @@
 use super::fake_log::{FakeHost, FakeLog, check_seeds, put_model, text_of};
 use crate::prelude::*;
 use crate::shared_log::checkpoint::{MAX_PART_BYTES, Scan, ScanStep, parts_of};
-use crate::shared_log::fold::Shared;
+use crate::shared_log::fold::SharedState;
 use crate::shared_log::tests::fake_log::AppendResult;
 
 const NAME_BYTES: usize = 100;
@@ -33,7 +33,7 @@
 }
 
 /// Appends a checkpoint of the host's state and returns that state.
-fn write_checkpoint(host: &mut FakeHost, log: &mut FakeLog, result: AppendResult) -> Shared {
+fn write_checkpoint(host: &mut FakeHost, log: &mut FakeLog, result: AppendResult) -> SharedState {
     let parts = parts_of(&host.shared).unwrap();
     assert!(parts.len() > 2 && parts.iter().all(|part| part.text.len() <= MAX_PART_BYTES));
     let state = host.shared.clone();
@@ -46,7 +46,7 @@
 }
 
 /// Scans the log from `oldest` and returns the state of the first complete checkpoint.
-fn scan(log: &FakeLog, oldest: Offset) -> Option<Shared> {
+fn scan(log: &FakeLog, oldest: Offset) -> Option<SharedState> {
     let mut scan = Scan::new(oldest);
     for logged in &log.records[oldest.0 as usize..] {
         if let ScanStep::Whole(shared) = scan.take(logged) {
--- a/src/shared_log/tests/fake_log.rs
+++ b/src/shared_log/tests/fake_log.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 use crate::shared_log::codec::encode;
 use crate::shared_log::driver::{Driver, LogCallError};
-use crate::shared_log::fold::{Shared, Step};
+use crate::shared_log::fold::{SharedState, Step};
 use crate::shared_log::record::LoggedRecord;
 use crate::table::message::{Change, Edit, Model};
 use arbtest::arbitrary::{Result, Unstructured};
@@ -55,7 +55,7 @@
 /// A simulated host: its driver, its state, and the calls that are in progress.
 pub struct FakeHost {
     pub driver: Driver,
-    pub shared: Shared,
+    pub shared: SharedState,
     /// The records that this host queued.
     pub queued: Vec<RecordId>,
     /// The records of any host that were accepted when this host applied them.
@@ -70,7 +70,7 @@
     pub fn new(id: u64) -> Self {
         let mut host = Self {
             driver: Driver::new(Incarnation(id)),
-            shared: Shared::default(),
+            shared: SharedState::default(),
             queued: Vec::new(),
             accepted: Vec::new(),
             delayed: Vec::new(),
@@ -199,7 +199,7 @@
     }
 }
 
-pub fn text_of(shared: &Shared) -> String {
+pub fn text_of(shared: &SharedState) -> String {
     serde_json::to_string(shared).unwrap()
 }
 
--- a/src/shared_log/tests/fold.rs
+++ b/src/shared_log/tests/fold.rs
@@ -4,7 +4,7 @@
 use super::fake_log::{FakeHost, FakeLog, check_seeds, host_entry, put_model, text_of};
 use crate::prelude::*;
 use crate::shared_log::codec::{DecodeError, RECORD_FORMAT, decode, encode};
-use crate::shared_log::fold::{Shared, Step};
+use crate::shared_log::fold::{SharedState, Step};
 use arbtest::arbitrary::{Result, Unstructured};
 
 fn arbitrary_body(u: &mut Unstructured<'_>, number: usize) -> Result<RecordBody> {
@@ -50,8 +50,8 @@
     Ok(log)
 }
 
-fn fold_all(log: &FakeLog) -> Shared {
-    let mut shared = Shared::default();
+fn fold_all(log: &FakeLog) -> SharedState {
+    let mut shared = SharedState::default();
     for logged in &log.records {
         shared.apply_logged(logged);
     }
@@ -63,7 +63,7 @@
     check_seeds(800, 1024, |u| {
         let log = arbitrary_log(u)?;
         let whole = text_of(&fold_all(&log));
-        let mut shared = Shared::default();
+        let mut shared = SharedState::default();
         while shared.next_offset < log.end() {
             let next = shared.next_offset.0 as usize;
             let from = next - u.int_in_range(0..=next.min(5))?;
@@ -86,9 +86,9 @@
     for _ in 0..3 {
         log.append_text("garbage");
     }
-    let mut shared = Shared::default();
+    let mut shared = SharedState::default();
     assert!(matches!(shared.apply_logged(&log.records[1]), Step::Gap));
-    assert_eq!(shared, Shared::default());
+    assert_eq!(shared, SharedState::default());
 }
 
 #[test]
@@ -97,7 +97,7 @@
     for text in ["", "null", "{}", "{\"format\":\"1\"}", "{\"format\":1}"] {
         log.append_text(text);
     }
-    let mut shared = Shared::default();
+    let mut shared = SharedState::default();
     for logged in &log.records {
         assert!(matches!(shared.apply_logged(logged), Step::Garbage { .. }));
     }
@@ -108,10 +108,10 @@
 fn a_record_of_a_newer_format_is_not_applied() {
     let mut log = FakeLog::default();
     log.append_text(&format!("{{\"format\":{}}}", RECORD_FORMAT + 1));
-    let mut shared = Shared::default();
+    let mut shared = SharedState::default();
     let step = shared.apply_logged(&log.records[0]);
     assert!(matches!(step, Step::Newer { format: 2 }));
-    assert_eq!(shared, Shared::default());
+    assert_eq!(shared, SharedState::default());
 }
 
 #[test]
