--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -7,7 +7,7 @@
 use mangovale::placement::message::{LoadDecision, OrderOutcome};
 use mangovale::placement::policy::keep_warm::KeepWarmRule;
 use mangovale::shared_log::codec::encode;
-use mangovale::shared_log::fold::{SharedState, Step};
+use mangovale::shared_log::fold::{ApplyOutcome, SharedState};
 use mangovale::shared_log::record::{Incarnation, LoggedRecord, Record, RecordBody, RecordId};
 use mangovale::table::message::{Change, Edit, Model, StoreLimits};
 use serde::Serialize;
@@ -88,7 +88,7 @@
             appended_ms,
             payload: payload.into(),
         };
-        let Step::Applied(applied) = self.shared.apply_logged(&logged) else {
+        let ApplyOutcome::Applied(applied) = self.shared.apply_logged(&logged) else {
             panic!("not applied: {}", logged.payload);
         };
         assert!(applied.verdict.is_accepted(), "refused: {}", logged.payload);
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 use crate::shared_log::checkpoint::{Scan, ScanStep, parts_of};
 use crate::shared_log::driver::{LogCallError, LogPage};
-use crate::shared_log::fold::{Applied, SharedState, Step};
+use crate::shared_log::fold::{Applied, ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
 
 /// Most applied records kept for peers.
@@ -161,14 +161,14 @@
 
     fn apply_logged(&mut self, now: Millis, logged: &LoggedRecord, fx: &mut Effects) -> Onward {
         match self.shared.apply_logged(logged) {
-            Step::Known => return Onward::Yes,
-            Step::Gap => return Onward::No,
-            Step::Newer { format } => {
+            ApplyOutcome::Known => return Onward::Yes,
+            ApplyOutcome::Gap => return Onward::No,
+            ApplyOutcome::Newer { format } => {
                 self.halt(logged.offset, format);
                 return Onward::No;
             }
-            Step::Applied(applied) => self.after_applied(now, &applied, fx),
-            Step::Garbage { why } => {
+            ApplyOutcome::Applied(applied) => self.after_applied(now, &applied, fx),
+            ApplyOutcome::Garbage { why } => {
                 LogEvent::RecordUndecodable.write(&format!("offset={} {why}", logged.offset));
             }
         }
--- a/src/placement/interleaving_tests.rs
+++ b/src/placement/interleaving_tests.rs
@@ -9,7 +9,7 @@
 use crate::placement::message::{EngineOrder, OrderAction, OrderAnswer};
 use crate::placement::test_site::{A, B, C, MEMORY_BYTES, TestLog};
 use crate::prelude::*;
-use crate::shared_log::fold::{SharedState, Step};
+use crate::shared_log::fold::{ApplyOutcome, SharedState};
 use arbtest::arbitrary::{Result, Unstructured};
 
 const MODELS: [&str; 3] = ["m", "n", "o"];
@@ -175,7 +175,7 @@
         let shared = &mut self.hosts[&host].shared;
         for logged in &records[shared.next_offset.0 as usize..] {
             let step = shared.apply_logged(logged);
-            assert!(matches!(step, Step::Applied(_)), "{step:?}");
+            assert!(matches!(step, ApplyOutcome::Applied(_)), "{step:?}");
         }
     }
 
--- a/src/placement/test_site.rs
+++ b/src/placement/test_site.rs
@@ -5,7 +5,7 @@
 use crate::placement::message::{LoadDecision, OrderOutcome};
 use crate::prelude::*;
 use crate::shared_log::codec::encode;
-use crate::shared_log::fold::{SharedState, Step};
+use crate::shared_log::fold::{ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
 use crate::table::message::{Change, Edit, Model, Row, RowKey, StoreLimits};
 
@@ -56,7 +56,7 @@
         };
         self.records.push(logged.clone());
         match self.shared.apply_logged(&logged) {
-            Step::Applied(applied) => applied.verdict,
+            ApplyOutcome::Applied(applied) => applied.verdict,
             other => panic!("{other:?}"),
         }
     }
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -45,7 +45,7 @@
 
 /// The outcome of [`SharedState::apply_logged`].
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum ApplyOutcome {
     /// The record was decoded and has a verdict.
     Applied(Box<Applied>),
     /// The offset was processed before; the record is ignored.
@@ -66,22 +66,22 @@
 
 impl SharedState {
     /// Applies a record if its offset is the next one.
-    pub fn apply_logged(&mut self, logged: &LoggedRecord) -> Step {
+    pub fn apply_logged(&mut self, logged: &LoggedRecord) -> ApplyOutcome {
         if logged.offset < self.next_offset {
-            return Step::Known;
+            return ApplyOutcome::Known;
         }
         if logged.offset > self.next_offset {
-            return Step::Gap;
+            return ApplyOutcome::Gap;
         }
         let decoded = decode(&logged.payload);
         if let Err(DecodeError::Newer { format }) = decoded {
-            return Step::Newer { format };
+            return ApplyOutcome::Newer { format };
         }
         self.next_offset = logged.offset.next();
         self.log_ms = self.log_ms.max(logged.appended_ms);
         match decoded {
-            Ok(record) => Step::Applied(Box::new(self.apply_record(logged, record))),
-            Err(error) => Step::Garbage {
+            Ok(record) => ApplyOutcome::Applied(Box::new(self.apply_record(logged, record))),
+            Err(error) => ApplyOutcome::Garbage {
                 why: error.to_string(),
             },
         }
--- a/src/shared_log/tests/fake_log.rs
+++ b/src/shared_log/tests/fake_log.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 use crate::shared_log::codec::encode;
 use crate::shared_log::driver::{Driver, LogCallError};
-use crate::shared_log::fold::{SharedState, Step};
+use crate::shared_log::fold::{ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
 use crate::table::message::{Change, Edit, Model};
 use arbtest::arbitrary::{Result, Unstructured};
@@ -122,7 +122,7 @@
     }
 
     pub fn apply(&mut self, logged: &LoggedRecord) {
-        let Step::Applied(applied) = self.shared.apply_logged(logged) else {
+        let ApplyOutcome::Applied(applied) = self.shared.apply_logged(logged) else {
             return;
         };
         self.driver.on_own_record(applied.record.id);
--- a/src/shared_log/tests/fold.rs
+++ b/src/shared_log/tests/fold.rs
@@ -4,7 +4,7 @@
 use super::fake_log::{FakeHost, FakeLog, check_seeds, host_entry, put_model, text_of};
 use crate::prelude::*;
 use crate::shared_log::codec::{DecodeError, RECORD_FORMAT, decode, encode};
-use crate::shared_log::fold::{SharedState, Step};
+use crate::shared_log::fold::{ApplyOutcome, SharedState};
 use arbtest::arbitrary::{Result, Unstructured};
 
 fn arbitrary_body(u: &mut Unstructured<'_>, number: usize) -> Result<RecordBody> {
@@ -87,7 +87,10 @@
         log.append_text("garbage");
     }
     let mut shared = SharedState::default();
-    assert!(matches!(shared.apply_logged(&log.records[1]), Step::Gap));
+    assert!(matches!(
+        shared.apply_logged(&log.records[1]),
+        ApplyOutcome::Gap
+    ));
     assert_eq!(shared, SharedState::default());
 }
 
@@ -99,7 +102,10 @@
     }
     let mut shared = SharedState::default();
     for logged in &log.records {
-        assert!(matches!(shared.apply_logged(logged), Step::Garbage { .. }));
+        assert!(matches!(
+            shared.apply_logged(logged),
+            ApplyOutcome::Garbage { .. }
+        ));
     }
     assert_eq!(shared.next_offset, log.end());
 }
@@ -110,7 +116,7 @@
     log.append_text(&format!("{{\"format\":{}}}", RECORD_FORMAT + 1));
     let mut shared = SharedState::default();
     let step = shared.apply_logged(&log.records[0]);
-    assert!(matches!(step, Step::Newer { format: 2 }));
+    assert!(matches!(step, ApplyOutcome::Newer { format: 2 }));
     assert_eq!(shared, SharedState::default());
 }
 
--- a/src/shared_log/tests/lost_answers.rs
+++ b/src/shared_log/tests/lost_answers.rs
@@ -71,7 +71,8 @@
     let mut reader = FakeHost::new(99);
     let mut first_copies = Vec::new();
     for logged in &log.records {
-        let crate::shared_log::fold::Step::Applied(applied) = reader.shared.apply_logged(logged)
+        let crate::shared_log::fold::ApplyOutcome::Applied(applied) =
+            reader.shared.apply_logged(logged)
         else {
             panic!("all records decode");
         };
