--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -161,7 +161,7 @@
 
     fn apply_logged(&mut self, now: Millis, logged: &LoggedRecord, fx: &mut Effects) -> Onward {
         match self.shared.apply_logged(logged) {
-            ApplyOutcome::Known => return Onward::Yes,
+            ApplyOutcome::AlreadyApplied => return Onward::Yes,
             ApplyOutcome::Gap => return Onward::No,
             ApplyOutcome::Newer { format } => {
                 self.halt(logged.offset, format);
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -49,7 +49,7 @@
     /// The record was decoded and has a verdict.
     Applied(Box<Applied>),
     /// The offset was processed before; the record is ignored.
-    Known,
+    AlreadyApplied,
     /// The record is invalid in every release, so that every host skips it.
     Garbage {
         /// The error of the decoder.
@@ -68,7 +68,7 @@
     /// Applies a record if its offset is the next one.
     pub fn apply_logged(&mut self, logged: &LoggedRecord) -> ApplyOutcome {
         if logged.offset < self.next_offset {
-            return ApplyOutcome::Known;
+            return ApplyOutcome::AlreadyApplied;
         }
         if logged.offset > self.next_offset {
             return ApplyOutcome::Gap;
