--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -168,7 +168,7 @@
                 return Onward::No;
             }
             ApplyOutcome::Applied(applied) => self.after_applied(now, &applied, fx),
-            ApplyOutcome::Garbage { why } => {
+            ApplyOutcome::Undecodable { why } => {
                 LogEvent::RecordUndecodable.write(&format!("offset={} {why}", logged.offset));
             }
         }
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -240,7 +240,7 @@
         match decode(&logged.payload) {
             Ok(record) => self.process_record(record),
             Err(DecodeError::Newer { format }) => ScanStep::Newer { format },
-            Err(DecodeError::Garbage { .. }) => ScanStep::More,
+            Err(DecodeError::Undecodable { .. }) => ScanStep::More,
         }
     }
 
--- a/src/shared_log/codec.rs
+++ b/src/shared_log/codec.rs
@@ -23,7 +23,7 @@
     },
     /// The record is invalid in every release, so that all hosts skip it.
     #[snafu(display("{why}"))]
-    Garbage {
+    Undecodable {
         /// The error of the JSON parser.
         why: String,
     },
@@ -72,7 +72,7 @@
 }
 
 fn undecodable(error: serde_json::Error) -> DecodeError {
-    DecodeError::Garbage {
+    DecodeError::Undecodable {
         why: error.to_string(),
     }
 }
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -51,7 +51,7 @@
     /// The offset was processed before; the record is ignored.
     AlreadyApplied,
     /// The record is invalid in every release, so that every host skips it.
-    Garbage {
+    Undecodable {
         /// The error of the decoder.
         why: String,
     },
@@ -81,7 +81,7 @@
         self.log_ms = self.log_ms.max(logged.appended_ms);
         match decoded {
             Ok(record) => ApplyOutcome::Applied(Box::new(self.apply_record(logged, record))),
-            Err(error) => ApplyOutcome::Garbage {
+            Err(error) => ApplyOutcome::Undecodable {
                 why: error.to_string(),
             },
         }
--- a/src/shared_log/tests/fold.rs
+++ b/src/shared_log/tests/fold.rs
@@ -104,7 +104,7 @@
     for logged in &log.records {
         assert!(matches!(
             shared.apply_logged(logged),
-            ApplyOutcome::Garbage { .. }
+            ApplyOutcome::Undecodable { .. }
         ));
     }
     assert_eq!(shared.next_offset, log.end());
@@ -132,7 +132,10 @@
     let text = encode(&record).unwrap();
     assert_eq!(decode(&text), Ok(record));
     let unknown = text.replace("\"kind\":\"edit\"", "\"kind\":\"other\"");
-    assert!(matches!(decode(&unknown), Err(DecodeError::Garbage { .. })));
+    assert!(matches!(
+        decode(&unknown),
+        Err(DecodeError::Undecodable { .. })
+    ));
 }
 
 // Guards against the return of a host after its process ended, by a copy of its join record that
