--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{Scan, ScanStep, parts_of};
+use crate::shared_log::checkpoint::{CheckpointScan, ScanStep, parts_of};
 use crate::shared_log::driver::{LogCallError, LogPage};
 use crate::shared_log::fold::{Applied, ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
@@ -74,7 +74,7 @@
     fn start_scan(&mut self, oldest: Offset) {
         let wanted = self.shared.next_offset;
         LogEvent::LogTrimmed.write(&format!("wanted={wanted} oldest={oldest}"));
-        self.scan = Some(Scan::new(oldest));
+        self.scan = Some(CheckpointScan::new(oldest));
     }
 
     fn scan_after_gap(&mut self, logged: &LoggedRecord) {
@@ -153,7 +153,7 @@
             }
         }
         self.freshness.on_applied(self.shared.next_offset);
-        let reached = |scan: &Scan| self.shared.next_offset >= scan.from();
+        let reached = |scan: &CheckpointScan| self.shared.next_offset >= scan.from();
         if self.scan.as_ref().is_some_and(reached) {
             self.scan = None;
         }
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -15,7 +15,7 @@
 use crate::placement::policy::keep_warm::KeepWarmRule;
 use crate::prelude::*;
 use crate::routing::upstreams::Routing;
-use crate::shared_log::checkpoint::Scan;
+use crate::shared_log::checkpoint::CheckpointScan;
 use crate::shared_log::driver::Driver;
 use crate::shared_log::fold::SharedState;
 use crate::shared_log::record::LoggedRecord;
@@ -80,7 +80,7 @@
     /// The log's driver.
     pub driver: Driver,
     /// The search for a checkpoint, while the next record is no longer kept.
-    pub scan: Option<Scan>,
+    pub scan: Option<CheckpointScan>,
     /// The oldest record that the log kept at the last read.
     pub log_oldest: Offset,
     /// The newest applied records, for peers.
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -2,7 +2,7 @@
 //! the record that it needs next, because that record was trimmed.
 //!
 //! A checkpoint is a sequence of parts on the log, all by one writer and of the state at one
-//! offset. The shared state records which checkpoints are complete, but not their text. A [`Scan`]
+//! offset. The shared state records which checkpoints are complete, but not their text. A [`CheckpointScan`]
 //! reads the log and joins the text of the parts.
 
 use crate::prelude::*;
@@ -186,13 +186,13 @@
 
 /// The search for a complete checkpoint, for a host whose next record was trimmed from the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Scan {
+pub struct CheckpointScan {
     from: Offset,
     next: Offset,
     collected: IndexMap<Incarnation, PartialCheckpoint>,
 }
 
-/// What the next record did to a [`Scan`].
+/// What the next record did to a [`CheckpointScan`].
 #[derive(Clone, Debug)]
 pub enum ScanStep {
     /// No checkpoint is complete yet; the search continues.
@@ -206,7 +206,7 @@
     },
 }
 
-impl Scan {
+impl CheckpointScan {
     /// Creates a search that starts at the oldest record that the log retains.
     pub fn new(oldest: Offset) -> Self {
         Self {
--- a/src/shared_log/tests/checkpoints.rs
+++ b/src/shared_log/tests/checkpoints.rs
@@ -3,7 +3,7 @@
 
 use super::fake_log::{FakeHost, FakeLog, check_seeds, put_model, text_of};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{MAX_PART_BYTES, Scan, ScanStep, parts_of};
+use crate::shared_log::checkpoint::{CheckpointScan, MAX_PART_BYTES, ScanStep, parts_of};
 use crate::shared_log::fold::SharedState;
 use crate::shared_log::tests::fake_log::AppendResult;
 
@@ -47,7 +47,7 @@
 
 /// Scans the log from `oldest` and returns the state of the first complete checkpoint.
 fn scan(log: &FakeLog, oldest: Offset) -> Option<SharedState> {
-    let mut scan = Scan::new(oldest);
+    let mut scan = CheckpointScan::new(oldest);
     for logged in &log.records[oldest.0 as usize..] {
         if let ScanStep::Whole(shared) = scan.take(logged) {
             return Some(*shared);
