--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{CheckpointScan, ScanStep, parts_of};
+use crate::shared_log::checkpoint::{CheckpointScan, ScanOutcome, parts_of};
 use crate::shared_log::driver::{LogCallError, LogPage};
 use crate::shared_log::fold::{Applied, ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
@@ -90,9 +90,9 @@
                 return;
             };
             match scan.take(logged) {
-                ScanStep::More => {}
-                ScanStep::Whole(shared) => self.replace_state(*shared, fx),
-                ScanStep::Newer { format } => self.halt(logged.offset, format),
+                ScanOutcome::More => {}
+                ScanOutcome::Whole(shared) => self.replace_state(*shared, fx),
+                ScanOutcome::Newer { format } => self.halt(logged.offset, format),
             }
         }
     }
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -194,7 +194,7 @@
 
 /// What the next record did to a [`CheckpointScan`].
 #[derive(Clone, Debug)]
-pub enum ScanStep {
+pub enum ScanOutcome {
     /// No checkpoint is complete yet; the search continues.
     More,
     /// A checkpoint is complete, and the log retains all records after its state.
@@ -229,9 +229,9 @@
 
     /// Processes the next record. A record after a gap restarts the search at its own offset; one
     /// that was processed before is ignored.
-    pub fn take(&mut self, logged: &LoggedRecord) -> ScanStep {
+    pub fn take(&mut self, logged: &LoggedRecord) -> ScanOutcome {
         if logged.offset < self.next {
-            return ScanStep::More;
+            return ScanOutcome::More;
         }
         if logged.offset > self.next {
             *self = Self::new(logged.offset);
@@ -239,21 +239,23 @@
         self.next = logged.offset.next();
         match decode(&logged.payload) {
             Ok(record) => self.process_record(record),
-            Err(DecodeError::Newer { format }) => ScanStep::Newer { format },
-            Err(DecodeError::Undecodable { .. }) => ScanStep::More,
+            Err(DecodeError::Newer { format }) => ScanOutcome::Newer { format },
+            Err(DecodeError::Undecodable { .. }) => ScanOutcome::More,
         }
     }
 
-    fn process_record(&mut self, record: Record) -> ScanStep {
+    fn process_record(&mut self, record: Record) -> ScanOutcome {
         let RecordBody::Checkpoint { part } = record.body else {
-            return ScanStep::More;
+            return ScanOutcome::More;
         };
         let usable = part.as_of >= self.from && part.parts as usize <= MAX_PARTS;
         if !usable {
-            return ScanStep::More;
+            return ScanOutcome::More;
         }
         self.add_part(record.id.host, &part)
-            .map_or(ScanStep::More, |shared| ScanStep::Whole(Box::new(shared)))
+            .map_or(ScanOutcome::More, |shared| {
+                ScanOutcome::Whole(Box::new(shared))
+            })
     }
 
     fn add_part(&mut self, writer: Incarnation, part: &CheckpointPart) -> Option<SharedState> {
--- a/src/shared_log/tests/checkpoints.rs
+++ b/src/shared_log/tests/checkpoints.rs
@@ -3,7 +3,7 @@
 
 use super::fake_log::{FakeHost, FakeLog, check_seeds, put_model, text_of};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{CheckpointScan, MAX_PART_BYTES, ScanStep, parts_of};
+use crate::shared_log::checkpoint::{CheckpointScan, MAX_PART_BYTES, ScanOutcome, parts_of};
 use crate::shared_log::fold::SharedState;
 use crate::shared_log::tests::fake_log::AppendResult;
 
@@ -49,7 +49,7 @@
 fn scan(log: &FakeLog, oldest: Offset) -> Option<SharedState> {
     let mut scan = CheckpointScan::new(oldest);
     for logged in &log.records[oldest.0 as usize..] {
-        if let ScanStep::Whole(shared) = scan.take(logged) {
+        if let ScanOutcome::Whole(shared) = scan.take(logged) {
             return Some(*shared);
         }
     }
