--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -90,8 +90,8 @@
                 return;
             };
             match scan.take(logged) {
-                ScanOutcome::More => {}
-                ScanOutcome::Whole(shared) => self.replace_state(*shared, fx),
+                ScanOutcome::Continue => {}
+                ScanOutcome::Complete(shared) => self.replace_state(*shared, fx),
                 ScanOutcome::Newer { format } => self.halt(logged.offset, format),
             }
         }
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -196,9 +196,9 @@
 #[derive(Clone, Debug)]
 pub enum ScanOutcome {
     /// No checkpoint is complete yet; the search continues.
-    More,
+    Continue,
     /// A checkpoint is complete, and the log retains all records after its state.
-    Whole(Box<SharedState>),
+    Complete(Box<SharedState>),
     /// The record has a newer format, so this release cannot compute the state after it.
     Newer {
         /// The format of the record.
@@ -231,7 +231,7 @@
     /// that was processed before is ignored.
     pub fn take(&mut self, logged: &LoggedRecord) -> ScanOutcome {
         if logged.offset < self.next {
-            return ScanOutcome::More;
+            return ScanOutcome::Continue;
         }
         if logged.offset > self.next {
             *self = Self::new(logged.offset);
@@ -240,21 +240,21 @@
         match decode(&logged.payload) {
             Ok(record) => self.process_record(record),
             Err(DecodeError::Newer { format }) => ScanOutcome::Newer { format },
-            Err(DecodeError::Undecodable { .. }) => ScanOutcome::More,
+            Err(DecodeError::Undecodable { .. }) => ScanOutcome::Continue,
         }
     }
 
     fn process_record(&mut self, record: Record) -> ScanOutcome {
         let RecordBody::Checkpoint { part } = record.body else {
-            return ScanOutcome::More;
+            return ScanOutcome::Continue;
         };
         let usable = part.as_of >= self.from && part.parts as usize <= MAX_PARTS;
         if !usable {
-            return ScanOutcome::More;
+            return ScanOutcome::Continue;
         }
         self.add_part(record.id.host, &part)
-            .map_or(ScanOutcome::More, |shared| {
-                ScanOutcome::Whole(Box::new(shared))
+            .map_or(ScanOutcome::Continue, |shared| {
+                ScanOutcome::Complete(Box::new(shared))
             })
     }
 
