--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -89,7 +89,7 @@
             let Some(scan) = &mut self.scan else {
                 return;
             };
-            match scan.take(logged) {
+            match scan.read_record(logged) {
                 ScanOutcome::Continue => {}
                 ScanOutcome::Complete(shared) => self.replace_state(*shared, fx),
                 ScanOutcome::Newer { format } => self.halt(logged.offset, format),
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -229,7 +229,7 @@
 
     /// Processes the next record. A record after a gap restarts the search at its own offset; one
     /// that was processed before is ignored.
-    pub fn take(&mut self, logged: &LoggedRecord) -> ScanOutcome {
+    pub fn read_record(&mut self, logged: &LoggedRecord) -> ScanOutcome {
         if logged.offset < self.next {
             return ScanOutcome::Continue;
         }
--- a/src/shared_log/tests/checkpoints.rs
+++ b/src/shared_log/tests/checkpoints.rs
@@ -49,7 +49,7 @@
 fn scan(log: &FakeLog, oldest: Offset) -> Option<SharedState> {
     let mut scan = CheckpointScan::new(oldest);
     for logged in &log.records[oldest.0 as usize..] {
-        if let ScanOutcome::Complete(shared) = scan.take(logged) {
+        if let ScanOutcome::Complete(shared) = scan.read_record(logged) {
             return Some(*shared);
         }
     }
