--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Returns [`Rejection::PartOutOfOrder`] if the part does not follow the writer's last one.
-    pub fn take(
+    pub fn add_part(
         &mut self,
         now: Millis,
         writer: Incarnation,
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -125,7 +125,7 @@
             RecordBody::Join { .. } | RecordBody::Relinquish { .. } => {
                 Err(Rejection::WrongHostState)
             }
-            RecordBody::Checkpoint { part } => self.checkpoints.take(now, writer, part),
+            RecordBody::Checkpoint { part } => self.checkpoints.add_part(now, writer, part),
             RecordBody::Counted {
                 host,
                 confirmed_offset,
