--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{CheckpointScan, ScanOutcome, parts_of};
+use crate::shared_log::checkpoint::{CheckpointScan, ScanOutcome, split_into_parts};
 use crate::shared_log::driver::{LogCallError, LogPage};
 use crate::shared_log::fold::{Applied, ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
@@ -134,7 +134,7 @@
     }
 
     fn write_checkpoint(&mut self) {
-        let Ok(parts) = parts_of(&self.shared) else {
+        let Ok(parts) = split_into_parts(&self.shared) else {
             return;
         };
         let as_of = self.shared.next_offset;
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -150,7 +150,7 @@
 /// # Errors
 ///
 /// Returns the error of the JSON serialiser.
-pub fn parts_of(shared: &SharedState) -> Result<Vec<CheckpointPart>, serde_json::Error> {
+pub fn split_into_parts(shared: &SharedState) -> Result<Vec<CheckpointPart>, serde_json::Error> {
     let text = serde_json::to_string(shared)?;
     let texts = split(&text);
     if texts.len() > MAX_PARTS {
--- a/src/shared_log/tests/checkpoints.rs
+++ b/src/shared_log/tests/checkpoints.rs
@@ -3,7 +3,9 @@
 
 use super::fake_log::{FakeHost, FakeLog, check_seeds, put_model, text_of};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{CheckpointScan, MAX_PART_BYTES, ScanOutcome, parts_of};
+use crate::shared_log::checkpoint::{
+    CheckpointScan, MAX_PART_BYTES, ScanOutcome, split_into_parts,
+};
 use crate::shared_log::fold::SharedState;
 use crate::shared_log::tests::fake_log::AppendResult;
 
@@ -34,7 +36,7 @@
 
 /// Appends a checkpoint of the host's state and returns that state.
 fn write_checkpoint(host: &mut FakeHost, log: &mut FakeLog, result: AppendResult) -> SharedState {
-    let parts = parts_of(&host.shared).unwrap();
+    let parts = split_into_parts(&host.shared).unwrap();
     assert!(parts.len() > 2 && parts.iter().all(|part| part.text.len() <= MAX_PART_BYTES));
     let state = host.shared.clone();
     let bodies = parts
@@ -117,7 +119,7 @@
     first.read(&log, usize::MAX);
     let state = first.shared.clone();
     for host in [&mut first, &mut second] {
-        let parts = parts_of(&state).unwrap();
+        let parts = split_into_parts(&state).unwrap();
         let bodies = parts
             .into_iter()
             .map(|part| RecordBody::Checkpoint { part });
