--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -65,7 +65,7 @@
     pub fn on_log_read_failed(&mut self, now: Millis, error: &LogCallError) {
         if let LogCallError::Trimmed(oldest) = error {
             self.start_scan(*oldest);
-            self.driver.on_page_unused();
+            self.driver.on_page_discarded();
             return;
         }
         self.driver.on_read_failed(now);
@@ -84,7 +84,7 @@
     }
 
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
-        self.driver.on_page_unused();
+        self.driver.on_page_discarded();
         for logged in &page.records {
             let Some(scan) = &mut self.scan else {
                 return;
--- a/src/shared_log/driver.rs
+++ b/src/shared_log/driver.rs
@@ -274,7 +274,7 @@
     }
 
     /// Records that the answer to a read was not applied, so that the next read may start.
-    pub fn on_page_unused(&mut self) {
+    pub fn on_page_discarded(&mut self) {
         self.read = ReadState::Idle;
     }
 
