--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -3,8 +3,8 @@
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
 use crate::table::MAX_CHANGES;
-use crate::table::acceptance::{CallId, refusal};
 use crate::table::message::Edit;
+use crate::table::pending_edits::{CallId, refusal};
 
 const EDIT_RETRY_MS: Millis = Millis(1_000);
 
--- a/src/daemon/effect.rs
+++ b/src/daemon/effect.rs
@@ -6,7 +6,7 @@
 use crate::membership::message::{PeerReply, PeerRequest};
 use crate::placement::message::EngineOrder;
 use crate::prelude::*;
-use crate::table::acceptance::{CallId, EditResult};
+use crate::table::pending_edits::{CallId, EditResult};
 use std::net::SocketAddr;
 
 /// The effects of one event, in order.
--- a/src/daemon/event.rs
+++ b/src/daemon/event.rs
@@ -5,8 +5,8 @@
 use crate::placement::message::{EngineReport, OrderAnswer, StoreReport};
 use crate::prelude::*;
 use crate::shared_log::driver::{LogCallError, LogPage};
-use crate::table::acceptance::CallId;
 use crate::table::message::Edit;
+use crate::table::pending_edits::CallId;
 
 /// An input of [`crate::daemon::node::Node::handle`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -7,8 +7,8 @@
 use crate::prelude::*;
 use crate::shared_log::driver::MAX_READ_RECORDS;
 use crate::shared_log::fold::Applied;
-use crate::table::acceptance::CallId;
 use crate::table::message::RowKey;
+use crate::table::pending_edits::CallId;
 
 /// How often the platform's list is read.
 pub const LIST_INTERVAL_MS: Millis = Millis(500);
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -19,7 +19,7 @@
 use crate::shared_log::driver::Driver;
 use crate::shared_log::fold::SharedState;
 use crate::shared_log::record::LoggedRecord;
-use crate::table::acceptance::Acceptance;
+use crate::table::pending_edits::PendingEdits;
 use std::collections::VecDeque;
 
 /// What a node is made from.
@@ -92,7 +92,7 @@
     /// Upstreams that are leaving.
     pub leaving: Leaving,
     /// Edits that operators wait for.
-    pub acceptance: Acceptance,
+    pub acceptance: PendingEdits,
     /// Orders that this host executes.
     pub executor: Executor,
     /// What is known of upstreams.
@@ -134,7 +134,7 @@
                 config.probes_per_round as usize,
             ),
             leaving: Leaving::default(),
-            acceptance: Acceptance::default(),
+            acceptance: PendingEdits::default(),
             executor: Executor::default(),
             routing: Routing::default(),
             limits: Limits::default(),
--- a/src/edge/gate.rs
+++ b/src/edge/gate.rs
@@ -8,7 +8,7 @@
 use crate::membership::entry::EntryAnswer;
 use crate::membership::message::PeerReply;
 use crate::prelude::*;
-use crate::table::acceptance::{CallId, EditResult};
+use crate::table::pending_edits::{CallId, EditResult};
 use smol::channel::{Receiver, Sender, bounded};
 use std::collections::HashMap;
 use std::sync::Mutex;
--- a/src/membership/tests/cluster.rs
+++ b/src/membership/tests/cluster.rs
@@ -7,8 +7,8 @@
 use crate::prelude::*;
 use crate::shared_log::driver::{LogCallError, LogPage};
 use crate::shared_log::tests::fake_log::{FakeLog, host_entry};
-use crate::table::acceptance::{CallId, EditResult};
 use crate::table::message::Edit;
+use crate::table::pending_edits::{CallId, EditResult};
 
 /// How far the simulated time advances in a step.
 pub const STEP_MS: Millis = Millis(20);
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -3,8 +3,8 @@
 //! It is part of the shared state, so it is the same at all hosts that have applied the same
 //! records.
 
-pub mod acceptance;
 pub mod message;
+pub mod pending_edits;
 mod rollback;
 
 #[cfg(test)]
--- a/src/table/acceptance.rs
+++ b/src/table/pending_edits.rs
@@ -37,14 +37,14 @@
 
 /// The edits of this host whose operators wait for an answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Acceptance {
+pub struct PendingEdits {
     under_way: IndexMap<CallId, PendingEdit>,
 }
 
 /// The answer to an operator's call.
 pub type EditResult = Result<EditAnswer, Refusal>;
 
-impl Acceptance {
+impl PendingEdits {
     /// Adds an edit. It has either a queued `record`, or the `accepted` version if it is a repeated
     /// edit that is already in the history.
     pub fn start(
