--- a/src/attempt/requests.rs
+++ b/src/attempt/requests.rs
@@ -44,7 +44,7 @@
 
 /// A request without a final answer, and its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HeldRequest {
+pub struct TrackedRequest {
     /// The properties of the request, as read from the caller's connection.
     pub head: RequestHead,
     /// The brand and the model or service of the request.
@@ -71,7 +71,7 @@
     pub phase: Phase,
 }
 
-impl HeldRequest {
+impl TrackedRequest {
     /// Changes the phase of the request.
     pub fn enter(&mut self, now: Millis, phase: Phase) {
         self.phase = phase;
@@ -91,7 +91,7 @@
 /// The requests of a host that have no final answer yet.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Requests {
-    held: IndexMap<RequestId, HeldRequest>,
+    held: IndexMap<RequestId, TrackedRequest>,
 }
 
 impl Requests {
@@ -111,27 +111,27 @@
     }
 
     /// Adds a request, by the identity in its head.
-    pub fn insert(&mut self, request: HeldRequest) {
+    pub fn insert(&mut self, request: TrackedRequest) {
         self.held.insert(request.head.id, request);
     }
 
     /// Returns a request by its identity.
-    pub fn get(&self, id: RequestId) -> Option<&HeldRequest> {
+    pub fn get(&self, id: RequestId) -> Option<&TrackedRequest> {
         self.held.get(&id)
     }
 
     /// Returns a request by its identity, to change it.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut HeldRequest> {
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut TrackedRequest> {
         self.held.get_mut(&id)
     }
 
     /// Removes a request, which gets its final answer or lost its caller.
-    pub fn remove(&mut self, id: RequestId) -> Option<HeldRequest> {
+    pub fn remove(&mut self, id: RequestId) -> Option<TrackedRequest> {
         self.held.swap_remove(&id)
     }
 
     /// Iterates over the requests.
-    pub fn iter(&self) -> impl Iterator<Item = &HeldRequest> {
+    pub fn iter(&self) -> impl Iterator<Item = &TrackedRequest> {
         self.held.values()
     }
 
--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -4,7 +4,7 @@
 //! `docs/design/at-most-once.md`.
 
 use crate::attempt::message::RequestId;
-use crate::attempt::requests::{HeldRequest, Phase};
+use crate::attempt::requests::{Phase, TrackedRequest};
 use crate::daemon::node::Node;
 use crate::idempotency::claims::Claim;
 use crate::idempotency::finished::kept_state;
@@ -178,7 +178,7 @@
             return;
         };
         let sha256 = claim.request_sha256.clone();
-        let follows = |request: &&HeldRequest| {
+        let follows = |request: &&TrackedRequest| {
             matches!(request.phase, Phase::Following { .. })
                 && request.operation.as_ref() == Some(operation)
                 && request.head.request_sha256 == sha256
@@ -213,11 +213,11 @@
         if !self.pending_claims.note_host(self.config.me) {
             return;
         }
-        let is_on_its_way = |request: &&HeldRequest| {
+        let is_on_its_way = |request: &&TrackedRequest| {
             matches!(request.phase, Phase::Claiming | Phase::Releasing { .. })
         };
         let requests = self.requests.iter().filter(is_on_its_way);
-        let held: Vec<HeldRequest> = requests.cloned().collect();
+        let held: Vec<TrackedRequest> = requests.cloned().collect();
         for request in held {
             let id = request.head.id;
             if matches!(request.phase, Phase::Releasing { .. }) {
@@ -303,7 +303,7 @@
     }
 
     /// Tells whether a request holds its operation's claim, read back and not yet ended.
-    pub fn holds_claim(&self, request: &HeldRequest) -> bool {
+    pub fn holds_claim(&self, request: &TrackedRequest) -> bool {
         let Some(operation) = &request.operation else {
             return false;
         };
@@ -337,7 +337,7 @@
     }
 
     /// Settles the operation of a request that is let go.
-    pub fn let_go_of_operation(&mut self, now: Millis, request: &HeldRequest) {
+    pub fn let_go_of_operation(&mut self, now: Millis, request: &TrackedRequest) {
         let Some(operation) = &request.operation else {
             return;
         };
@@ -363,7 +363,7 @@
     }
 
     /// Tells whether the fold still lets this host run a request.
-    pub fn may_run(&self, request: &HeldRequest) -> bool {
+    pub fn may_run(&self, request: &TrackedRequest) -> bool {
         let Some(operation) = &request.operation else {
             return true;
         };
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -1,7 +1,7 @@
 //! Joins waiting requests to upstreams: which request goes next, and where.
 
 use crate::attempt::message::{Attempt, ConnectionChoice, Repeatable, RequestId};
-use crate::attempt::requests::{HeldRequest, MAX_FAILURES, Phase};
+use crate::attempt::requests::{MAX_FAILURES, Phase, TrackedRequest};
 use crate::daemon::node::Node;
 use crate::daemon::request_flow::RETRY_MS;
 use crate::placement::copies::CopyState;
@@ -156,7 +156,7 @@
         }
     }
 
-    fn first_byte_bound(&self, request: &HeldRequest, upstream: &Name) -> Millis {
+    fn first_byte_bound(&self, request: &TrackedRequest, upstream: &Name) -> Millis {
         let to_deadline_ms = request.deadline_at.since(request.phase_since);
         if request.head.repeatable == Repeatable::No {
             // Giving up early would only turn an answer into an unknown outcome.
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::queue::Waiting;
 use crate::attempt::message::{AttemptOutcome, Repeatable, RequestHead, RequestId, TargetKind};
-use crate::attempt::requests::{HeldRequest, MAX_FAILURES, Phase};
+use crate::attempt::requests::{MAX_FAILURES, Phase, TrackedRequest};
 use crate::daemon::node::{Life, Node};
 use crate::error::Ran;
 use crate::idempotency::message::OperationKey;
@@ -69,7 +69,7 @@
         }
         let name = head.name.clone();
         let operation = operation_of(&head, &key);
-        self.requests.insert(HeldRequest {
+        self.requests.insert(TrackedRequest {
             row: key,
             urgency: row.urgency,
             arrived_at: now,
