--- a/src/attempt/events.rs
+++ b/src/attempt/stream_validator.rs
@@ -31,14 +31,14 @@
 
 /// The validation of one streamed answer, over all connections by which it is received.
 #[derive(Clone, Debug)]
-pub struct AnswerEvents {
+pub struct StreamValidator {
     id: Name,
     next_index: u32,
     finished: bool,
     buffer: Vec<u8>,
 }
 
-impl AnswerEvents {
+impl StreamValidator {
     /// Creates the validation of an answer. Its chunks must carry `id`, which names the attempt.
     pub fn new(id: Name) -> Self {
         Self {
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -1,6 +1,8 @@
 //! Tests of the validation of answers: only complete answers of the attempt, in order, are valid.
 
-use crate::attempt::events::{AnswerEvents, MAX_EVENT_BYTES, StreamStep, is_own_whole_answer};
+use crate::attempt::stream_validator::{
+    MAX_EVENT_BYTES, StreamStep, StreamValidator, is_own_whole_answer,
+};
 use arbtest::arbtest;
 
 const DONE: &[u8] = b"data: [DONE]\n\n";
@@ -14,7 +16,7 @@
     format!("data: {{\"id\":\"{id}\",\"index\":{index}{finish}}}\n\n").into_bytes()
 }
 
-fn steps(events: &mut AnswerEvents, bytes: &[u8]) -> Vec<StreamStep> {
+fn steps(events: &mut StreamValidator, bytes: &[u8]) -> Vec<StreamStep> {
     events.push(bytes);
     std::iter::from_fn(|| events.next_step()).collect()
 }
@@ -35,7 +37,7 @@
 fn a_complete_answer_passes_for_any_split_and_repetition_of_its_bytes() {
     arbtest(|u| {
         let bytes = answer(6);
-        let mut events = AnswerEvents::new("r".into());
+        let mut events = StreamValidator::new("r".into());
         let mut passed = Vec::new();
         let mut from = 0;
         let mut ended = false;
@@ -68,7 +70,7 @@
 
 #[test]
 fn a_chunk_of_another_request_makes_the_answer_invalid() {
-    let mut events = AnswerEvents::new("r".into());
+    let mut events = StreamValidator::new("r".into());
     assert_eq!(steps(&mut events, &chunk("r", 0, false)).len(), 1);
     assert!(is_broken(&steps(&mut events, &chunk("q", 1, false))));
 }
@@ -76,7 +78,7 @@
 #[test]
 fn a_missing_chunk_an_early_end_mark_and_an_error_make_the_answer_invalid() {
     let broken = |bytes: &[u8]| {
-        let mut events = AnswerEvents::new("r".into());
+        let mut events = StreamValidator::new("r".into());
         is_broken(&steps(&mut events, bytes))
     };
     assert!(broken(&chunk("r", 1, false)));
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -1,7 +1,7 @@
 //! Passes a streamed answer on to its caller, and resumes it when its connection fails.
 
-use crate::attempt::events::{AnswerEvents, StreamStep};
 use crate::attempt::message::{AttemptOutcome, TargetKind};
+use crate::attempt::stream_validator::{StreamStep, StreamValidator};
 use crate::edge::http::within;
 use crate::edge::pipe::{ChunkWriter, ReaderGone};
 use crate::edge::upstream::{Call, Started};
@@ -41,7 +41,7 @@
 }
 
 async fn pass_checked(call: &Call, body: ResponseBody<'static>, caller: &ChunkWriter) -> PartEnd {
-    let mut events = AnswerEvents::new(call.attempt_id());
+    let mut events = StreamValidator::new(call.attempt_id());
     let mut end = pass_part(call, body, &mut events, caller).await;
     for _ in 0..MAX_RESUMPTIONS {
         let PartEnd::Failed(why) = &end else {
@@ -64,7 +64,7 @@
 async fn pass_part(
     call: &Call,
     mut body: ResponseBody<'static>,
-    events: &mut AnswerEvents,
+    events: &mut StreamValidator,
     caller: &ChunkWriter,
 ) -> PartEnd {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
--- a/src/edge/upstream.rs
+++ b/src/edge/upstream.rs
@@ -1,7 +1,7 @@
 //! One attempt at an upstream over HTTP.
 
-use crate::attempt::events::is_own_whole_answer;
 use crate::attempt::message::{Attempt, AttemptOutcome, ConnectionChoice, Repeatable, TargetKind};
+use crate::attempt::stream_validator::is_own_whole_answer;
 use crate::clock::Clock;
 use crate::edge::connections::Connections;
 use crate::edge::http::{CallError, call_error, within};
