--- a/src/attempt/stream_validator.rs
+++ b/src/attempt/stream_validator.rs
@@ -55,7 +55,7 @@
     }
 
     /// Discards an incomplete event, because the answer is resumed over another connection.
-    pub fn restart(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.buffer.clear();
     }
 
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -56,7 +56,7 @@
             from += count;
             if !u.is_empty() && u.ratio(1, 5)? && !ended {
                 // Another connection resumes at the next chunk, or up to 2 chunks before it.
-                events.restart();
+                events.discard_partial_event();
                 let back = events.next_index().saturating_sub(u.int_in_range(0..=2)?);
                 from = (0..back).map(|index| chunk("r", index, false).len()).sum();
             }
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -52,7 +52,7 @@
             call.outgoing.request_id,
             events.next_index()
         ));
-        events.restart();
+        events.discard_partial_event();
         end = match call.resume(events.next_index()).await {
             Ok(started) => pass_part(call, started.body, &mut events, caller).await,
             Err(outcome) => PartEnd::Failed(format!("{why}; not resumed: {outcome:?}")),
