--- a/src/attempt/stream_validator.rs
+++ b/src/attempt/stream_validator.rs
@@ -141,7 +141,7 @@
 
 /// Returns whether an answer that is not streamed is complete JSON and, if it carries an id, that
 /// this is the one of the attempt.
-pub fn is_own_whole_answer(id: &str, body: &[u8]) -> bool {
+pub fn is_complete_own_answer(id: &str, body: &[u8]) -> bool {
     match serde_json::from_slice::<ChunkFields>(body) {
         Ok(chunk) => chunk.id.is_none_or(|own| own == id),
         Err(_) => false,
--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the validation of answers: only complete answers of the attempt, in order, are valid.
 
 use crate::attempt::stream_validator::{
-    MAX_EVENT_BYTES, StreamStep, StreamValidator, is_own_whole_answer,
+    MAX_EVENT_BYTES, StreamStep, StreamValidator, is_complete_own_answer,
 };
 use arbtest::arbtest;
 
@@ -90,8 +90,8 @@
 
 #[test]
 fn an_answer_must_be_complete_json_of_its_own_request() {
-    assert!(is_own_whole_answer("r", br#"{"id":"r"}"#));
-    assert!(is_own_whole_answer("r", br#"{"answer":1}"#));
-    assert!(!is_own_whole_answer("r", br#"{"id":"q"}"#));
-    assert!(!is_own_whole_answer("r", br#"{"id":"r""#));
+    assert!(is_complete_own_answer("r", br#"{"id":"r"}"#));
+    assert!(is_complete_own_answer("r", br#"{"answer":1}"#));
+    assert!(!is_complete_own_answer("r", br#"{"id":"q"}"#));
+    assert!(!is_complete_own_answer("r", br#"{"id":"r""#));
 }
--- a/src/edge/upstream.rs
+++ b/src/edge/upstream.rs
@@ -1,7 +1,7 @@
 //! One attempt at an upstream over HTTP.
 
 use crate::attempt::message::{Attempt, AttemptOutcome, ConnectionChoice, Repeatable, TargetKind};
-use crate::attempt::stream_validator::is_own_whole_answer;
+use crate::attempt::stream_validator::is_complete_own_answer;
 use crate::clock::Clock;
 use crate::edge::connections::Connections;
 use crate::edge::http::{CallError, call_error, within};
@@ -218,7 +218,7 @@
             Some(Ok(bytes)) => bytes,
         };
         let is_chat = self.outgoing.target == TargetKind::Model;
-        if is_chat && !is_own_whole_answer(&self.attempt_id(), &bytes) {
+        if is_chat && !is_complete_own_answer(&self.attempt_id(), &bytes) {
             return unknown("the answer is not whole, or another request's".into());
         }
         Ok(bytes)
