--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -329,7 +329,7 @@
 /// Waits until the caller closes its connection. Bytes that arrive meanwhile are kept for the next
 /// request.
 async fn wait_for_disconnect(connection: &mut Connection<TcpStream>) {
-    while connection.ahead_bytes() < MAX_PIPELINED_BYTES {
+    while connection.buffered_bytes() < MAX_PIPELINED_BYTES {
         if connection.read_more().await.is_err() {
             return;
         }
--- a/src/http1/connection.rs
+++ b/src/http1/connection.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns the number of bytes that were read and are not consumed yet.
-    pub fn ahead_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 }
