--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -184,7 +184,7 @@
     connection: &mut Connection<TcpStream>,
     limits: CallerLimits,
 ) -> Option<Result<RequestHead, ReadError>> {
-    if !connection.has_unused_bytes() && !wait_for_bytes(host, connection, limits.idle_ms).await {
+    if !connection.has_buffered_bytes() && !wait_for_bytes(host, connection, limits.idle_ms).await {
         return None;
     }
     let head = within(
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -89,7 +89,7 @@
         connection: UpstreamConnection,
         keep_ms: Option<Millis>,
     ) {
-        if connection.io.has_unused_bytes() {
+        if connection.io.has_buffered_bytes() {
             return;
         }
         let keep_ms = keep_ms.map_or(DEFAULT_IDLE_TIMEOUT_MS, |keep_ms| keep_ms - CLOSE_MARGIN_MS);
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -159,7 +159,7 @@
 
     fn return_to_pool(&self, connection: Connection<TcpStream>, keep_alive: bool) {
         let mut idle = self.idle.borrow_mut();
-        if keep_alive && !connection.has_unused_bytes() && idle.len() < MAX_IDLE {
+        if keep_alive && !connection.has_buffered_bytes() && idle.len() < MAX_IDLE {
             idle.push(connection);
         }
     }
--- a/src/http1/connection.rs
+++ b/src/http1/connection.rs
@@ -56,7 +56,7 @@
 
     /// Returns whether bytes were read that are not consumed yet. After a complete answer they mean
     /// that the connection must not be reused.
-    pub fn has_unused_bytes(&self) -> bool {
+    pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/src/http1/tests.rs
+++ b/src/http1/tests.rs
@@ -89,7 +89,7 @@
     let mut from = connection(b"3\r\nabc\r\n2;x=1\r\nde\r\n0\r\nTrailer: 1\r\n\r\nrest");
     let body = read_body(Framing::Chunked, &mut from).expect("a whole body");
     assert_eq!(body, b"abcde");
-    assert!(from.has_unused_bytes());
+    assert!(from.has_buffered_bytes());
 }
 
 #[test]
