--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -7,7 +7,7 @@
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::entry::request_log::{AnswerEnd, RequestLog};
-use crate::http1::client::{prepare, within};
+use crate::http1::client::{set_socket_options, within};
 use crate::http1::{
     BodyReader, Connection, HeadError, Headers, ReadError, RequestHead, ResponseHead,
 };
@@ -85,7 +85,7 @@
     host.caller_connections
         .set(host.caller_connections.get() + 1);
     let _open = OpenConnection(&host);
-    if prepare(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let mut writer = CallerWriter {
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::host::Host;
 use crate::entry::platform::{DirectoryQuery, Platform};
-use crate::http1::client::{prepare, within};
+use crate::http1::client::{set_socket_options, within};
 use crate::http1::{Connection, RequestHead};
 use crate::prelude::*;
 use futures_lite::AsyncWriteExt;
@@ -61,7 +61,7 @@
 }
 
 async fn serve_connection<P: Platform>(host: &Host<P>, stream: TcpStream, questions: Questions) {
-    if prepare(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let mut connection = Connection::new(stream);
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -165,14 +165,14 @@
     }
 }
 
-/// Opens a TCP connection with the options of [`prepare`].
+/// Opens a TCP connection with the options of [`set_socket_options`].
 ///
 /// # Errors
 ///
 /// Returns the error of the socket.
 pub async fn open(address: SocketAddr) -> std::io::Result<Connection<TcpStream>> {
     let stream = TcpStream::connect(address).await?;
-    prepare(&stream)?;
+    set_socket_options(&stream)?;
     Ok(Connection::new(stream))
 }
 
@@ -182,7 +182,7 @@
 /// # Errors
 ///
 /// Returns the error of the socket.
-pub fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     rustix::net::sockopt::set_tcp_user_timeout(stream, TCP_USER_TIMEOUT_MS)?;
     rustix::net::sockopt::set_socket_keepalive(stream, true)?;
