--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -7,7 +7,7 @@
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
 use crate::entry::request_log::{AnswerEnd, RequestLog};
-use crate::http1::client::{set_socket_options, within};
+use crate::http1::client::{set_socket_options, with_timeout};
 use crate::http1::{
     BodyReader, Connection, HeadError, Headers, ReadError, RequestHead, ResponseHead,
 };
@@ -47,7 +47,7 @@
     listener: TcpListener,
 ) {
     while host.accepts_requests() {
-        let Some(accepted) = within(ACCEPT_POLL_MS, listener.accept()).await else {
+        let Some(accepted) = with_timeout(ACCEPT_POLL_MS, listener.accept()).await else {
             continue;
         };
         match accepted {
@@ -187,7 +187,7 @@
     if !connection.has_buffered_bytes() && !wait_for_bytes(host, connection, limits.idle_ms).await {
         return None;
     }
-    let head = within(
+    let head = with_timeout(
         limits.head_ms,
         connection.read_request_head(limits.head_bytes),
     )
@@ -211,7 +211,7 @@
     let expires = async {
         let stop = host.next_stop();
         if !host.is_stopping() {
-            within(idle_ms, stop).await;
+            with_timeout(idle_ms, stop).await;
         }
         if host.is_stopping() {
             Timer::after(STOP_IDLE_MS.to_duration()).await;
@@ -243,7 +243,7 @@
     }
     let mut body = Vec::new();
     loop {
-        match within(BODY_READ_TIMEOUT_MS, reader.next(connection)).await {
+        match with_timeout(BODY_READ_TIMEOUT_MS, reader.next(connection)).await {
             Some(Ok(Some(piece))) => body.extend_from_slice(&piece),
             Some(Ok(None)) => return Ok(body),
             Some(Err(ReadError::Malformed)) => {
@@ -323,7 +323,7 @@
             }
         }
     };
-    within(DRAIN_MS, read).await;
+    with_timeout(DRAIN_MS, read).await;
 }
 
 /// Waits until the caller closes its connection. Bytes that arrive meanwhile are kept for the next
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -4,7 +4,7 @@
 use crate::entry::host::Host;
 use crate::entry::lines;
 use crate::entry::platform::Platform;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::prelude::*;
 use crate::retry::message::Evidence;
 use crate::retry::{CrashNews, CrashReport, Quarantine, RequestDigest};
@@ -63,7 +63,7 @@
         host.request_sync();
         return;
     }
-    match within(CRASH_CHECK_TIMEOUT_MS, host.pool.open(address)).await {
+    match with_timeout(CRASH_CHECK_TIMEOUT_MS, host.pool.open(address)).await {
         Some(Ok(connection)) => host.pool.keep(host.now(), &upstream.id, connection, None),
         Some(Err(error)) => note_unreachable(host, upstream, &error),
         None => {}
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::host::Host;
 use crate::entry::platform::{DirectoryQuery, Platform};
-use crate::http1::client::{set_socket_options, within};
+use crate::http1::client::{set_socket_options, with_timeout};
 use crate::http1::{Connection, RequestHead};
 use crate::prelude::*;
 use futures_lite::AsyncWriteExt;
@@ -66,7 +66,7 @@
     }
     let mut connection = Connection::new(stream);
     loop {
-        let read = within(IDLE_MS, connection.read_request_head(MAX_HEAD_BYTES)).await;
+        let read = with_timeout(IDLE_MS, connection.read_request_head(MAX_HEAD_BYTES)).await;
         let Some(Ok(Some(head))) = read else { return };
         let reply = reply(host, &head, questions);
         let closes = !head.keep_alive || host.is_stopping();
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -14,7 +14,7 @@
 use crate::entry::table_rows::{
     TableLine, WholeList, put_in_force, take_list, take_row, take_table,
 };
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::prelude::*;
 use smol::Timer;
 use std::rc::Rc;
@@ -303,7 +303,7 @@
             }
             Next::WaitUntil(due_at) => {
                 cursor.was_told = true;
-                within(due_at.since(now), word).await;
+                with_timeout(due_at.since(now), word).await;
             }
         }
     }
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -13,7 +13,7 @@
 use crate::group::parents::{ORDERER_STALE_MS, ParentSelector};
 use crate::group::read_policy::may_have_many_unlisted;
 use crate::group::{Member, Members, RelayTree};
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::ordering::gather::Gather;
 use crate::ordering::view::View;
 use crate::prelude::*;
@@ -241,7 +241,7 @@
     pub async fn wait_for_sync_request(&self, at_most_ms: Millis) -> bool {
         let requested = self.sync_requested.listen();
         if !self.is_sync_requested.get() {
-            within(at_most_ms, requested).await;
+            with_timeout(at_most_ms, requested).await;
         }
         self.is_sync_requested.replace(false)
     }
--- a/src/entry/lease_keeper.rs
+++ b/src/entry/lease_keeper.rs
@@ -7,7 +7,7 @@
 use crate::entry::peers::Peers;
 use crate::entry::platform::{AppendOutcome, Platform, StoreCall, StoreError};
 use crate::group::Member;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::ordering::lease::{Holding, Learned, Lease, LeaseRecord, is_candidate};
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
@@ -74,7 +74,7 @@
                 tick_ms = Millis(read_ms.0 / LOOKS_A_READ);
             }
         }
-        within(tick_ms, host.next_stop()).await;
+        with_timeout(tick_ms, host.next_stop()).await;
     }
 }
 
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -4,7 +4,7 @@
 use crate::entry::active_request::ActiveRequest;
 use crate::entry::host::Host;
 use crate::entry::platform::Platform;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::prelude::*;
 use crate::rate_limit::limiter::Place;
 use crate::rate_limit::{Decision, Limiter, LimitsNews, Refused, Scope, Usage};
@@ -143,7 +143,7 @@
             return;
         }
         host.request_sync();
-        within(until - now, change).await;
+        with_timeout(until - now, change).await;
     }
 }
 
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -6,7 +6,7 @@
 use crate::group::Member;
 use crate::group::members::{MembersChange, MembersUpdate};
 use crate::group::read_policy::{MIN_READ_INTERVAL_MS, ReadConditions, Role};
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::prelude::*;
 use smol::Timer;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
                 let rest = async {
                     Timer::after(MIN_READ_INTERVAL_MS.to_duration()).await;
                     if !is_new_and_alone(&host, host.now()) {
-                        within(JOIN_INTERVAL_MS - MIN_READ_INTERVAL_MS, refused).await;
+                        with_timeout(JOIN_INTERVAL_MS - MIN_READ_INTERVAL_MS, refused).await;
                     }
                 };
                 futures_lite::future::or(rest, stop).await;
@@ -82,7 +82,7 @@
                 }
                 let pause_ms = RETRY_MS[failures.min(RETRY_MS.len() - 1)];
                 failures += 1;
-                within(pause_ms, stop).await;
+                with_timeout(pause_ms, stop).await;
             }
         }
     }
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -6,7 +6,7 @@
 use crate::entry::platform::{ModelRef, Platform};
 use crate::entry::table_rows;
 use crate::group::Member;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::ordering::book::Book;
 use crate::ordering::ceiling::Ceiling;
 use crate::ordering::copy::Loaded;
@@ -164,7 +164,7 @@
     loop {
         let want = host.next_sync_request();
         Timer::after(least_plan_ms(&host).to_duration()).await;
-        within(PLAN_MS, want).await;
+        with_timeout(PLAN_MS, want).await;
         let now = host.now();
         if !host.is_orderer() {
             continue;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -9,7 +9,7 @@
 use crate::entry::platform::Platform;
 use crate::entry::run::EntryError;
 use crate::entry::{desired_copy, lease_keeper, list_copy, sync};
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
 use quinn::{
@@ -129,7 +129,7 @@
 
     /// Calls a peer. Returns nothing when no answer came in time.
     pub async fn call(&self, address: SocketAddr, call: &PeerCall) -> Option<PeerReply> {
-        let reply = within(CALL_MS, self.try_call(address, call))
+        let reply = with_timeout(CALL_MS, self.try_call(address, call))
             .await
             .flatten();
         if reply.is_none() {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -14,7 +14,7 @@
 use crate::entry::request_log::RequestLog;
 use crate::entry::send::{SendOutcome, StartedAnswer, note_failure, return_to_pool};
 use crate::entry::upstream_limits;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::http1::{Framing, ReadError};
 use crate::prelude::*;
 
@@ -114,7 +114,7 @@
     loop {
         let left_ms = (ask.deadline_at + OVERTIME_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
-        match within(left_ms, read).await {
+        match with_timeout(left_ms, read).await {
             None => return Relayed::Broken("the time limit was reached"),
             Some(Err(_)) => {
                 crashes::note_broken_run(host, ask, &answer.upstream).await;
@@ -219,7 +219,7 @@
         let ends_at = self.ask.deadline_at + OVERTIME_MS;
         let left_ms = ends_at.since(self.host.now());
         let read = answer.reader.next(&mut answer.connection.io);
-        match within(left_ms, read).await {
+        match with_timeout(left_ms, read).await {
             None => Piece::OutOfTime,
             Some(Ok(Some(_))) if self.buffer.len() > MAX_EVENT_BYTES => {
                 Piece::Fault("an event is too long")
--- a/src/entry/send.rs
+++ b/src/entry/send.rs
@@ -10,7 +10,7 @@
 use crate::entry::platform::Platform;
 use crate::entry::pool::UpstreamConnection;
 use crate::entry::upstream_limits;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::http1::{BodyReader, Framing, Headers, ReadError, ResponseHead};
 use crate::prelude::*;
 use crate::retry::RequestDigest;
@@ -135,7 +135,7 @@
     }
     let exchange = exchange(host, request, &mut connection, headers, &mut in_flight);
     let left_ms = answer_by.since(host.now());
-    let answer = within(left_ms, exchange).await;
+    let answer = with_timeout(left_ms, exchange).await;
     if let Some(Err(ReadError::Ended | ReadError::Broken { .. })) = &answer {
         crashes::note_broken_run(host, request, upstream).await;
     }
@@ -250,7 +250,7 @@
     }
     let address = host.upstreams.borrow().get(&upstream.id)?.address();
     let timeout_ms = CONNECT_TIMEOUT_MS.min(answer_by.since(now));
-    let opened = within(timeout_ms, host.pool.open(address)).await;
+    let opened = with_timeout(timeout_ms, host.pool.open(address)).await;
     if let Some(Err(error)) = &opened {
         crashes::note_unreachable(host, upstream, error);
     }
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -47,7 +47,7 @@
     let tasks = executor.clone();
     let run = executor.run(async move {
         let site = Site::start(tasks).await;
-        let done = crate::http1::client::within(TEST_MS, test(site)).await;
+        let done = crate::http1::client::with_timeout(TEST_MS, test(site)).await;
         assert!(done.is_some(), "the test did not end");
     });
     smol::block_on(run);
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -8,7 +8,7 @@
 use crate::entry::platform::Platform;
 use crate::entry::request_log::RequestLog;
 use crate::entry::sync;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::prelude::*;
 use crate::routing::roles::is_long;
 
@@ -81,7 +81,7 @@
         // No change is notified when an upstream's pause after a failure ends, so the state is also
         // polled.
         let poll_ms = (until - now).min(Millis(50));
-        within(poll_ms, change).await;
+        with_timeout(poll_ms, change).await;
     }
 }
 
@@ -118,7 +118,7 @@
             log.summary.turn_ms += now.since(began_at);
             return Some(upstream);
         }
-        within(TURN_POLL_MS, change).await;
+        with_timeout(TURN_POLL_MS, change).await;
         if is_fresh {
             host.request_sync();
         }
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -107,7 +107,7 @@
     ///
     /// Returns why there is no complete answer within `timeout_ms`.
     pub async fn call(&self, call: &Call<'_>, timeout_ms: Millis) -> Result<CallAnswer, CallError> {
-        within(timeout_ms, self.exchange(call))
+        with_timeout(timeout_ms, self.exchange(call))
             .await
             .unwrap_or(Err(CallError::TimedOut))
     }
@@ -192,7 +192,7 @@
 }
 
 /// Runs a future with a time-out. Drops it and returns `None` if the time-out passes first.
-pub async fn within<T>(timeout_ms: Millis, future: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(timeout_ms: Millis, future: impl Future<Output = T>) -> Option<T> {
     let timer = async {
         Timer::after(timeout_ms.to_duration()).await;
         None
