--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,7 +1,7 @@
 //! A pool of idle connections to upstreams.
 
 use crate::http1::Connection;
-use crate::http1::client::open;
+use crate::http1::client::connect;
 use crate::prelude::*;
 use futures_lite::future::poll_once;
 use smol::net::TcpStream;
@@ -74,7 +74,7 @@
     /// Returns why it cannot be opened.
     pub async fn open(&self, address: SocketAddr) -> std::io::Result<UpstreamConnection> {
         Ok(UpstreamConnection {
-            io: open(address).await?,
+            io: connect(address).await?,
             is_reused: false,
             ends_after_answer: false,
         })
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -116,7 +116,7 @@
         let pooled = self.idle.borrow_mut().pop();
         let mut connection = match pooled {
             Some(connection) => connection,
-            None => open(self.address)
+            None => connect(self.address)
                 .await
                 .map_err(|source| CallError::Connect { source })?,
         };
@@ -170,7 +170,7 @@
 /// # Errors
 ///
 /// Returns the error of the socket.
-pub async fn open(address: SocketAddr) -> std::io::Result<Connection<TcpStream>> {
+pub async fn connect(address: SocketAddr) -> std::io::Result<Connection<TcpStream>> {
     let stream = TcpStream::connect(address).await?;
     set_socket_options(&stream)?;
     Ok(Connection::new(stream))
