--- a/src/attempt/message.rs
+++ b/src/attempt/message.rs
@@ -94,8 +94,8 @@
     pub address: SocketAddr,
     /// Whether the attempt may use an idle connection.
     pub connection: ConnectionChoice,
-    /// The time after which the attempt must not start any more, because the host was paused since
-    /// it was decided.
+    /// The latest time at which the attempt may start. If that time has passed, the host was paused
+    /// since it chose the upstream, and the attempt must not start.
     pub begin_by: Millis,
     /// The time at which the request's deadline passes.
     pub deadline_at: Millis,
--- a/src/attempt/stream_validator.rs
+++ b/src/attempt/stream_validator.rs
@@ -29,7 +29,7 @@
     error: Option<serde_json::Value>,
 }
 
-/// The validation of one streamed answer, over all connections by which it is received.
+/// The state of validating one streamed answer, over all connections by which it is received.
 #[derive(Clone, Debug)]
 pub struct StreamValidator {
     id: Name,
@@ -39,7 +39,7 @@
 }
 
 impl StreamValidator {
-    /// Creates the validation of an answer. Its chunks must carry `id`, which names the attempt.
+    /// Creates a validator. All chunks of the answer must carry `id`, which names the attempt.
     pub fn new(id: Name) -> Self {
         Self {
             id,
@@ -59,7 +59,7 @@
         self.buffer.clear();
     }
 
-    /// Adds received bytes of the answer.
+    /// Adds bytes of the answer as they are received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
--- a/src/http1/tests.rs
+++ b/src/http1/tests.rs
@@ -10,7 +10,7 @@
 
 fn parse(head: &str) -> Result<RequestHead, HeadError> {
     let parsed = RequestHead::parse(head.as_bytes(), 16 << 10)?;
-    Ok(parsed.expect("the head is whole").0)
+    Ok(parsed.expect("the head is complete").0)
 }
 
 fn read_body(
@@ -62,7 +62,7 @@
 #[test]
 fn hop_by_hop_headers_and_those_named_by_connection_are_removed() {
     let head = "GET /a/ HTTP/1.1\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-End: 2\r\n\r\n";
-    let mut headers = parse(head).expect("the head is proper").headers;
+    let mut headers = parse(head).expect("the head is valid").headers;
     headers.remove_hop_by_hop();
     let mut written = Vec::new();
     headers.write(&mut written);
@@ -87,7 +87,7 @@
 #[test]
 fn a_chunked_body_is_decoded_and_later_bytes_stay_buffered() {
     let mut from = connection(b"3\r\nabc\r\n2;x=1\r\nde\r\n0\r\nTrailer: 1\r\n\r\nrest");
-    let body = read_body(Framing::Chunked, &mut from).expect("a whole body");
+    let body = read_body(Framing::Chunked, &mut from).expect("a complete body");
     assert_eq!(body, b"abcde");
     assert!(from.has_buffered_bytes());
 }
--- a/src/shared_log/checkpoint.rs
+++ b/src/shared_log/checkpoint.rs
@@ -2,8 +2,8 @@
 //! the record that it needs next, because that record was trimmed.
 //!
 //! A checkpoint is a sequence of parts on the log, all by one writer and of the state at one
-//! offset. The shared state records which checkpoints are complete, but not their text. A [`CheckpointScan`]
-//! reads the log and joins the text of the parts.
+//! offset. The shared state records which checkpoints are complete, but not their text. A
+//! [`CheckpointScan`] reads the log and joins the text of the parts.
 
 use crate::prelude::*;
 use crate::shared_log::codec::{DecodeError, decode};
--- a/src/shared_log/codec.rs
+++ b/src/shared_log/codec.rs
@@ -60,7 +60,7 @@
 /// # Errors
 ///
 /// Returns [`DecodeError::Newer`] for a newer format, which a host must not skip, and
-/// [`DecodeError::Garbage`] for an invalid record, which every host skips.
+/// [`DecodeError::Undecodable`] for an invalid record, which every host skips.
 pub fn decode(text: &str) -> Result<Record, DecodeError> {
     let envelope: Envelope = serde_json::from_str(text).map_err(undecodable)?;
     if envelope.format > RECORD_FORMAT {
--- a/src/shared_log/fold.rs
+++ b/src/shared_log/fold.rs
@@ -30,7 +30,7 @@
     pub checkpoints: Checkpoints,
 }
 
-/// An applied record with its verdict; a rejected or duplicate one had no effect.
+/// An applied record with its verdict; only an accepted one took effect.
 #[derive(Clone, Debug)]
 pub struct Applied {
     /// The offset of the record.
--- a/src/table/mod.rs
+++ b/src/table/mod.rs
@@ -47,8 +47,7 @@
     pub rows: IndexMap<RowKey, Versioned<Row>>,
     /// The limits on loads from the weight store.
     pub store: Versioned<StoreLimits>,
-    /// The offset of the removal of each entry removed last, by [`change_name`], to detect
-    /// conflicts.
+    /// The offsets of the latest removals of entries, by [`change_name`], to detect conflicts.
     removed: IndexMap<Name, Offset>,
     /// The latest accepted and rejected edits, oldest first.
     pub history: VecDeque<HistoryLine>,
