--- a/src/attempt/tests.rs
+++ b/src/attempt/tests.rs
@@ -1,6 +1,8 @@
-//! Tests of streamed answers: whole, in order, and the attempt's own, or broken.
+//! Tests of the validation of answers: only complete answers of the attempt, in order, are valid.
 
-use crate::attempt::events::{AnswerEvents, MAX_EVENT_BYTES, StreamStep, is_own_whole_answer};
+use crate::attempt::stream_validator::{
+    MAX_EVENT_BYTES, StreamStep, StreamValidator, is_complete_own_answer,
+};
 use arbtest::arbtest;
 
 const DONE: &[u8] = b"data: [DONE]\n\n";
@@ -14,7 +16,7 @@
     format!("data: {{\"id\":\"{id}\",\"index\":{index}{finish}}}\n\n").into_bytes()
 }
 
-fn steps(events: &mut AnswerEvents, bytes: &[u8]) -> Vec<StreamStep> {
+fn steps(events: &mut StreamValidator, bytes: &[u8]) -> Vec<StreamStep> {
     events.push(bytes);
     std::iter::from_fn(|| events.next_step()).collect()
 }
@@ -32,10 +34,10 @@
 }
 
 #[test]
-fn a_whole_answer_passes_however_its_bytes_are_cut_and_repeated() {
+fn a_complete_answer_passes_for_any_split_and_repetition_of_its_bytes() {
     arbtest(|u| {
         let bytes = answer(6);
-        let mut events = AnswerEvents::new("r".into());
+        let mut events = StreamValidator::new("r".into());
         let mut passed = Vec::new();
         let mut from = 0;
         let mut ended = false;
@@ -53,8 +55,8 @@
             }
             from += count;
             if !u.is_empty() && u.ratio(1, 5)? && !ended {
-                // Another connection goes on from the position, or from some tokens before it.
-                events.restart();
+                // Another connection resumes at the next chunk, or up to 2 chunks before it.
+                events.discard_partial_event();
                 let back = events.next_index().saturating_sub(u.int_in_range(0..=2)?);
                 from = (0..back).map(|index| chunk("r", index, false).len()).sum();
             }
@@ -67,16 +69,16 @@
 }
 
 #[test]
-fn chunks_of_another_request_break_the_answer() {
-    let mut events = AnswerEvents::new("r".into());
+fn a_chunk_of_another_request_makes_the_answer_invalid() {
+    let mut events = StreamValidator::new("r".into());
     assert_eq!(steps(&mut events, &chunk("r", 0, false)).len(), 1);
     assert!(is_broken(&steps(&mut events, &chunk("q", 1, false))));
 }
 
 #[test]
-fn a_gap_an_early_end_and_an_error_break_the_answer() {
+fn a_missing_chunk_an_early_end_mark_and_an_error_make_the_answer_invalid() {
     let broken = |bytes: &[u8]| {
-        let mut events = AnswerEvents::new("r".into());
+        let mut events = StreamValidator::new("r".into());
         is_broken(&steps(&mut events, bytes))
     };
     assert!(broken(&chunk("r", 1, false)));
@@ -87,9 +89,9 @@
 }
 
 #[test]
-fn a_whole_answer_is_complete_json_of_its_own_request() {
-    assert!(is_own_whole_answer("r", br#"{"id":"r"}"#));
-    assert!(is_own_whole_answer("r", br#"{"answer":1}"#));
-    assert!(!is_own_whole_answer("r", br#"{"id":"q"}"#));
-    assert!(!is_own_whole_answer("r", br#"{"id":"r""#));
+fn an_answer_must_be_complete_json_of_its_own_request() {
+    assert!(is_complete_own_answer("r", br#"{"id":"r"}"#));
+    assert!(is_complete_own_answer("r", br#"{"answer":1}"#));
+    assert!(!is_complete_own_answer("r", br#"{"id":"q"}"#));
+    assert!(!is_complete_own_answer("r", br#"{"id":"r""#));
 }
--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -6,7 +6,7 @@
 //! `docs/design/at-most-once.md`.
 
 use crate::attempt::message::RequestId;
-use crate::attempt::requests::{HeldRequest, Phase};
+use crate::attempt::requests::{Phase, TrackedRequest};
 use crate::daemon::node::Node;
 use crate::idempotency::claims::Claim;
 use crate::idempotency::finished::kept_state;
@@ -186,7 +186,7 @@
             return;
         };
         let sha256 = claim.request_sha256.clone();
-        let follows = |request: &&HeldRequest| {
+        let follows = |request: &&TrackedRequest| {
             matches!(request.phase, Phase::Following { .. })
                 && request.operation.as_ref() == Some(operation)
                 && request.head.request_sha256 == sha256
@@ -222,11 +222,11 @@
         if !self.pending_claims.note_host(self.config.me) {
             return;
         }
-        let is_pending = |request: &&HeldRequest| {
+        let is_pending = |request: &&TrackedRequest| {
             matches!(request.phase, Phase::Claiming | Phase::Releasing { .. })
         };
         let requests = self.requests.iter().filter(is_pending);
-        let pending: Vec<HeldRequest> = requests.cloned().collect();
+        let pending: Vec<TrackedRequest> = requests.cloned().collect();
         for request in pending {
             let id = request.head.id;
             if matches!(request.phase, Phase::Releasing { .. }) {
@@ -317,7 +317,7 @@
 
     /// Returns whether a request holds the claim of its operation: the claim is applied and has not
     /// ended.
-    pub fn holds_claim(&self, request: &HeldRequest) -> bool {
+    pub fn holds_claim(&self, request: &TrackedRequest) -> bool {
         let Some(operation) = &request.operation else {
             return false;
         };
@@ -355,7 +355,7 @@
 
     /// Ends the claim of a request that is removed: as not run while the request waits, as unknown
     /// if it runs without an answer.
-    pub fn settle_operation(&mut self, now: Millis, request: &HeldRequest) {
+    pub fn settle_operation(&mut self, now: Millis, request: &TrackedRequest) {
         let Some(operation) = &request.operation else {
             return;
         };
@@ -382,7 +382,7 @@
 
     /// Returns whether this host may run a request: it has no operation, or the replicated state
     /// has this host's claim without an outcome.
-    pub fn may_run(&self, request: &HeldRequest) -> bool {
+    pub fn may_run(&self, request: &TrackedRequest) -> bool {
         let Some(operation) = &request.operation else {
             return true;
         };
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -1,7 +1,7 @@
 //! Dispatch of waiting requests to upstreams: which request is sent next, and to which upstream.
 
 use crate::attempt::message::{Attempt, ConnectionChoice, Repeatable, RequestId};
-use crate::attempt::requests::{HeldRequest, MAX_FAILURES, Phase};
+use crate::attempt::requests::{MAX_FAILURES, Phase, TrackedRequest};
 use crate::daemon::node::Node;
 use crate::daemon::request_flow::RETRY_AFTER_MS;
 use crate::placement::copies::CopyState;
@@ -161,7 +161,7 @@
     /// Returns how long to wait for the first byte: the bound for the upstream, doubled for each
     /// failed attempt of the request, but not beyond the deadline. A request that must not run
     /// twice waits until its deadline.
-    fn first_byte_bound(&self, request: &HeldRequest, upstream: &Name) -> Millis {
+    fn first_byte_bound(&self, request: &TrackedRequest, upstream: &Name) -> Millis {
         let to_deadline_ms = request.deadline_at.since(request.phase_since);
         if request.head.repeatable == Repeatable::No {
             // The request cannot be retried, so a timeout before the deadline would only replace a
--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -4,8 +4,8 @@
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
 use crate::table::MAX_CHANGES;
-use crate::table::acceptance::{CallId, refusal};
 use crate::table::message::Edit;
+use crate::table::pending_edits::{CallId, refusal};
 
 /// The retry time in refusals of edits.
 const EDIT_RETRY_AFTER_MS: Millis = Millis(1_000);
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -3,9 +3,9 @@
 
 use crate::daemon::node::{Life, Node};
 use crate::prelude::*;
-use crate::shared_log::checkpoint::{Scan, ScanStep, parts_of};
+use crate::shared_log::checkpoint::{CheckpointScan, ScanOutcome, split_into_parts};
 use crate::shared_log::driver::{LogCallError, LogPage};
-use crate::shared_log::fold::{Applied, Shared, Step};
+use crate::shared_log::fold::{Applied, ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
 
 /// Most applied records that are kept for requests of peers.
@@ -69,7 +69,7 @@
     pub fn on_log_read_failed(&mut self, now: Millis, error: &LogCallError) {
         if let LogCallError::Trimmed(oldest) = error {
             self.start_scan(*oldest);
-            self.driver.on_page_unused();
+            self.driver.on_page_discarded();
             return;
         }
         self.driver.on_read_failed(now);
@@ -78,7 +78,7 @@
     fn start_scan(&mut self, oldest: Offset) {
         let wanted = self.shared.next_offset;
         LogEvent::LogTrimmed.write(&format!("wanted={wanted} oldest={oldest}"));
-        self.scan = Some(Scan::new(oldest));
+        self.scan = Some(CheckpointScan::new(oldest));
     }
 
     /// Starts a search for a checkpoint if a record could not be applied because earlier ones are
@@ -91,21 +91,21 @@
 
     /// Passes the records of a page to the search for a checkpoint.
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
-        self.driver.on_page_unused();
+        self.driver.on_page_discarded();
         for logged in &page.records {
             let Some(scan) = &mut self.scan else {
                 return;
             };
-            match scan.take(logged) {
-                ScanStep::More => {}
-                ScanStep::Whole(shared) => self.replace_state(*shared, fx),
-                ScanStep::Newer { format } => self.halt(logged.offset, format),
+            match scan.read_record(logged) {
+                ScanOutcome::Continue => {}
+                ScanOutcome::Complete(shared) => self.replace_state(*shared, fx),
+                ScanOutcome::Newer { format } => self.halt(logged.offset, format),
             }
         }
     }
 
     /// Replaces the replicated state by that of a checkpoint, unless the present one is newer.
-    fn replace_state(&mut self, shared: Shared, fx: &mut Effects) {
+    fn replace_state(&mut self, shared: SharedState, fx: &mut Effects) {
         self.scan = None;
         if shared.next_offset < self.shared.next_offset {
             return;
@@ -144,7 +144,7 @@
     }
 
     fn write_checkpoint(&mut self) {
-        let Ok(parts) = parts_of(&self.shared) else {
+        let Ok(parts) = split_into_parts(&self.shared) else {
             return;
         };
         let as_of = self.shared.next_offset;
@@ -163,7 +163,7 @@
             }
         }
         self.freshness.on_applied(self.shared.next_offset);
-        let reached = |scan: &Scan| self.shared.next_offset >= scan.from();
+        let reached = |scan: &CheckpointScan| self.shared.next_offset >= scan.from();
         if self.scan.as_ref().is_some_and(reached) {
             self.scan = None;
         }
@@ -171,14 +171,14 @@
 
     fn apply_logged(&mut self, now: Millis, logged: &LoggedRecord, fx: &mut Effects) -> NextRecord {
         match self.shared.apply_logged(logged) {
-            Step::Known => return NextRecord::Apply,
-            Step::Gap => return NextRecord::Stop,
-            Step::Newer { format } => {
+            ApplyOutcome::AlreadyApplied => return NextRecord::Apply,
+            ApplyOutcome::Gap => return NextRecord::Stop,
+            ApplyOutcome::Newer { format } => {
                 self.halt(logged.offset, format);
                 return NextRecord::Stop;
             }
-            Step::Applied(applied) => self.after_applied(now, &applied, fx),
-            Step::Garbage { why } => {
+            ApplyOutcome::Applied(applied) => self.after_applied(now, &applied, fx),
+            ApplyOutcome::Undecodable { why } => {
                 LogEvent::RecordUndecodable.write(&format!("offset={} {why}", logged.offset));
             }
         }
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -15,11 +15,11 @@
 use crate::placement::policy::keep_warm::KeepWarmRule;
 use crate::prelude::*;
 use crate::routing::upstreams::Routing;
-use crate::shared_log::checkpoint::Scan;
+use crate::shared_log::checkpoint::CheckpointScan;
 use crate::shared_log::driver::Driver;
-use crate::shared_log::fold::Shared;
+use crate::shared_log::fold::SharedState;
 use crate::shared_log::record::LoggedRecord;
-use crate::table::acceptance::Acceptance;
+use crate::table::pending_edits::PendingEdits;
 use std::collections::VecDeque;
 
 /// The configuration of a [`Node`], from the settings and the start of the process.
@@ -76,11 +76,11 @@
     /// The phase of the host's lifecycle.
     pub life: Life,
     /// The replicated state, which every host derives from the shared log.
-    pub shared: Shared,
+    pub shared: SharedState,
     /// The reads of the shared log and the appends to it.
     pub driver: Driver,
     /// The search for a checkpoint, while the log no longer keeps the next record to apply.
-    pub scan: Option<Scan>,
+    pub scan: Option<CheckpointScan>,
     /// The offset of the oldest record that the log kept at the last read.
     pub log_oldest: Offset,
     /// The newest applied records, which peers may request.
@@ -92,7 +92,7 @@
     /// The marks of upstreams that are leaving.
     pub leaving: Leaving,
     /// The edits of the table that operators wait for.
-    pub acceptance: Acceptance,
+    pub acceptance: PendingEdits,
     /// The orders to engines that this host executes.
     pub executor: Executor,
     /// What this host observed of each upstream.
@@ -122,7 +122,7 @@
     pub fn new(config: NodeConfig) -> Self {
         Self {
             life: Life::default(),
-            shared: Shared::default(),
+            shared: SharedState::default(),
             driver: Driver::new(config.me),
             scan: None,
             log_oldest: Offset(0),
@@ -134,7 +134,7 @@
                 config.probes_per_round as usize,
             ),
             leaving: Leaving::default(),
-            acceptance: Acceptance::default(),
+            acceptance: PendingEdits::default(),
             executor: Executor::default(),
             routing: Routing::default(),
             limits: ConcurrencyLimits::default(),
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -3,7 +3,7 @@
 
 use crate::entry::host::Host;
 use crate::entry::platform::{DirectoryQuery, Platform};
-use crate::http1::client::{prepare, within};
+use crate::http1::client::{set_socket_options, with_timeout};
 use crate::http1::{Connection, RequestHead};
 use crate::prelude::*;
 use futures_lite::AsyncWriteExt;
@@ -62,12 +62,12 @@
 }
 
 async fn serve_connection<P: Platform>(host: &Host<P>, stream: TcpStream, endpoint: Endpoint) {
-    if prepare(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let mut connection = Connection::new(stream);
     loop {
-        let read = within(IDLE_MS, connection.read_request_head(MAX_HEAD_BYTES)).await;
+        let read = with_timeout(IDLE_MS, connection.read_request_head(MAX_HEAD_BYTES)).await;
         let Some(Ok(Some(head))) = read else { return };
         let reply = reply(host, &head, endpoint);
         let closes = !head.keep_alive || host.is_stopping();
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -15,7 +15,7 @@
     TableLine, UpstreamList, activate_desired_state, apply_list, apply_row, apply_table,
 };
 use crate::entry::table_sources::{TableSources, serves_tables};
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::prelude::*;
 use smol::Timer;
 use std::rc::Rc;
@@ -326,7 +326,7 @@
             }
             NextStep::WaitUntil(due_at) => {
                 cursor.was_told_by_orderer = true;
-                within(due_at.since(now), update).await;
+                with_timeout(due_at.since(now), update).await;
             }
         }
     }
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -7,7 +7,7 @@
 use crate::entry::platform::{ModelRef, Platform};
 use crate::entry::table_rows;
 use crate::group::Member;
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::ordering::copy::LoadProgress;
 use crate::ordering::demand_totals::DemandTotals;
 use crate::ordering::engine_inventory::EngineInventory;
@@ -179,7 +179,7 @@
     loop {
         let want = host.next_sync_request();
         Timer::after(min_plan_interval_ms(&host).to_duration()).await;
-        within(PLAN_INTERVAL_MS, want).await;
+        with_timeout(PLAN_INTERVAL_MS, want).await;
         let now = host.now();
         if !host.is_orderer() {
             continue;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -11,7 +11,7 @@
 use crate::entry::platform::Platform;
 use crate::entry::run::EntryError;
 use crate::entry::{desired_copy, lease_manager, list_copy, sync};
-use crate::http1::client::within;
+use crate::http1::client::with_timeout;
 use crate::ordering::message::{PeerCall, PeerReply};
 use crate::prelude::*;
 use quinn::{
@@ -125,7 +125,7 @@
 
     /// Calls a peer. Returns nothing when there is no answer within [`CALL_TIMEOUT_MS`].
     pub async fn call(&self, address: SocketAddr, call: &PeerCall) -> Option<PeerReply> {
-        let reply = within(CALL_TIMEOUT_MS, self.try_call(address, call))
+        let reply = with_timeout(CALL_TIMEOUT_MS, self.try_call(address, call))
             .await
             .flatten();
         if reply.is_none() {
--- a/src/placement/test_site.rs
+++ b/src/placement/test_site.rs
@@ -5,7 +5,7 @@
 use crate::placement::message::{LoadDecision, OrderOutcome};
 use crate::prelude::*;
 use crate::shared_log::codec::encode;
-use crate::shared_log::fold::{Shared, Step};
+use crate::shared_log::fold::{ApplyOutcome, SharedState};
 use crate::shared_log::record::LoggedRecord;
 use crate::table::message::{Change, Edit, Model, Row, RowKey, StoreLimits};
 
@@ -18,7 +18,7 @@
 /// A log, the state derived from it, and the log's clock.
 #[derive(Clone, Debug, Default)]
 pub struct TestLog {
-    pub shared: Shared,
+    pub shared: SharedState,
     pub records: Vec<LoggedRecord>,
     pub now: Millis,
     last_seq: IndexMap<Incarnation, u64>,
@@ -59,7 +59,7 @@
         };
         self.records.push(logged.clone());
         match self.shared.apply_logged(&logged) {
-            Step::Applied(applied) => applied.verdict,
+            ApplyOutcome::Applied(applied) => applied.verdict,
             other => panic!("{other:?}"),
         }
     }
--- a/src/shared_log/tests/fold.rs
+++ b/src/shared_log/tests/fold.rs
@@ -1,9 +1,10 @@
-//! The same records give the same state, and unreadable ones are met the same way everywhere.
+//! Tests of the fold: the same records give the same state however they are read, and records that
+//! cannot be decoded are handled in the same way at all hosts.
 
 use super::fake_log::{FakeHost, FakeLog, check_seeds, host_entry, put_model, text_of};
 use crate::prelude::*;
 use crate::shared_log::codec::{DecodeError, RECORD_FORMAT, decode, encode};
-use crate::shared_log::fold::{Shared, Step};
+use crate::shared_log::fold::{ApplyOutcome, SharedState};
 use arbtest::arbitrary::{Result, Unstructured};
 
 fn arbitrary_body(u: &mut Unstructured<'_>, number: usize) -> Result<RecordBody> {
@@ -31,6 +32,7 @@
     })
 }
 
+/// Returns a log with records of several hosts, some of them duplicates and some undecodable.
 fn arbitrary_log(u: &mut Unstructured<'_>) -> Result<FakeLog> {
     let mut log = FakeLog::default();
     for number in 0..u.int_in_range(1..=60usize)? {
@@ -48,8 +50,8 @@
     Ok(log)
 }
 
-fn fold_all(log: &FakeLog) -> Shared {
-    let mut shared = Shared::default();
+fn fold_all(log: &FakeLog) -> SharedState {
+    let mut shared = SharedState::default();
     for logged in &log.records {
         shared.apply_logged(logged);
     }
@@ -61,7 +63,7 @@
     check_seeds(800, 1024, |u| {
         let log = arbitrary_log(u)?;
         let whole = text_of(&fold_all(&log));
-        let mut shared = Shared::default();
+        let mut shared = SharedState::default();
         while shared.next_offset < log.end() {
             let next = shared.next_offset.0 as usize;
             let from = next - u.int_in_range(0..=next.min(5))?;
@@ -79,41 +81,47 @@
 }
 
 #[test]
-fn a_gap_is_not_applied_over() {
+fn a_record_after_a_gap_is_not_applied() {
     let mut log = FakeLog::default();
     for _ in 0..3 {
         log.append_text("garbage");
     }
-    let mut shared = Shared::default();
-    assert!(matches!(shared.apply_logged(&log.records[1]), Step::Gap));
-    assert_eq!(shared, Shared::default());
+    let mut shared = SharedState::default();
+    assert!(matches!(
+        shared.apply_logged(&log.records[1]),
+        ApplyOutcome::Gap
+    ));
+    assert_eq!(shared, SharedState::default());
 }
 
 #[test]
-fn garbage_is_passed_over() {
+fn undecodable_records_are_skipped() {
     let mut log = FakeLog::default();
     for text in ["", "null", "{}", "{\"format\":\"1\"}", "{\"format\":1}"] {
         log.append_text(text);
     }
-    let mut shared = Shared::default();
+    let mut shared = SharedState::default();
     for logged in &log.records {
-        assert!(matches!(shared.apply_logged(logged), Step::Garbage { .. }));
+        assert!(matches!(
+            shared.apply_logged(logged),
+            ApplyOutcome::Undecodable { .. }
+        ));
     }
     assert_eq!(shared.next_offset, log.end());
 }
 
 #[test]
-fn a_newer_record_stops_the_fold_before_it() {
+fn a_record_of_a_newer_format_is_not_applied() {
     let mut log = FakeLog::default();
     log.append_text(&format!("{{\"format\":{}}}", RECORD_FORMAT + 1));
-    let mut shared = Shared::default();
+    let mut shared = SharedState::default();
     let step = shared.apply_logged(&log.records[0]);
-    assert!(matches!(step, Step::Newer { format: 2 }));
-    assert_eq!(shared, Shared::default());
+    assert!(matches!(step, ApplyOutcome::Newer { format: 2 }));
+    assert_eq!(shared, SharedState::default());
 }
 
 #[test]
-fn records_survive_their_text() {
+fn records_are_equal_after_encoding_and_decoding() {
     let record = Record {
         id: RecordId {
             host: Incarnation(u64::MAX >> 1),
@@ -124,11 +132,16 @@
     let text = encode(&record).unwrap();
     assert_eq!(decode(&text), Ok(record));
     let unknown = text.replace("\"kind\":\"edit\"", "\"kind\":\"other\"");
-    assert!(matches!(decode(&unknown), Err(DecodeError::Garbage { .. })));
+    assert!(matches!(
+        decode(&unknown),
+        Err(DecodeError::Undecodable { .. })
+    ));
 }
 
+// Guards against the return of a host after its process ended, by a copy of its join record that
+// was appended late.
 #[test]
-fn a_late_copy_of_a_forgotten_host_s_join_has_no_effect() {
+fn a_late_copy_of_the_join_of_a_forgotten_host_has_no_effect() {
     let mut host = FakeHost::new(1);
     let mut log = FakeLog::default();
     let join = |seq| Record {
