--- a/src/cli/logs.rs
+++ b/src/cli/logs.rs
@@ -1,52 +1,54 @@
-//! Answers questions from the log lines of many hosts.
+//! The command `logs`, which answers questions from the log lines of many hosts.
 
 use crate::cli::exit::{CliError, Exit, FileSnafu};
 use crate::cli::options::{LogsOptions, LogsQuestion};
 use crate::cli::render::{columns, print};
-use crate::logs::{Lines, LogLine, ReadError, leases, organisations, refusals, spread};
+use crate::logs::{LogLine, LogLines, ReadError, leases, organisations, refusals, spread};
 use crate::prelude::*;
 use snafu::ResultExt;
 use std::fs::File;
 use std::io::{BufRead, BufReader, stdin};
 use std::path::{Path, PathBuf};
 
-/// Reads the lines and answers the question.
+/// Reads the log lines that the question needs and prints the answer.
 ///
 /// # Errors
 ///
-/// Returns why a file cannot be read.
+/// Returns why an input cannot be read or the output cannot be written.
 pub fn logs(options: &LogsOptions) -> Result<Exit, CliError> {
     let question = &options.question;
-    let lines = read(&options.files(), |line| wants(question, line))?;
-    if lines.passed_over > 0 {
+    let lines = read_inputs(&options.files(), |line| is_relevant(question, line))?;
+    if lines.skipped > 0 {
         eprintln!(
-            "mangovale: {} lines are no event of an entry host",
-            lines.passed_over
+            "mangovale: {} lines skipped: too long, or not a log event of an entry host",
+            lines.skipped
         );
     }
     match question {
-        LogsQuestion::Request(_) => print(&story(&lines.lines))?,
-        LogsQuestion::Leases(_) => answer(
+        LogsQuestion::Request(_) => print(&request_lines(&lines.lines))?,
+        LogsQuestion::Leases(_) => print_results(
             options.json,
-            &leases::holdings(&lines.lines),
+            &leases::lease_periods(&lines.lines),
             &LEASE_COLUMNS,
             lease_row,
         )?,
         LogsQuestion::Refusals(question) => {
-            let span_ms = Millis(u64::from(question.seconds) * 1_000);
-            let spans = refusals::spans(&lines.lines, span_ms);
-            answer(options.json, &spans, &REFUSAL_COLUMNS, refusal_row)?;
+            let interval_ms = Millis(u64::from(question.seconds) * 1_000);
+            let intervals = refusals::count_by_interval(&lines.lines, interval_ms);
+            print_results(options.json, &intervals, &REFUSAL_COLUMNS, refusal_row)?;
         }
         LogsQuestion::Organisations(_) => {
-            let asked: Vec<_> = organisations::asked(&lines.lines).into_iter().collect();
-            answer(
+            let usage: Vec<_> = organisations::usage_by_organisation(&lines.lines)
+                .into_iter()
+                .collect();
+            print_results(
                 options.json,
-                &asked,
+                &usage,
                 &ORGANISATION_COLUMNS,
                 organisation_row,
             )?;
         }
-        LogsQuestion::Spread(_) => answer(
+        LogsQuestion::Spread(_) => print_results(
             options.json,
             &spread::spreads(&lines.lines),
             &SPREAD_COLUMNS,
@@ -56,71 +58,74 @@
     Ok(Exit::Done)
 }
 
-fn wants(question: &LogsQuestion, line: &LogLine) -> bool {
+fn is_relevant(question: &LogsQuestion, line: &LogLine) -> bool {
     match question {
         LogsQuestion::Request(question) => line.request.as_deref() == Some(&*question.id),
-        LogsQuestion::Leases(_) => leases::wants(line),
-        LogsQuestion::Refusals(_) | LogsQuestion::Organisations(_) => line.is_end(),
-        LogsQuestion::Spread(_) => spread::wants(line),
+        LogsQuestion::Leases(_) => leases::is_relevant(line),
+        LogsQuestion::Refusals(_) | LogsQuestion::Organisations(_) => line.is_request_end(),
+        LogsQuestion::Spread(_) => spread::is_relevant(line),
     }
 }
 
-/// Reads all files; without one, standard input.
-fn read(files: &[PathBuf], wants: impl Fn(&LogLine) -> bool) -> Result<Lines, CliError> {
-    let mut lines = Lines::default();
+/// Reads the relevant lines of all files, or of standard input if there is no file.
+fn read_inputs(
+    files: &[PathBuf],
+    is_relevant: impl Fn(&LogLine) -> bool,
+) -> Result<LogLines, CliError> {
+    let mut lines = LogLines::default();
     if files.is_empty() {
         let input = Path::new("standard input");
-        read_one(&mut lines, &mut stdin().lock(), input, &wants)?;
+        read_input(&mut lines, &mut stdin().lock(), input, &is_relevant)?;
     }
     for path in files {
         let file = File::open(path).context(FileSnafu { path })?;
-        read_one(&mut lines, &mut BufReader::new(file), path, &wants)?;
+        read_input(&mut lines, &mut BufReader::new(file), path, &is_relevant)?;
     }
     lines.sort();
     Ok(lines)
 }
 
-fn read_one(
-    lines: &mut Lines,
+fn read_input(
+    lines: &mut LogLines,
     input: &mut impl BufRead,
     path: &Path,
-    wants: impl Fn(&LogLine) -> bool,
+    is_relevant: impl Fn(&LogLine) -> bool,
 ) -> Result<(), CliError> {
     let name = path.file_stem().unwrap_or(path.as_os_str());
     let source: Name = name.to_string_lossy().into();
     let path = path.to_owned();
-    match lines.read(input, &source, wants) {
+    match lines.read(input, &source, is_relevant) {
         Ok(()) => Ok(()),
         Err(ReadError::Input { source }) => Err(CliError::File { path, source }),
-        Err(error @ ReadError::TooMany) => Err(CliError::Content {
+        Err(error @ ReadError::TooManyLines) => Err(CliError::Content {
             path,
             why: format!("{error}; give the files of a shorter time"),
         }),
     }
 }
 
-fn answer<T: Serialize>(
+fn print_results<T: Serialize>(
     is_json: bool,
-    found: &[T],
+    results: &[T],
     header: &[&str],
     row: impl Fn(&T) -> Vec<String>,
 ) -> Result<(), CliError> {
     if is_json {
-        let lines = found
+        let lines = results
             .iter()
-            .map(|found| serde_json::json!(found).to_string() + "\n");
+            .map(|result| serde_json::json!(result).to_string() + "\n");
         return print(&lines.collect::<String>());
     }
-    let rows: Vec<Vec<String>> = found.iter().map(row).collect();
+    let rows: Vec<Vec<String>> = results.iter().map(row).collect();
     print(&columns(header, &rows))
 }
 
-/// Returns a request's lines, each with its host, by the time since the first.
-fn story(lines: &[LogLine]) -> String {
+/// Formats the lines of a request, each with its host and the time since the first line.
+fn request_lines(lines: &[LogLine]) -> String {
     let first_at = lines.first().map_or(Millis::ZERO, |first| first.at_unix_ms);
     let line = |line: &LogLine| {
-        let after = line.at_unix_ms.since(first_at);
-        format!("{:>8} ms  {}  {}\n", after.0, line.host, line.text)
+        let elapsed = line.at_unix_ms.since(first_at);
+        format!("{:>8} ms  {}  {}\n", elapsed.0, line.host, line.text)
     };
     lines.iter().map(line).collect()
 }
@@ -134,29 +139,29 @@
     "heard by",
 ];
 
-fn lease_row(holding: &leases::Holding) -> Vec<String> {
-    let held = holding.until.as_ref();
-    let held_ms = held.map(|end| end.at_unix_ms.since(holding.from_unix_ms).0);
+fn lease_row(period: &leases::LeasePeriod) -> Vec<String> {
+    let end = period.until.as_ref();
+    let held_ms = end.map(|end| end.at_unix_ms.since(period.from_unix_ms).0);
     vec![
-        holding.from_unix_ms.0.to_string(),
-        holding.host.to_string(),
+        period.from_unix_ms.0.to_string(),
+        period.host.to_string(),
         or_dash(held_ms),
-        or_dash(held.map(|end| &*end.why)),
-        or_dash(holding.gap_ms.map(|gap| gap.0)),
-        holding.heard_by.to_string(),
+        or_dash(end.map(|end| &*end.why)),
+        or_dash(period.gap_ms.map(|gap| gap.0)),
+        period.heard_by.to_string(),
     ]
 }
 
 const REFUSAL_COLUMNS: [&str; 3] = ["from", "answered", "not answered, by cause"];
 
-fn refusal_row(span: &refusals::Span) -> Vec<String> {
-    let causes = span.causes.iter();
+fn refusal_row(interval: &refusals::Interval) -> Vec<String> {
+    let causes = interval.causes.iter();
     let causes: Vec<String> = causes
         .map(|(cause, count)| format!("{count} x {cause}"))
         .collect();
     vec![
-        span.from_unix_ms.0.to_string(),
-        span.answered.to_string(),
+        interval.from_unix_ms.0.to_string(),
+        interval.answered.to_string(),
         causes.join(", "),
     ]
 }
@@ -170,14 +175,14 @@
     "hosts",
 ];
 
-fn organisation_row((name, asked): &(Name, organisations::Asked)) -> Vec<String> {
+fn organisation_row((name, usage): &(Name, organisations::OrganisationUsage)) -> Vec<String> {
     vec![
         name.to_string(),
-        asked.answered.to_string(),
-        asked.prompt_tokens.to_string(),
-        asked.limited.to_string(),
-        asked.others.to_string(),
-        asked.hosts.to_string(),
+        usage.answered.to_string(),
+        usage.prompt_tokens.to_string(),
+        usage.limited.to_string(),
+        usage.others.to_string(),
+        usage.hosts.to_string(),
     ]
 }
 
--- a/src/logs/leases.rs
+++ b/src/logs/leases.rs
@@ -1,34 +1,35 @@
-//! Who ordered loads, and from when to when.
+//! The periods in which hosts held the lease that makes a host the orderer.
 
 use crate::logs::LogLine;
 use crate::prelude::*;
 
-/// A time in which a host ordered.
+/// A period in which one host held the lease.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Holding {
-    /// The host.
+pub struct LeasePeriod {
+    /// The host that held the lease.
     pub host: Name,
-    /// When it took the lease.
+    /// When the host took the lease.
     pub from_unix_ms: Millis,
-    /// When it gave it up or lost it, and why; nothing when no line says so.
-    pub until: Option<HoldingEnd>,
-    /// How long nobody had ordered before it, as far as the lines say.
+    /// When the host gave up or lost the lease, and why; `None` if no line says so.
+    pub until: Option<LeaseEnd>,
+    /// How long no host had held the lease before; `None` if the lines do not say when the period
+    /// before ended.
     pub gap_ms: Option<Millis>,
-    /// Hosts that wrote meanwhile that another host orders than before.
+    /// The number of hosts that logged a change of the orderer before the next period began.
     pub heard_by: usize,
 }
 
-/// The end of a holding.
+/// The end of a lease period.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct HoldingEnd {
-    /// When.
+pub struct LeaseEnd {
+    /// When the lease ended.
     pub at_unix_ms: Millis,
-    /// Why.
+    /// Why it ended, as the log line gives it; empty if it gives no reason.
     pub why: Name,
 }
 
-/// Tells whether a line says something of who orders.
-pub fn wants(line: &LogLine) -> bool {
+/// Returns whether a line is about the lease or a change of the orderer.
+pub fn is_relevant(line: &LogLine) -> bool {
     let events = [
         LogEvent::LeaseTaken,
         LogEvent::LeaseEnded,
@@ -37,15 +38,15 @@
     events.iter().any(|event| line.is(*event))
 }
 
-/// Returns the holdings in the order of their times, from lines in that order.
-pub fn holdings(lines: &[LogLine]) -> Vec<Holding> {
-    let mut holdings: Vec<Holding> = Vec::new();
-    let mut heard: IndexSet<Name> = IndexSet::new();
+/// Returns the lease periods in the order of their beginnings. The lines must be sorted by time.
+pub fn lease_periods(lines: &[LogLine]) -> Vec<LeasePeriod> {
+    let mut periods: Vec<LeasePeriod> = Vec::new();
+    let mut observers: IndexSet<Name> = IndexSet::new();
     for line in lines {
         if line.is(LogEvent::LeaseTaken) {
-            let last_end = holdings.last().and_then(|last| last.until.as_ref());
-            heard.clear();
-            holdings.push(Holding {
+            let last_end = periods.last().and_then(|last| last.until.as_ref());
+            observers.clear();
+            periods.push(LeasePeriod {
                 host: line.host.clone(),
                 from_unix_ms: line.at_unix_ms,
                 until: None,
@@ -53,20 +54,20 @@
                 heard_by: 0,
             });
         } else if line.is(LogEvent::LeaseEnded) {
-            end(&mut holdings, line);
-        } else if let Some(last) = holdings.last_mut() {
-            heard.insert(line.host.clone());
-            last.heard_by = heard.len();
+            end_period(&mut periods, line);
+        } else if let Some(last) = periods.last_mut() {
+            observers.insert(line.host.clone());
+            last.heard_by = observers.len();
         }
     }
-    holdings
+    periods
 }
 
-fn end(holdings: &mut [Holding], line: &LogLine) {
-    let mut own = holdings.iter_mut().rev();
-    let open = own.find(|holding| holding.host == line.host && holding.until.is_none());
+fn end_period(periods: &mut [LeasePeriod], line: &LogLine) {
+    let mut newest_first = periods.iter_mut().rev();
+    let open = newest_first.find(|period| period.host == line.host && period.until.is_none());
     if let Some(open) = open {
-        open.until = Some(HoldingEnd {
+        open.until = Some(LeaseEnd {
             at_unix_ms: line.at_unix_ms,
             why: line.why.clone().unwrap_or_else(|| "".into()),
         });
--- a/src/logs/line.rs
+++ b/src/logs/line.rs
@@ -1,48 +1,51 @@
-//! One line of an entry host's log, and reading many.
+//! Parses the log lines of entry hosts and reads them from files.
 
 use crate::prelude::*;
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::io::BufRead;
 
-/// The longest line; one that is longer is passed over.
+/// The longest line that is read. A longer one is cut off, and skipped because its JSON object is
+/// incomplete.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// Most lines that are kept at once; what comes after them is refused, so that a whole day's logs are cut up before.
+/// The most lines that are kept in memory. More is an error, so that the logs of a whole day have
+/// to be split first.
 const MAX_LINES: usize = 20_000_000;
 
-/// What the questions need of a line; the rest stays in its text.
+/// The fields of a log line that the questions need; all others are only in its text.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct LogLine {
-    /// When it was written.
+    /// When the line was written.
     pub at_unix_ms: Millis,
-    /// The event's number.
+    /// The number of the event, as in [`LogEvent`].
     pub event: u16,
-    /// The event's name.
+    /// The name of the event, as in [`LogEvent`].
     pub name: Name,
-    /// The host that wrote it: what stands before the line, else the name of its file.
+    /// The host that wrote the line: the last word before the JSON object, or the name of the file
+    /// without its extension if there is none.
     #[serde(skip, default = "unnamed")]
     pub host: Name,
-    /// The whole line.
+    /// The JSON object as it was read.
     #[serde(skip, default = "unnamed")]
     pub text: Name,
-    /// The request.
+    /// The id of the request that the event is about.
     #[serde(default)]
     pub request: Option<Name>,
-    /// The organisation of the request.
+    /// The organisation that sent the request.
     #[serde(default)]
     pub organisation: Option<Name>,
-    /// The status that the caller got.
+    /// The HTTP status of the answer to the caller.
     #[serde(default)]
     pub status: Option<u16>,
-    /// Why.
+    /// The cause of the event, such as an error kind.
     #[serde(default)]
     pub why: Option<Name>,
-    /// The length of the request's prompt.
+    /// The length of the request's prompt in tokens; 0 if the line does not give it.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// The version of the desired state.
+    /// The version of the desired state that the host put in force.
     #[serde(default)]
     pub version: Option<u64>,
-    /// The host that orders.
+    /// The host that is the orderer.
     #[serde(default)]
     pub orderer: Option<Name>,
 }
@@ -51,44 +54,45 @@
     "".into()
 }
 
-/// Why a line cannot be used.
+/// Why a line cannot be parsed.
 #[derive(Debug, Snafu)]
 pub enum LineError {
-    /// It has no object.
-    #[snafu(display("there is no JSON object in it"))]
-    NoObject,
-    /// Its object is none of an event.
-    #[snafu(display("it is no event: {source}"))]
-    NoEvent {
-        /// Why.
+    /// The line contains no JSON object.
+    #[snafu(display("the line contains no JSON object"))]
+    NoJsonObject,
+    /// The JSON object is not a log event.
+    #[snafu(display("the JSON object is not a log event: {source}"))]
+    NotAnEvent {
+        /// What the JSON parser reports.
         source: serde_json::Error,
     },
 }
 
-/// Why lines cannot be read.
+/// Why an input cannot be read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The input failed.
+    /// Reading from the input failed.
     #[snafu(display("{source}"))]
     Input {
-        /// Why.
+        /// What the operating system reports.
         source: std::io::Error,
     },
-    /// There are too many.
+    /// The input has more lines of interest than are kept in memory.
     #[snafu(display("there are more than {MAX_LINES} lines"))]
-    TooMany,
+    TooManyLines,
 }
 
 impl LogLine {
-    /// Reads a line. A collector may have put something before the object, whose last part names the host; else `source` does.
+    /// Parses a line. If a log collector has put text before the JSON object, the last word of that
+    /// text is the host's name; otherwise `source` is.
     ///
     /// # Errors
     ///
-    /// Returns why it is no event.
-    pub fn read(text: &str, source: &Name) -> Result<Self, LineError> {
-        let start = text.find('{').context(NoObjectSnafu)?;
+    /// Returns why the line is not a log event.
+    pub fn parse(text: &str, source: &Name) -> Result<Self, LineError> {
+        let start = text.find('{').context(NoJsonObjectSnafu)?;
         let (before, object) = text.split_at(start);
-        let line: Self = serde_json::from_str(object).context(NoEventSnafu)?;
+        let line: Self = serde_json::from_str(object).context(NotAnEventSnafu)?;
         let host = before.split_whitespace().next_back();
         Ok(Self {
             host: host.map_or_else(|| source.clone(), Name::from),
@@ -97,8 +101,8 @@
         })
     }
 
-    /// Tells whether it says how a request ended.
-    pub fn is_end(&self) -> bool {
+    /// Returns whether the line says how a request ended.
+    pub fn is_request_end(&self) -> bool {
         let ends = [
             LogEvent::RequestRefused,
             LogEvent::RequestAnswered,
@@ -108,32 +112,32 @@
         ends.iter().any(|event| self.is(*event))
     }
 
-    /// Tells whether it is of an event.
+    /// Returns whether the line is of the given event.
     pub fn is(&self, event: LogEvent) -> bool {
         self.event == event as u16
     }
 }
 
-/// Lines of all hosts, and how much of the input was none.
+/// The log lines of all inputs, and how many lines were skipped.
 #[derive(Debug, Default)]
-pub struct Lines {
-    /// The lines; in the order of their times once all were read.
+pub struct LogLines {
+    /// The lines that were kept; in the order of their times after [`LogLines::sort`].
     pub lines: Vec<LogLine>,
-    /// Lines that are no event, or too long.
-    pub passed_over: usize,
+    /// The lines that were not a log event, or too long.
+    pub skipped: usize,
 }
 
-impl Lines {
-    /// Reads an input to its end, and keeps the lines that are wanted.
+impl LogLines {
+    /// Reads an input to its end, and keeps the lines for which `is_relevant` returns true.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be read.
+    /// Returns why the input cannot be read, or that it has too many such lines.
     pub fn read(
         &mut self,
         input: &mut impl BufRead,
         source: &Name,
-        wants: impl Fn(&LogLine) -> bool,
+        is_relevant: impl Fn(&LogLine) -> bool,
     ) -> Result<(), ReadError> {
         let mut bytes = Vec::new();
         while read_line(input, &mut bytes).context(InputSnafu)? {
@@ -141,25 +145,26 @@
             if text.trim().is_empty() {
                 continue;
             }
-            match LogLine::read(&text, source) {
-                Ok(line) if wants(&line) => self.lines.push(line),
+            match LogLine::parse(&text, source) {
+                Ok(line) if is_relevant(&line) => self.lines.push(line),
                 Ok(_) => {}
-                Err(_) => self.passed_over += 1,
+                Err(_) => self.skipped += 1,
             }
             if self.lines.len() > MAX_LINES {
-                return TooManySnafu.fail();
+                return TooManyLinesSnafu.fail();
             }
         }
         Ok(())
     }
 
-    /// Puts the lines in the order of their times.
+    /// Sorts the lines by time; lines of the same millisecond keep their order.
     pub fn sort(&mut self) {
         self.lines.sort_by_key(|line| line.at_unix_ms);
     }
 }
 
-/// Reads a line without its end, cut at the longest one's length. Returns false at the end of the input.
+/// Reads a line without its line feed into `line`, cut off at [`MAX_LINE_BYTES`]. Returns false at
+/// the end of the input.
 fn read_line(input: &mut impl BufRead, line: &mut Vec<u8>) -> std::io::Result<bool> {
     line.clear();
     let mut has_read = false;
@@ -170,11 +175,11 @@
         }
         has_read = true;
         let end = buffer.iter().position(|byte| *byte == b'\n');
-        let taken = &buffer[..end.unwrap_or(buffer.len())];
-        let room = MAX_LINE_BYTES.saturating_sub(line.len());
-        line.extend_from_slice(&taken[..taken.len().min(room)]);
-        let used = end.map_or(buffer.len(), |end| end + 1);
-        input.consume(used);
+        let piece = &buffer[..end.unwrap_or(buffer.len())];
+        let remaining_bytes = MAX_LINE_BYTES.saturating_sub(line.len());
+        line.extend_from_slice(&piece[..piece.len().min(remaining_bytes)]);
+        let consumed_bytes = end.map_or(buffer.len(), |end| end + 1);
+        input.consume(consumed_bytes);
         if end.is_some() {
             return Ok(true);
         }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,7 +1,9 @@
-//! The log lines of many hosts, read together: the story of a request, who ordered when, refusals by cause, what
-//! organisations asked, and how long a desired state takes to all hosts.
+//! Analysis of the log lines of many hosts: the lines of one request, the periods in which hosts
+//! held the orderer's lease, refusals by cause, usage by organisation, and how long a desired state
+//! takes to reach all hosts.
 //!
-//! Everything here works on text: [`line`] reads one line, the others answer one question each.
+//! The input is text with one JSON object a line. [`line`] reads it; each of the other modules
+//! answers one question of `mangovale logs`.
 
 pub mod leases;
 pub mod line;
@@ -12,4 +14,4 @@
 #[cfg(test)]
 mod tests;
 
-pub use line::{Lines, LogLine, ReadError};
+pub use line::{LogLine, LogLines, ReadError};
--- a/src/logs/refusals.rs
+++ b/src/logs/refusals.rs
@@ -1,16 +1,16 @@
-//! Requests that were not answered, by cause over time.
+//! The number of requests that were not answered, by cause and time interval.
 
 use crate::logs::LogLine;
 use crate::prelude::*;
 
-/// Requests that ended in a span of time.
+/// The requests that ended in one interval of time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Span {
-    /// Its beginning.
+pub struct Interval {
+    /// The beginning of the interval, a multiple of its length.
     pub from_unix_ms: Millis,
-    /// Requests that were answered.
+    /// The number of requests that were answered.
     pub answered: usize,
-    /// The others by status and cause.
+    /// The number of requests that were not answered, by cause; the most frequent cause first.
     pub causes: IndexMap<Cause, usize>,
 }
 
@@ -18,9 +18,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(into = "String")]
 pub struct Cause {
-    /// The status that its caller got; zero when the caller left.
+    /// The HTTP status of the answer to the caller; 0 if the line gives none, as when the caller
+    /// disconnected.
     pub status: u16,
-    /// Why.
+    /// The cause as the log line gives it, such as an error kind.
     pub why: Name,
 }
 
@@ -36,37 +37,39 @@
     }
 }
 
-/// Returns spans in the order of their times; those in which no request ended are left out.
-pub fn spans(lines: &[LogLine], span_ms: Millis) -> Vec<Span> {
-    let span_ms = span_ms.0.max(1);
-    let mut spans: IndexMap<u64, Span> = IndexMap::new();
-    for line in lines.iter().filter(|line| line.is_end()) {
-        let nth = line.at_unix_ms.0 / span_ms;
-        let span = spans.entry(nth).or_insert_with(|| Span {
-            from_unix_ms: Millis(nth * span_ms),
+/// Counts the requests that ended, by intervals of `interval_ms`, in the order of time. Intervals
+/// in which no request ended are left out.
+pub fn count_by_interval(lines: &[LogLine], interval_ms: Millis) -> Vec<Interval> {
+    let interval_ms = interval_ms.0.max(1);
+    let mut intervals: IndexMap<u64, Interval> = IndexMap::new();
+    for line in lines.iter().filter(|line| line.is_request_end()) {
+        let index = line.at_unix_ms.0 / interval_ms;
+        let interval = intervals.entry(index).or_insert_with(|| Interval {
+            from_unix_ms: Millis(index * interval_ms),
             answered: 0,
             causes: IndexMap::new(),
         });
         match line.is(LogEvent::RequestAnswered) {
-            true => span.answered += 1,
-            false => *span.causes.entry(cause(line)).or_default() += 1,
+            true => interval.answered += 1,
+            false => *interval.causes.entry(cause(line)).or_default() += 1,
         }
     }
-    spans.sort_unstable_keys();
-    spans.into_values().map(with_most_first).collect()
+    intervals.sort_unstable_keys();
+    intervals.into_values().map(sort_causes).collect()
 }
 
-fn with_most_first(mut span: Span) -> Span {
-    span.causes
+fn sort_causes(mut interval: Interval) -> Interval {
+    interval
+        .causes
         .sort_by(|a, most, b, more| more.cmp(most).then_with(|| a.cmp(b)));
-    span
+    interval
 }
 
 fn cause(line: &LogLine) -> Cause {
-    let gone = line.is(LogEvent::CallerGone);
+    let caller_gone = line.is(LogEvent::CallerGone);
     Cause {
         status: line.status.unwrap_or(0),
-        why: match (&line.why, gone) {
+        why: match (&line.why, caller_gone) {
             (Some(why), _) => why.clone(),
             (None, true) => "caller gone".into(),
             (None, false) => "not said".into(),
--- a/src/logs/spread.rs
+++ b/src/logs/spread.rs
@@ -1,51 +1,53 @@
-//! How long desired states take to all hosts.
+//! How long each version of the desired state takes to reach all hosts.
 
 use crate::logs::LogLine;
 use crate::prelude::*;
 
-/// The way of one version.
+/// How one version of the desired state spread over the hosts. A host that skipped the version has
+/// it as soon as it has a newer one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Spread {
-    /// The version.
+    /// The version of the desired state.
     pub version: u64,
-    /// When the first host took it.
+    /// When the first host had the version.
     pub first_unix_ms: Millis,
-    /// How long after that half of the hosts had it or a newer one; for a host that started meanwhile, after its start.
+    /// The time until half of the hosts had the version. The time of a host counts from
+    /// `first_unix_ms`, or from the start of its process if that was later.
     pub half_ms: Millis,
-    /// How long the last one took.
+    /// The time until the last host had the version, counted in the same way.
     pub last_ms: Millis,
-    /// The last one.
+    /// The host that took longest.
     pub last_host: Name,
-    /// Hosts that had it or a newer one.
+    /// The number of hosts that had the version.
     pub hosts: usize,
-    /// Hosts that wrote lines and had neither.
+    /// The number of hosts that logged something but never had the version.
     pub lacking: usize,
 }
 
-/// A version at a host.
+/// A version that a host took, that is, put in force.
 #[derive(Clone, Copy, Debug)]
 struct Taken {
     version: u64,
     at: Millis,
-    /// When the process started that took it.
+    /// When the host's process had started; 0 if no line says so.
     started_at: Millis,
 }
 
-/// Tells whether a line says which version a host has, or that it started.
-pub fn wants(line: &LogLine) -> bool {
+/// Returns whether a line says which version a host has, or that its process started.
+pub fn is_relevant(line: &LogLine) -> bool {
     line.is(LogEvent::DesiredTaken) || line.is(LogEvent::Started)
 }
 
-/// Returns the ways of all versions, the lowest first, from lines in the order of their times.
+/// Returns the spread of each version, the lowest first. The lines must be sorted by time.
 pub fn spreads(lines: &[LogLine]) -> Vec<Spread> {
     let mut hosts: IndexMap<&Name, Vec<Taken>> = IndexMap::new();
     let mut started_at: IndexMap<&Name, Millis> = IndexMap::new();
     for line in lines {
-        let own = hosts.entry(&line.host).or_default();
+        let versions = hosts.entry(&line.host).or_default();
         if line.is(LogEvent::Started) {
             started_at.insert(&line.host, line.at_unix_ms);
         } else if let Some(version) = line.version {
-            own.push(Taken {
+            versions.push(Taken {
                 version,
                 at: line.at_unix_ms,
                 started_at: started_at.get(&line.host).copied().unwrap_or_default(),
@@ -60,27 +62,28 @@
 }
 
 fn spread(version: u64, hosts: &IndexMap<&Name, Vec<Taken>>) -> Option<Spread> {
-    let first_of = |own: &Vec<Taken>| own.iter().find(|taken| taken.version >= version).copied();
+    // When a host first had the version or a newer one.
+    let first_of = |list: &Vec<Taken>| list.iter().find(|taken| taken.version >= version).copied();
     let firsts = hosts.values().filter_map(first_of);
     let first_at = firsts.map(|taken| taken.at).min()?;
-    let mut ways: Vec<(Millis, &Name)> = hosts
+    let mut delays: Vec<(Millis, &Name)> = hosts
         .iter()
-        .filter_map(|(host, own)| {
-            let taken = first_of(own)?;
-            let begins_at = first_at.max(taken.started_at);
-            Some((taken.at.since(begins_at), *host))
+        .filter_map(|(host, versions)| {
+            let taken = first_of(versions)?;
+            let counts_from = first_at.max(taken.started_at);
+            Some((taken.at.since(counts_from), *host))
         })
         .collect();
-    ways.sort();
-    let (half_ms, _) = ways[(ways.len() - 1) / 2];
-    let (last_ms, last_host) = ways.last()?;
+    delays.sort();
+    let (half_ms, _) = delays[(delays.len() - 1) / 2];
+    let (last_ms, last_host) = delays.last()?;
     Some(Spread {
         version,
         first_unix_ms: first_at,
         half_ms,
         last_ms: *last_ms,
         last_host: Name::clone(last_host),
-        hosts: ways.len(),
-        lacking: hosts.len() - ways.len(),
+        hosts: delays.len(),
+        lacking: hosts.len() - delays.len(),
     })
 }
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -1,19 +1,19 @@
-//! Questions that are answered from log lines.
+//! Tests of the questions that are answered from log lines.
 
-use crate::logs::leases::holdings;
-use crate::logs::organisations::asked;
-use crate::logs::refusals::spans;
+use crate::logs::leases::lease_periods;
+use crate::logs::organisations::usage_by_organisation;
+use crate::logs::refusals::count_by_interval;
 use crate::logs::spread::spreads;
-use crate::logs::{Lines, LogLine};
+use crate::logs::{LogLine, LogLines};
 use crate::prelude::*;
 use crate::test_support::seeded;
 
-fn read(text: &str) -> Lines {
-    let mut lines = Lines::default();
+fn read_lines(text: &str) -> LogLines {
+    let mut lines = LogLines::default();
     let source = Name::from("entry");
     lines
         .read(&mut text.as_bytes(), &source, |_| true)
-        .expect("memory is read");
+        .expect("reading from memory does not fail");
     lines.sort();
     lines
 }
@@ -31,30 +31,31 @@
 }
 
 #[test]
-fn a_line_names_its_host_or_comes_from_its_file() {
-    let own = line("", 5, LogEvent::Started, "");
-    let lines = read(&format!(
-        "{}{own}",
+fn the_host_is_the_word_before_the_object_or_the_source() {
+    let without_host = line("", 5, LogEvent::Started, "");
+    let lines = read_lines(&format!(
+        "{}{without_host}",
         line("day 1.5 host-7", 9, LogEvent::Started, "")
     ));
     let hosts: Vec<&str> = lines.lines.iter().map(|line| &*line.host).collect();
     assert_eq!(hosts, ["entry", "host-7"]);
 }
 
-/// Guards against a log that cannot be read for one line that was cut off, is too long or is another program's.
+/// Guards against a whole log being rejected because one line is cut off, too long or written by
+/// another program.
 #[test]
-fn what_is_no_event_is_passed_over_and_counted() {
+fn lines_that_are_not_events_are_skipped_and_counted() {
     let whole = line("h", 1, LogEvent::Started, "");
     let long = format!("{{\"event\":\"{}\"}}\n", "x".repeat(2 << 20));
-    let lines = read(&format!("{}\nwarning: disk\n\n{long}{whole}", &whole[..30]));
-    assert_eq!((lines.lines.len(), lines.passed_over), (1, 3));
+    let lines = read_lines(&format!("{}\nwarning: disk\n\n{long}{whole}", &whole[..30]));
+    assert_eq!((lines.lines.len(), lines.skipped), (1, 3));
 }
 
 #[test]
-fn any_bytes_are_read_without_a_panic() {
+fn arbitrary_bytes_are_read_without_a_panic() {
     let outcomes = seeded(200, |random| {
         let bytes: Vec<u8> = random.arbitrary()?;
-        let mut lines = Lines::default();
+        let mut lines = LogLines::default();
         let read = lines.read(&mut bytes.as_slice(), &Name::from("x"), |_| true);
         Ok(read.is_ok())
     });
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn holdings_have_their_ends_and_the_time_without_one() {
+fn lease_periods_have_their_ends_and_the_gap_before_them() {
     let text = [
         line("a", 1_000, LogEvent::LeaseTaken, ""),
         line("c", 1_400, LogEvent::OrdererChanged, "\"orderer\":\"a\""),
@@ -70,11 +71,11 @@
         line("a", 4_000, LogEvent::LeaseEnded, "\"why\":\"stop\""),
         line("b", 4_300, LogEvent::LeaseTaken, ""),
     ];
-    let holdings = holdings(&read(&text.concat()).lines);
-    let [first, second] = holdings.as_slice() else {
-        panic!("{holdings:?}");
+    let periods = lease_periods(&read_lines(&text.concat()).lines);
+    let [first, second] = periods.as_slice() else {
+        panic!("{periods:?}");
     };
-    let end = first.until.as_ref().expect("it ended");
+    let end = first.until.as_ref().expect("the first period has an end");
     assert_eq!((end.at_unix_ms, &*end.why), (Millis(4_000), "stop"));
     assert_eq!((first.gap_ms, first.heard_by), (None, 1));
     assert_eq!((&*second.host, second.gap_ms), ("b", Some(Millis(300))));
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn refusals_are_counted_by_cause_and_second() {
+fn refusals_are_counted_by_cause_and_interval() {
     let refused = |at, why: &str| {
         let more = format!("\"request\":\"r\",\"status\":503,\"why\":\"{why}\"");
         line("a", at, LogEvent::RequestRefused, &more)
@@ -94,16 +95,16 @@
         line("b", 1_950, LogEvent::RequestAnswered, "\"request\":\"s\""),
         line("b", 3_000, LogEvent::CallerGone, "\"request\":\"t\""),
     ];
-    let spans = spans(&read(&text.concat()).lines, Millis(1_000));
+    let intervals = count_by_interval(&read_lines(&text.concat()).lines, Millis(1_000));
     let causes = |n: usize| -> Vec<(String, usize)> {
-        let causes = spans[n].causes.iter();
+        let causes = intervals[n].causes.iter();
         causes
             .map(|(cause, count)| (cause.to_string(), *count))
             .collect()
     };
-    assert_eq!(spans.len(), 2);
+    assert_eq!(intervals.len(), 2);
     assert_eq!(
-        (spans[0].from_unix_ms, spans[0].answered),
+        (intervals[0].from_unix_ms, intervals[0].answered),
         (Millis(1_000), 1)
     );
     let expected = [
@@ -115,33 +116,34 @@
 }
 
 #[test]
-fn organisations_are_told_apart_by_what_became_of_their_requests() {
-    let of = |host: &str, event, name: &str, why: &str| {
+fn requests_are_counted_by_organisation_and_outcome() {
+    let request_end = |host: &str, event, name: &str, why: &str| {
         let more = format!(
             "\"organisation\":\"{name}\",\"prompt_tokens\":10,\"status\":429,\"why\":\"{why}\""
         );
         line(host, 1, event, &more)
     };
     let text = [
-        of("a", LogEvent::RequestAnswered, "north", ""),
-        of("b", LogEvent::RequestAnswered, "north", ""),
-        of("b", LogEvent::RequestRefused, "north", "rate_limited"),
-        of("b", LogEvent::RequestRefused, "south", "starting"),
+        request_end("a", LogEvent::RequestAnswered, "north", ""),
+        request_end("b", LogEvent::RequestAnswered, "north", ""),
+        request_end("b", LogEvent::RequestRefused, "north", "rate_limited"),
+        request_end("b", LogEvent::RequestRefused, "south", "starting"),
         line("b", 1, LogEvent::RequestAnswered, "\"request\":\"r\""),
     ];
-    let asked = asked(&read(&text.concat()).lines);
-    let names: Vec<&str> = asked.keys().map(|name| &**name).collect();
+    let usage = usage_by_organisation(&read_lines(&text.concat()).lines);
+    let names: Vec<&str> = usage.keys().map(|name| &**name).collect();
     assert_eq!(names, ["north", "south"]);
-    let north = &asked["north"];
+    let north = &usage["north"];
     assert_eq!((north.answered, north.prompt_tokens), (2, 20));
     assert_eq!((north.limited, north.others, north.hosts), (1, 0, 2));
-    assert_eq!(asked["south"].others, 1);
+    assert_eq!(usage["south"].others, 1);
 }
 
-/// Guards against a host that started late, or skipped a version, and counts as one that got it late.
+/// Guards against a host that started late, or skipped a version, being counted as one that got the
+/// version late.
 #[test]
-fn the_way_of_a_version_ends_with_the_last_host_that_had_it_or_a_newer_one() {
-    let taken = |host: &str, at, version: u64| {
+fn a_version_has_spread_when_the_last_host_has_it_or_a_newer_one() {
+    let desired_taken = |host: &str, at, version: u64| {
         line(
             host,
             at,
@@ -151,31 +153,31 @@
     };
     let text = [
         line("a", 0, LogEvent::Started, ""),
-        taken("a", 1_000, 4),
-        taken("b", 1_100, 4),
-        line("silent", 1_200, LogEvent::Started, ""),
-        taken("a", 2_000, 5),
-        taken("a", 2_500, 6),
-        taken("b", 2_900, 6),
+        desired_taken("a", 1_000, 4),
+        desired_taken("b", 1_100, 4),
+        line("without-version", 1_200, LogEvent::Started, ""),
+        desired_taken("a", 2_000, 5),
+        desired_taken("a", 2_500, 6),
+        desired_taken("b", 2_900, 6),
         line("late", 9_000, LogEvent::Started, ""),
-        taken("late", 9_200, 6),
+        desired_taken("late", 9_200, 6),
     ];
-    let ways = spreads(&read(&text.concat()).lines);
-    let versions: Vec<u64> = ways.iter().map(|way| way.version).collect();
+    let spreads = spreads(&read_lines(&text.concat()).lines);
+    let versions: Vec<u64> = spreads.iter().map(|spread| spread.version).collect();
     assert_eq!(versions, [4, 5, 6]);
-    let fifth = &ways[1];
+    let fifth = &spreads[1];
     assert_eq!((fifth.half_ms, fifth.last_ms), (Millis(200), Millis(900)));
     assert_eq!((&*fifth.last_host, fifth.hosts, fifth.lacking), ("b", 3, 1));
 }
 
 #[test]
-fn an_end_line_of_a_request_is_read_with_all_that_questions_need() {
+fn the_end_line_of_a_request_is_read_with_the_fields_that_questions_need() {
     let more = "\"request\":\"r1\",\"organisation\":null,\"status\":404,\"why\":\"not_found\",\"sends\":[]";
-    let lines = read(&line("a", 7, LogEvent::RequestRefused, more));
+    let lines = read_lines(&line("a", 7, LogEvent::RequestRefused, more));
     let [line]: &[LogLine] = lines.lines.as_slice() else {
         panic!("{lines:?}");
     };
-    assert!(line.is_end());
+    assert!(line.is_request_end());
     assert_eq!(
         (line.request.as_deref(), line.status),
         (Some("r1"), Some(404))
