--- a/src/bin/mangovale.rs
+++ b/src/bin/mangovale.rs
@@ -1,4 +1,4 @@
-//! The command-line tool for operators and for trying a site out.
+//! The command-line tool `mangovale`, for operators and for sending test requests.
 
 use mangovale::cli::exit::Exit;
 use mangovale::cli::options::Options;
--- a/src/bin/mangovaled.rs
+++ b/src/bin/mangovaled.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings and runs until it is stopped.
+//! The daemon `mangovaled`: reads its settings file and serves until it is stopped.
 
 use argh::FromArgs;
 use mangovale::daemon::process_log;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit codes of the daemon.
+/// The exit codes of the daemon.
 #[derive(Clone, Copy)]
 enum Exit {
     Stopped = 0,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Serve rarely used models: one entry host of a mangovale site.
+/// Serve rarely used models as one entry host of a mangovale site.
 #[derive(FromArgs)]
 #[argh(
     example = "{command_name} --settings entry-1.toml --check",
@@ -33,7 +33,7 @@
     #[argh(option, short = 's')]
     settings: PathBuf,
 
-    /// only check the settings file
+    /// check the settings file and exit
     #[argh(switch)]
     check: bool,
 }
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -1,4 +1,4 @@
-//! Calls to a host's operator interface, and the error form of all answers.
+//! HTTP client of a host's operator interface, and the JSON form of errors on all interfaces.
 
 use crate::cli::exit::{CallSnafu, CliError};
 use crate::cli::site::Site;
@@ -11,39 +11,39 @@
 use std::time::Duration;
 use trillium_client::{Client, Conn, Method};
 
-/// The longest answer that is read; a table of 54,000 models takes some 20 MB.
+/// The longest answer body that is read; a table of 54,000 models takes some 20 MB.
 const MAX_ANSWER_BYTES: u64 = 128 << 20;
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A client of one host's operator interface.
+/// An HTTP client of one host's operator interface; every call carries the operator's token.
 pub struct OperatorClient {
     client: Client,
     site: Site,
 }
 
-/// The error form of all answers.
+/// The JSON body of an answer that reports an error, on the caller and the operator interface.
 #[derive(Debug, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// What went wrong.
     pub error: ErrorFields,
 }
 
-/// The fields of an error.
+/// The fields of an error in an answer.
 #[derive(Debug, Deserialize)]
 pub struct ErrorFields {
-    /// The name of the kind; a newer host may have kinds that this release does not know.
+    /// The name of the error kind; a host of a newer release may send a kind that is unknown here.
     pub kind: String,
-    /// What happened.
+    /// What went wrong, for people.
     pub message: String,
-    /// What to do.
+    /// What to do about it, for people.
     pub advice: String,
-    /// Whether anything ran.
+    /// Whether the request certainly did not run, or may have run.
     pub ran: Ran,
-    /// Whether the same request may succeed later or at another host.
+    /// Whether the same request may succeed later, or at another host.
     pub retryable: bool,
-    /// When to come back.
+    /// How long to wait before a retry; `None` if the host does not say.
     pub retry_after_ms: Option<Millis>,
-    /// Other hosts to try.
+    /// The caller addresses of other hosts that may take the request.
     #[serde(default)]
     pub try_hosts: Vec<Name>,
 }
@@ -58,14 +58,14 @@
 
 impl From<Refusal> for CliError {
     fn from(refusal: Refusal) -> Self {
-        let line = refusal.kind.answer();
+        let defaults = refusal.kind.answer();
         Self::Refused {
             fields: Box::new(ErrorFields {
                 kind: refusal.kind.name().to_string(),
                 message: refusal.message,
-                advice: line.advice.to_string(),
+                advice: defaults.advice.to_string(),
                 ran: refusal.ran,
-                retryable: line.retryable,
+                retryable: defaults.retryable,
                 retry_after_ms: refusal.retry_after_ms,
                 try_hosts: refusal.try_hosts,
             }),
@@ -74,11 +74,12 @@
 }
 
 impl OperatorClient {
-    /// Makes a client of the site that the options or the environment name.
+    /// Creates a client for the address and token that the options or the environment give, as
+    /// [`Site::resolve`] finds them.
     ///
     /// # Errors
     ///
-    /// Returns which of the two is missing or cannot be used.
+    /// Returns whether the address or the token file is missing, or why it cannot be used.
     pub fn new(site: &Option<String>, token_file: &Option<PathBuf>) -> Result<Self, CliError> {
         Ok(Self {
             client: client(),
@@ -86,20 +87,20 @@
         })
     }
 
-    /// Reads a page and decodes it.
+    /// Gets a path and decodes the JSON answer.
     ///
     /// # Errors
     ///
-    /// Returns why no page came, the host's refusal, or why it cannot be decoded.
-    pub async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
+    /// Returns why there is no answer, the host's refusal, or why the answer cannot be decoded.
+    pub async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
         self.decode(&self.get(path).await?)
     }
 
-    /// Decodes an answer.
+    /// Decodes a JSON answer of this host.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be decoded.
+    /// Returns the host's address and why the answer cannot be decoded.
     pub fn decode<T: DeserializeOwned>(&self, text: &str) -> Result<T, CliError> {
         let decoded = serde_json::from_str(text).map_err(|error| CallError::Malformed {
             why: error.to_string(),
@@ -109,44 +110,45 @@
         })
     }
 
-    /// Reads a page.
+    /// Gets a path and returns the body of the answer.
     ///
     /// # Errors
     ///
-    /// Returns why no page came, or the host's refusal.
+    /// Returns why there is no answer, or the host's refusal.
     pub async fn get(&self, path: &str) -> Result<String, CliError> {
-        self.finish(self.build(Method::Get, path)).await
+        self.send(self.build_request(Method::Get, path)).await
     }
 
-    /// Sends a body.
+    /// Posts a JSON body to a path and returns the body of the answer.
     ///
     /// # Errors
     ///
-    /// Returns why no answer came, or the host's refusal.
+    /// Returns why there is no answer, or the host's refusal.
     pub async fn post(&self, path: &str, body: &impl Serialize) -> Result<String, CliError> {
         let text = serde_json::to_string(body).unwrap_or_default();
-        let conn = self.build(Method::Post, path);
-        self.finish(
+        let conn = self.build_request(Method::Post, path);
+        self.send(
             conn.with_request_header("content-type", "application/json")
                 .with_body(text),
         )
         .await
     }
 
-    fn build(&self, method: Method, path: &str) -> Conn {
+    fn build_request(&self, method: Method, path: &str) -> Conn {
         self.client
             .build_conn(method, format!("{}{path}", self.site.url))
             .with_request_header("authorization", format!("Bearer {}", self.site.token))
     }
 
-    async fn finish(&self, conn: Conn) -> Result<String, CliError> {
-        let answered = within(CALL_TIMEOUT, read(conn)).await;
-        let answered = answered.unwrap_or(Err(CallError::TimedOut {
+    async fn send(&self, conn: Conn) -> Result<String, CliError> {
+        let outcome = within(CALL_TIMEOUT, read_answer(conn)).await;
+        let outcome = outcome.unwrap_or(Err(CallError::TimedOut {
             limit: CALL_TIMEOUT,
         }));
         let url = &self.site.url;
-        let answer = answered.context(CallSnafu { url })?;
-        // A pending edit is refused with a status of success.
+        let answer = outcome.context(CallSnafu { url })?;
+        // The host answers a pending edit with an error body but a status of success, so the body
+        // is checked first.
         if let Ok(body) = serde_json::from_str::<ErrorBody>(&answer.text) {
             return Err(body.into());
         }
@@ -163,7 +165,7 @@
     text: String,
 }
 
-async fn read(conn: Conn) -> Result<TextAnswer, CallError> {
+async fn read_answer(conn: Conn) -> Result<TextAnswer, CallError> {
     let mut conn = conn.await.map_err(|error| call_error(&error))?;
     let status = conn.status().map_or(0, |status| status as u16);
     let text = conn
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -1,37 +1,38 @@
-//! What an edit changes in a table, line by line.
+//! Compares the entries that an edit touches with the present table, one line for each change.
 
 use crate::prelude::*;
 use crate::table::Table;
 use crate::table::message::{Change, Edit};
 use serde_json::Value;
 
-/// What becomes of one entry.
+/// How an edit changes one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiffKind {
-    /// It is new.
+    /// The entry is new.
     Added,
-    /// Some of its fields change.
+    /// The entry exists and some of its fields change.
     Changed,
-    /// It goes.
+    /// The entry is removed.
     Removed,
-    /// It stays as it is.
+    /// The entry stays as it is, or does not exist before and after.
     Unchanged,
 }
 
-/// One line of a difference.
+/// The difference of one entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DiffLine {
-    /// What becomes of the entry.
+    /// How the entry changes.
     pub kind: DiffKind,
-    /// Which entry, as `row north-firm / portfolio-review`.
+    /// The kind and name of the entry, such as `row north-firm / portfolio-review`.
     pub entry: String,
-    /// The fields that change, as `weight: 1 -> 3`.
+    /// The fields that differ, such as `weight 1 -> 3`; empty for an entry that is removed or
+    /// unchanged.
     pub fields: Vec<String>,
 }
 
 impl DiffLine {
-    /// Writes the line for people.
+    /// Formats the line for people.
     pub fn text(&self) -> String {
         let sign = match self.kind {
             DiffKind::Added => '+',
@@ -46,7 +47,8 @@
     }
 }
 
-/// Compares each entry that an edit touches with the present table.
+/// Returns one line for each change of the edit. Each is compared with `table` as it is, without
+/// the other changes.
 pub fn diff(table: &Table, edit: &Edit) -> Vec<DiffLine> {
     edit.changes
         .iter()
@@ -56,29 +58,29 @@
 
 fn diff_change(table: &Table, change: &Change) -> DiffLine {
     match change {
-        Change::PutRow { key, row } => line(row_name(change), table.row(key), Some(row)),
-        Change::RemoveRow { key } => line(row_name(change), table.row(key), None),
+        Change::PutRow { key, row } => diff_line(row_label(change), table.row(key), Some(row)),
+        Change::RemoveRow { key } => diff_line(row_label(change), table.row(key), None),
         Change::PutModel { name, model } => {
-            line(format!("model {name}"), table.model(name), Some(model))
+            diff_line(format!("model {name}"), table.model(name), Some(model))
         }
-        Change::RemoveModel { name } => line(format!("model {name}"), table.model(name), None),
-        Change::PutService { name, service } => line(
+        Change::RemoveModel { name } => diff_line(format!("model {name}"), table.model(name), None),
+        Change::PutService { name, service } => diff_line(
             format!("service {name}"),
             table.service(name),
             Some(service),
         ),
         Change::RemoveService { name } => {
-            line(format!("service {name}"), table.service(name), None)
+            diff_line(format!("service {name}"), table.service(name), None)
         }
         Change::PutBrand { name, brand } => {
             let before = table.brands.get(name).map(|brand| &brand.value);
-            line(format!("brand {name}"), before, Some(brand))
+            diff_line(format!("brand {name}"), before, Some(brand))
         }
         Change::RemoveBrand { name } => {
             let before = table.brands.get(name).map(|brand| &brand.value);
-            line(format!("brand {name}"), before, None)
+            diff_line(format!("brand {name}"), before, None)
         }
-        Change::SetStore { limits } => line(
+        Change::SetStore { limits } => diff_line(
             "weight store".to_string(),
             Some(&table.store.value),
             Some(limits),
@@ -86,7 +88,7 @@
     }
 }
 
-fn row_name(change: &Change) -> String {
+fn row_label(change: &Change) -> String {
     match change {
         Change::PutRow { key, .. } | Change::RemoveRow { key } => {
             format!("row {} / {}", key.brand, key.model)
@@ -95,7 +97,7 @@
     }
 }
 
-fn line<T: Serialize + PartialEq>(
+fn diff_line<T: Serialize + PartialEq>(
     entry: String,
     before: Option<&T>,
     after: Option<&T>,
--- a/src/cli/edit.rs
+++ b/src/cli/edit.rs
@@ -1,4 +1,4 @@
-//! Edits the table from a file of changes.
+//! The command `table edit`, which edits the table from a file of changes.
 
 use crate::cli::call::OperatorClient;
 use crate::cli::diff::{DiffLine, diff};
@@ -15,37 +15,39 @@
 use snafu::ResultExt;
 use std::path::Path;
 
-/// A file of changes.
+/// The content of a file of changes (TOML).
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditFile {
-    /// The operator's own identity of the edit.
+    /// The id by which a repeat of the edit is recognised. The option `--edit-id` takes precedence;
+    /// a random id is used if neither is given.
     pub edit_id: Option<Name>,
-    /// Who makes it.
+    /// The name of the operator who makes the edit.
     pub operator: Name,
-    /// The table version it is made from.
+    /// The table version that the edit is based on; the present one if absent.
     pub base_version: Option<Offset>,
-    /// The changes.
+    /// The changes, in the order in which they apply.
     pub changes: Vec<Change>,
 }
 
-/// Shows what an edit changes, sends it, and prints the answer.
+/// Prints what an edit changes, sends it, and prints the answer. A dry run sends nothing.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the file, or why the edit is not accepted.
+/// Returns what is wrong with the file, why the table cannot be read, or why the edit is not
+/// accepted.
 pub async fn edit(options: &TableEditOptions) -> Result<Exit, CliError> {
     let file = read_file(&options.file)?;
     let client = OperatorClient::new(&options.site, &options.token_file)?;
-    let table: Table = client.read("/table").await?;
+    let table: Table = client.get_json("/table").await?;
     let edit = make_edit(options, file, &table);
-    let repeated = table.find_edit(&edit.edit_id).is_some();
+    let is_repeat = table.find_edit(&edit.edit_id).is_some();
     let lines = diff(&table, &edit);
     if !options.json {
-        print_diff(&table, &edit, &lines, repeated)?;
+        print_diff(&table, &edit, &lines, is_repeat)?;
     }
     if options.dry_run {
-        return dry_run(options, table, &edit, &lines, repeated);
+        return dry_run(options, table, &edit, &lines, is_repeat);
     }
     let answer = match client.post("/table/edits", &edit).await {
         Ok(text) => client.decode::<EditAnswer>(&text)?,
@@ -70,10 +72,10 @@
 
 fn make_edit(options: &TableEditOptions, file: EditFile, table: &Table) -> Edit {
     let from_options = options.edit_id.as_deref().map(Name::from);
-    let made_up = || format!("edit-{:016x}", fastrand::u64(..)).into();
+    let generated = || format!("edit-{:016x}", fastrand::u64(..)).into();
     let base_version = options.base_version.map(Offset).or(file.base_version);
     Edit {
-        edit_id: from_options.or(file.edit_id).unwrap_or_else(made_up),
+        edit_id: from_options.or(file.edit_id).unwrap_or_else(generated),
         operator: file.operator,
         base_version: base_version.unwrap_or(table.version),
         changes: file.changes,
@@ -84,14 +86,14 @@
     table: &Table,
     edit: &Edit,
     lines: &[DiffLine],
-    repeated: bool,
+    is_repeat: bool,
 ) -> Result<(), CliError> {
     print_line(&format!(
         "edit {} by {}, based on version {} (present version {})",
         edit.edit_id, edit.operator, edit.base_version, table.version
     ))?;
-    if repeated {
-        return print_line("this edit was made before; asking for its answer");
+    if is_repeat {
+        return print_line("this edit was made before; requesting its answer again");
     }
     for line in lines {
         print_line(&line.text())?;
@@ -99,16 +101,16 @@
     Ok(())
 }
 
-/// Applies the edit to a copy of the table, by the same rules as the site.
+/// Checks the edit by applying it to a copy of the table, by the same rules as the hosts.
 fn dry_run(
     options: &TableEditOptions,
     mut table: Table,
     edit: &Edit,
     lines: &[DiffLine],
-    repeated: bool,
+    is_repeat: bool,
 ) -> Result<Exit, CliError> {
     let next_version = table.version.next();
-    if !repeated {
+    if !is_repeat {
         let outcome = table.apply_edit(next_version, edit);
         outcome.map_err(|rejection| refusal(&rejection))?;
     }
@@ -121,12 +123,13 @@
     Ok(Exit::Done)
 }
 
+/// Adds the edit's id to an error after which the edit may have been accepted.
 fn edit_error(error: CliError, edit: &Edit) -> CliError {
     match error {
         CliError::Call {
             url,
             source: source @ (CallError::TimedOut { .. } | CallError::Broken { .. }),
-        } => CliError::EditLost {
+        } => CliError::EditAnswerLost {
             url,
             source,
             edit_id: edit.edit_id.to_string(),
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -11,29 +11,29 @@
 /// The tool's exit codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It is done.
+    /// The command succeeded.
     Done = 0,
-    /// An option or a local file cannot be used.
-    Failed = 1,
+    /// An option, a local file or the output cannot be used, or keys cannot be created.
+    LocalError = 1,
     /// A settings file is not valid.
     BadSettings = 2,
     /// No host answered.
     Unreachable = 3,
-    /// The site refused; the same command will be refused again.
+    /// The host refused; the same command will be refused again.
     Refused = 4,
-    /// The edit is based on an older table.
+    /// The edit is based on an older version of the table.
     Conflict = 5,
-    /// The edit is not yet in force everywhere.
+    /// The edit is not yet in force at all hosts, or its answer is lost.
     Pending = 6,
-    /// The host does not serve.
+    /// The host is in a state in which it does not serve callers.
     NotServing = 7,
-    /// The site refused for now; the same command may succeed later.
-    Later = 8,
-    /// The request may have run; its answer is lost.
+    /// The host refused; the same command may succeed later.
+    RetryLater = 8,
+    /// The request may have run, but its answer is lost.
     OutcomeUnknown = 9,
     /// A plain service answered with an error status.
     ErrorStatus = 10,
-    /// A replay did not come to the recorded state.
+    /// A replay ended in another state than the recorded one.
     ReplayDiffers = 11,
 }
 
@@ -50,100 +50,100 @@
     /// A file cannot be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// The path as it was given.
         path: PathBuf,
-        /// Why.
+        /// What the operating system reports.
         source: std::io::Error,
     },
     /// A file's content cannot be used.
     #[snafu(display("{}: {}", path.display(), why.trim_end()))]
     Content {
-        /// The file.
+        /// The path as it was given.
         path: PathBuf,
-        /// Why.
+        /// What is wrong with the content.
         why: String,
     },
     /// The output cannot be written.
     #[snafu(display("cannot write the output: {source}"))]
     Output {
-        /// Why.
+        /// What the operating system reports.
         source: std::io::Error,
     },
-    /// Keys cannot be made.
-    #[snafu(display("cannot make keys: {why}"))]
+    /// Keys cannot be created.
+    #[snafu(display("cannot create keys: {why}"))]
     Keys {
-        /// Why.
+        /// What the cryptographic library reports.
         why: String,
     },
     /// A settings file is not valid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Why.
+        /// Where the file is wrong, and what is allowed.
         source: SettingsError,
     },
     /// An option's value cannot be used.
     #[snafu(display("{option}: {why}"))]
     Option {
-        /// The option.
+        /// The name of the option.
         option: &'static str,
-        /// What it takes.
+        /// What the option takes, or that it is missing.
         why: String,
     },
-    /// A host does not answer, and nothing depends on whether it got the call.
+    /// A host does not answer, and it makes no difference whether the call arrived.
     #[snafu(display("{url}: {source}"))]
     Call {
-        /// The address.
+        /// The address of the host, as `http://host:port`.
         url: String,
-        /// Why.
+        /// Why there is no answer.
         source: CallError,
     },
-    /// The answer to a request is lost.
+    /// The answer to a request is lost; the request may have run.
     #[snafu(display("{url}: {source}; the request may have run"))]
-    Lost {
-        /// The address.
+    AnswerLost {
+        /// The address of the host, as `http://host:port`.
         url: String,
-        /// Why.
+        /// Why there is no answer.
         source: CallError,
     },
-    /// The answer to an edit is lost.
-    #[snafu(display("{url}: {source}; edit {edit_id} may have been taken"))]
-    EditLost {
-        /// The address.
+    /// The answer to an edit is lost; the edit may have been accepted.
+    #[snafu(display("{url}: {source}; edit {edit_id} may have been accepted"))]
+    EditAnswerLost {
+        /// The address of the host, as `http://host:port`.
         url: String,
-        /// Why.
+        /// Why there is no answer.
         source: CallError,
-        /// The edit.
+        /// The id with which to repeat the edit.
         edit_id: String,
     },
-    /// The site refused.
+    /// A host refused the command.
     #[snafu(display("refused ({}): {}", fields.kind, fields.message))]
     Refused {
-        /// The refusal.
+        /// The error in the host's answer.
         fields: Box<ErrorFields>,
     },
-    /// The host does not serve.
+    /// The host is in a state in which it does not serve callers.
     #[snafu(display("{url}: the host is {state}"))]
     NotServing {
-        /// The address.
+        /// The address of the host, as `http://host:port`.
         url: String,
-        /// The state that it gave.
+        /// The state in the host's answer, or `unknown`.
         state: String,
     },
 }
 
 impl CliError {
-    /// Returns the exit code of the error.
+    /// Returns the exit code for the error.
     pub fn exit(&self) -> Exit {
         match self {
             Self::File { .. }
             | Self::Content { .. }
             | Self::Output { .. }
             | Self::Keys { .. }
-            | Self::Option { .. } => Exit::Failed,
+            | Self::Option { .. } => Exit::LocalError,
             Self::Settings { .. } => Exit::BadSettings,
             Self::Call { .. } => Exit::Unreachable,
-            Self::Lost { .. } => Exit::OutcomeUnknown,
-            Self::EditLost { .. } => Exit::Pending,
+            Self::AnswerLost { .. } => Exit::OutcomeUnknown,
+            Self::EditAnswerLost { .. } => Exit::Pending,
             Self::NotServing { .. } => Exit::NotServing,
             Self::Refused { fields } => refused_exit(fields),
         }
@@ -154,13 +154,13 @@
         match self {
             Self::File { .. } => "check the path and its permissions".to_string(),
             Self::Content { .. } => "correct the file".to_string(),
-            Self::Output { .. } => "check where the output goes".to_string(),
+            Self::Output { .. } => "check that standard output can be written to".to_string(),
             Self::Keys { .. } => "check the names and the directory".to_string(),
             Self::Settings { source } => source.advice().to_string(),
             Self::Option { .. } => "see --help".to_string(),
             Self::Call { .. } => "check the address, or ask another host".to_string(),
-            Self::Lost { .. } => ErrorKind::OutcomeUnknown.answer().advice.to_string(),
-            Self::EditLost { edit_id, .. } => {
+            Self::AnswerLost { .. } => ErrorKind::OutcomeUnknown.answer().advice.to_string(),
+            Self::EditAnswerLost { edit_id, .. } => {
                 format!("repeat the command with --edit-id {edit_id}")
             }
             Self::Refused { fields } => refused_advice(fields),
@@ -178,7 +178,7 @@
     }
     match (fields.ran, fields.retryable) {
         (Ran::Unknown, _) => Exit::OutcomeUnknown,
-        (Ran::NotRun, true) => Exit::Later,
+        (Ran::NotRun, true) => Exit::RetryLater,
         (Ran::NotRun, false) => Exit::Refused,
     }
 }
--- a/src/cli/keys.rs
+++ b/src/cli/keys.rs
@@ -1,4 +1,5 @@
-//! Makes the fleet's key, the hosts' certificates, operators' tokens and brands' API keys.
+//! Creates the fleet's certificate authority, the hosts' certificates, operators' tokens and
+//! brands' API keys.
 
 use crate::cli::exit::{CliError, Exit, FileSnafu};
 use crate::cli::options::KeysOptions;
@@ -20,13 +21,14 @@
 const FLEET_CERTIFICATE: &str = "fleet.pem";
 const FLEET_KEY: &str = "fleet.key";
 const TOKEN_BYTES: usize = 32;
-const OWNER_ONLY: u32 = 0o600;
+/// Files with secrets are readable and writable by their owner only.
+const SECRET_FILE_MODE: u32 = 0o600;
 
-/// Makes what the options ask for, and prints one line for each.
+/// Creates the keys that the options ask for, and prints one line for each.
 ///
 /// # Errors
 ///
-/// Returns which file cannot be written, or why a key cannot be made.
+/// Returns which file cannot be read or written, or why a key cannot be created.
 pub fn keys(options: &KeysOptions) -> Result<Exit, CliError> {
     for line in make(options)? {
         print_line(&line)?;
@@ -34,29 +36,30 @@
     Ok(Exit::Done)
 }
 
-/// Makes what the options ask for, and says what was made, one line each.
+/// Creates the keys that the options ask for, and returns one line for each that says which files
+/// were written. No line contains a secret. An existing fleet key in the directory is used again.
 ///
 /// # Errors
 ///
-/// Returns which file cannot be written, or why a key cannot be made.
+/// Returns which file cannot be read or written, or why a key cannot be created.
 pub fn make(options: &KeysOptions) -> Result<Vec<String>, CliError> {
     let directory = &options.directory;
     fs::create_dir_all(directory).context(FileSnafu { path: directory })?;
     let mut lines = Vec::new();
-    let key = fleet_key(directory, &mut lines)?;
+    let key = read_or_create_fleet_key(directory, &mut lines)?;
     let issuer = Issuer::new(fleet_params()?, key);
     for host in &options.host {
-        host_certificate(directory, host, &issuer)?;
+        create_host_certificate(directory, host, &issuer)?;
         lines.push(format!("host {host}: {host}.pem and {host}.key"));
     }
     for operator in &options.operator {
-        let hash = secret(directory, &format!("{operator}.token"))?;
+        let hash = create_secret(directory, &format!("{operator}.token"))?;
         lines.push(format!(
             "operator {operator}: {operator}.token, operator_token_sha256 = [\"{hash}\"]"
         ));
     }
     for brand in &options.brand {
-        let hash = secret(directory, &format!("{brand}.key"))?;
+        let hash = create_secret(directory, &format!("{brand}.key"))?;
         lines.push(format!(
             "brand {brand}: {brand}.key, key_sha256 = [\"{hash}\"]"
         ));
@@ -74,7 +77,10 @@
     Ok(params)
 }
 
-fn fleet_key(directory: &Path, lines: &mut Vec<String>) -> Result<KeyPair, CliError> {
+fn read_or_create_fleet_key(
+    directory: &Path,
+    lines: &mut Vec<String>,
+) -> Result<KeyPair, CliError> {
     let path = directory.join(FLEET_KEY);
     if path.exists() {
         let text = fs::read_to_string(&path).context(FileSnafu { path: &path })?;
@@ -86,12 +92,12 @@
     let path = directory.join(FLEET_CERTIFICATE);
     fs::write(&path, certificate.pem()).context(FileSnafu { path: &path })?;
     lines.push(format!(
-        "fleet: {FLEET_CERTIFICATE} and {FLEET_KEY} (keep the key off the hosts)"
+        "fleet: {FLEET_CERTIFICATE} and {FLEET_KEY} (do not copy the key to the hosts)"
     ));
     Ok(key)
 }
 
-fn host_certificate(
+fn create_host_certificate(
     directory: &Path,
     host: &str,
     issuer: &Issuer<'_, KeyPair>,
@@ -111,7 +117,8 @@
     write_secret(&directory.join(format!("{host}.key")), &key.serialize_pem())
 }
 
-fn secret(directory: &Path, file: &str) -> Result<std::sync::Arc<str>, CliError> {
+/// Writes a random secret in hexadecimal digits to a file, and returns its SHA-256.
+fn create_secret(directory: &Path, file: &str) -> Result<std::sync::Arc<str>, CliError> {
     let mut bytes = [0; TOKEN_BYTES];
     SystemRandom::new().fill(&mut bytes).map_err(keys_error)?;
     let mut token = String::new();
@@ -127,7 +134,7 @@
         .write(true)
         .create(true)
         .truncate(true)
-        .mode(OWNER_ONLY)
+        .mode(SECRET_FILE_MODE)
         .open(path)
         .context(FileSnafu { path })?;
     file.write_all(text.as_bytes()).context(FileSnafu { path })
--- a/src/cli/options.rs
+++ b/src/cli/options.rs
@@ -1,5 +1,6 @@
-//! The raw command line. What the commands work with is made from it in [`crate::cli::site`] and in
-//! the commands themselves.
+//! The options as they stand on the command line. They are checked in [`crate::cli::site`], in
+//! [`crate::cli::request`] and in the commands themselves. The doc comments of the options are the
+//! help texts that `--help` prints.
 
 use argh::FromArgs;
 use std::path::PathBuf;
@@ -11,65 +12,65 @@
     note = "Exit codes: 0 done, 1 options or a local file, 2 bad settings, 3 no host answered, 4 refused, 5 edit conflict, 6 edit pending, 7 not serving, 8 refused for now, 9 may have run, 10 error status of a service, 11 the replay differs."
 )]
 pub struct Options {
-    /// what to do
+    /// the command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// The commands of the tool.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Makes keys.
+    /// Creates keys, certificates and tokens.
     Keys(KeysOptions),
-    /// Checks a settings file.
+    /// Checks a daemon's settings file.
     CheckSettings(CheckSettingsOptions),
-    /// Tells whether a host serves.
+    /// Prints whether a host serves callers.
     Health(HealthOptions),
     /// Reads and edits the table.
     Table(TableOptions),
-    /// Prints the hosts.
+    /// Prints the hosts of the site.
     Hosts(HostsOptions),
-    /// Prints upstreams and copies.
+    /// Prints upstreams and the copies of models on them.
     Placements(PlacementsOptions),
-    /// Sends one request.
+    /// Sends one request as a caller.
     Send(SendOptions),
-    /// Prints a process's state.
+    /// Prints the state of a daemon.
     Dump(DumpOptions),
-    /// Prints a process's recorded inputs.
+    /// Prints the recorded inputs of a daemon.
     Trace(TraceOptions),
-    /// Runs a trace again.
+    /// Replays the recorded inputs of a daemon.
     Replay(ReplayOptions),
-    /// Prints the error kinds.
+    /// Prints the error kinds with their statuses and advice.
     Errors(ErrorsOptions),
-    /// Answers questions from log lines.
+    /// Answers a question from the log lines of many hosts.
     Logs(LogsOptions),
 }
 
-/// Make the fleet's key, certificates for hosts, tokens for operators, and API keys for brands.
+/// Create the fleet's key, certificates for hosts, tokens for operators, and API keys for brands.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
     name = "keys",
     example = "{command_name} --directory keys --host entry-1 --host entry-2 --operator asha --brand north-firm",
-    note = "An existing fleet key in the directory is used again; delete it to make a new one."
+    note = "An existing fleet key in the directory is used again; delete it to create a new one."
 )]
 pub struct KeysOptions {
     /// the directory to write to
     #[argh(option, short = 'd')]
     pub directory: PathBuf,
-    /// a host to make a certificate for; may be given many times
+    /// a host to create a certificate for; may be given many times
     #[argh(option)]
     pub host: Vec<String>,
-    /// an operator to make a token for; may be given many times
+    /// an operator to create a token for; may be given many times
     #[argh(option)]
     pub operator: Vec<String>,
-    /// a brand to make an API key for; may be given many times
+    /// a brand to create an API key for; may be given many times
     #[argh(option)]
     pub brand: Vec<String>,
 }
 
-/// Check a daemon's settings file, and start nothing.
+/// Check a daemon's settings file without starting the daemon.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -82,7 +83,7 @@
     pub file: PathBuf,
 }
 
-/// Tell whether a host serves callers; exits with 0 when it does.
+/// Print whether a host serves callers; exits with 0 when it does.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -112,11 +113,11 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum TableAction {
-    /// Prints the table.
+    /// Prints the table as one host has it.
     Show(TableShowOptions),
-    /// Edits the table.
+    /// Edits the table from a file of changes.
     Edit(TableEditOptions),
-    /// Prints the last edits.
+    /// Prints the last edits, accepted and rejected.
     History(TableHistoryOptions),
 }
 
@@ -147,7 +148,7 @@
     example = "{command_name} --dry-run edit.toml",
     example = "{command_name} --edit-id weights-2026-12 edit.toml",
     note = "The file holds operator = \"NAME\" and [[changes]] tables: put_row, remove_row, put_model, remove_model, put_service, remove_service, put_brand, remove_brand, set_store.",
-    note = "Repeat an edit whose outcome is not known with the same --edit-id: it takes effect once, and the answer is the same."
+    note = "Repeat an edit whose outcome is unknown with the same --edit-id: it takes effect only once, and the answer is the same."
 )]
 pub struct TableEditOptions {
     /// the operator interface, as http://host:port
@@ -156,10 +157,11 @@
     /// the file with the operator's token
     #[argh(option)]
     pub token_file: Option<PathBuf>,
-    /// the edit's identity, when the file names none; made up when absent
+    /// the id of the edit, in place of the file's; generated when both are absent
     #[argh(option)]
     pub edit_id: Option<String>,
-    /// the table version that the edit is made from, when the file names none; the present one when absent
+    /// the table version that the edit is based on, in place of the file's; the present one when
+    /// both are absent
     #[argh(option)]
     pub base_version: Option<u64>,
     /// only show what would change
@@ -226,14 +228,14 @@
     pub json: bool,
 }
 
-/// Send one request, and print its answer as it comes.
+/// Send one request, and print its answer as it arrives.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
     name = "send",
     example = "{command_name} --host http://10.0.0.1:7000 --entry --key-file brand.key --model portfolio-review \"Please assess my case.\"",
     example = "{command_name} --host http://10.0.0.1:7000 --key-file brand.key --service booking --method POST --path /slots --body '{{\"slot\": 4}}' --idempotency-key b-17",
-    note = "Goes on to the next host when nothing was run at this one. A request that may have run is not sent again."
+    note = "Tries the next host when the request certainly did not run at this one. A request that may have run is not sent again."
 )]
 pub struct SendOptions {
     /// a host's caller interface, as http://host:port; may be given many times
@@ -263,13 +265,13 @@
     /// the body of the call to the service, or @FILE
     #[argh(option)]
     pub body: Option<String>,
-    /// names an operation that may run at most once
+    /// the idempotency key of an operation that may run at most once
     #[argh(option)]
     pub idempotency_key: Option<String>,
-    /// the deadline in milliseconds
+    /// the request's deadline in milliseconds from now
     #[argh(option)]
     pub deadline_ms: Option<u64>,
-    /// print one JSON object at the end
+    /// print one JSON object after the whole answer
     #[argh(switch)]
     pub json: bool,
     /// the message, for a chat request
@@ -296,7 +298,7 @@
     pub json: bool,
 }
 
-/// Print the last inputs of the process at an operator interface, for `replay`.
+/// Print the last recorded inputs of the process at an operator interface, for `replay`.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -312,7 +314,7 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// Run a trace again, and print the effects of each event.
+/// Replay a trace, and print the effects of each event.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -321,10 +323,10 @@
     note = "Use the release that wrote the trace; exits with 11 when the state at the end differs."
 )]
 pub struct ReplayOptions {
-    /// print one JSON object a line, with whole effects
+    /// print one JSON object per line, with all fields of the effects
     #[argh(switch)]
     pub json: bool,
-    /// the trace
+    /// the trace file
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -344,19 +346,19 @@
     subcommand,
     name = "logs",
     example = "{command_name} refusals entry-1.log entry-2.log",
-    note = "A line's host is what stands before its JSON object, else the name of its file. Without files it reads standard input."
+    note = "The host of a line is the last word before its JSON object, or else the name of its file. Without files, standard input is read."
 )]
 pub struct LogsOptions {
-    /// print one JSON object a line
+    /// print one JSON object per line
     #[argh(switch)]
     pub json: bool,
-    /// the question
+    /// the question to answer
     #[argh(subcommand)]
     pub question: LogsQuestion,
 }
 
 impl LogsOptions {
-    /// Returns the files to read.
+    /// Returns the log files that the question names; empty for standard input.
     pub fn files(&self) -> Vec<PathBuf> {
         match &self.question {
             LogsQuestion::Request(question) => question.files.clone(),
@@ -368,69 +370,69 @@
     }
 }
 
-/// The questions.
+/// The questions that `logs` answers.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum LogsQuestion {
-    /// The story of a request.
+    /// All lines about one request.
     Request(RequestQuestion),
-    /// Who ordered when.
+    /// Which hosts were the orderer, and when.
     Leases(LeasesQuestion),
-    /// Refusals by cause.
+    /// Requests that were not answered, by cause.
     Refusals(RefusalsQuestion),
-    /// What organisations asked.
+    /// Requests by organisation and outcome.
     Organisations(OrganisationsQuestion),
-    /// The way of desired states.
+    /// How long desired states take to reach all hosts.
     Spread(SpreadQuestion),
 }
 
-/// Print all lines about a request, in the order of their times.
+/// Print all lines about a request, in order of time.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "request")]
 pub struct RequestQuestion {
     /// the request's id
     #[argh(positional)]
     pub id: String,
-    /// the files
+    /// the log files
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Print which hosts ordered loads, from when to when.
+/// Print which hosts held the orderer's lease, from when to when.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "leases")]
 pub struct LeasesQuestion {
-    /// the files
+    /// the log files
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Print requests that were not answered, by cause over time.
+/// Print the number of requests that were not answered, by time and cause.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "refusals")]
 pub struct RefusalsQuestion {
-    /// the seconds of one row, 1 by default
+    /// the seconds that one row covers, 1 by default
     #[argh(option, default = "1")]
     pub seconds: u32,
-    /// the files
+    /// the log files
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Print what each organisation asked, and what became of it.
+/// Print each organisation's number of requests, by how they ended.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "organisations")]
 pub struct OrganisationsQuestion {
-    /// the files
+    /// the log files
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Print how long each desired state took to all hosts.
+/// Print how long each desired state took to reach all hosts.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "spread")]
 pub struct SpreadQuestion {
-    /// the files
+    /// the log files
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
--- a/src/cli/render.rs
+++ b/src/cli/render.rs
@@ -1,12 +1,12 @@
-//! Output for people: columns of text.
+//! Output for people: tables of text, byte counts, and writing to standard output.
 
 use crate::cli::exit::{CliError, OutputSnafu};
 use snafu::ResultExt;
 use std::io::{ErrorKind, Write, stdout};
 
-const GAP: &str = "  ";
+const COLUMN_SEPARATOR: &str = "  ";
 
-/// Writes a text to standard output. A reader that went away is no error.
+/// Writes a text to standard output. A closed pipe is not an error.
 ///
 /// # Errors
 ///
@@ -19,7 +19,7 @@
     }
 }
 
-/// Writes a line to standard output.
+/// Writes a text and a line feed to standard output. A closed pipe is not an error.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
     print(&format!("{line}\n"))
 }
 
-/// Lays rows out under a header.
+/// Formats rows under a header as aligned columns; each row ends with a line feed.
 pub fn columns(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
@@ -38,20 +38,20 @@
     }
     let header: Vec<String> = header.iter().map(|cell| cell.to_string()).collect();
     let lines = std::iter::once(&header).chain(rows);
-    lines.map(|row| line(row, &widths)).collect()
+    lines.map(|row| format_row(row, &widths)).collect()
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn format_row(row: &[String], widths: &[usize]) -> String {
     let cells: Vec<String> = row
         .iter()
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"))
         .collect();
-    format!("{}\n", cells.join(GAP).trim_end())
+    format!("{}\n", cells.join(COLUMN_SEPARATOR).trim_end())
 }
 
-/// Writes a count of bytes for people.
-pub fn bytes(count: u64) -> String {
+/// Formats a byte count for people, in decimal units up to TB with one decimal place.
+pub fn format_bytes(count: u64) -> String {
     const UNITS: [&str; 5] = ["B", "kB", "MB", "GB", "TB"];
     let mut value = count as f64;
     let mut unit = 0;
@@ -65,7 +65,7 @@
     format!("{value:.1} {}", UNITS[unit])
 }
 
-/// Writes an optional value, or a dash.
+/// Formats an optional value; a dash stands for `None`.
 pub fn or_dash(value: Option<impl ToString>) -> String {
     value.map_or_else(|| "-".to_string(), |value| value.to_string())
 }
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -1,4 +1,5 @@
-//! Runs a trace again through [`Node::handle`] and prints the effects.
+//! The command `replay`, which runs the events of a trace through [`Node::handle`] again and prints
+//! their effects.
 
 use crate::cli::exit::{CliError, Exit, FileSnafu};
 use crate::cli::options::ReplayOptions;
@@ -11,11 +12,12 @@
 use serde_json::{Value, json};
 use snafu::ResultExt;
 
-/// Runs the trace and prints what each event did.
+/// Replays the trace, prints the effects of each event, and compares the state at the end with the
+/// recorded one.
 ///
 /// # Errors
 ///
-/// Returns why the file cannot be used.
+/// Returns why the file cannot be used or the output cannot be written.
 pub fn replay(options: &ReplayOptions) -> Result<Exit, CliError> {
     let path = &options.file;
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
@@ -26,7 +28,7 @@
     let file: TraceFile = serde_json::from_str(&text).map_err(content_error)?;
     if *file.release != *RELEASE {
         eprintln!(
-            "mangovale: the trace is of release {}, this is {RELEASE}",
+            "mangovale: the trace was written by release {}, this is release {RELEASE}",
             file.release
         );
     }
@@ -42,9 +44,9 @@
             print_line(&line(options, started_at, at, &name, &done))?;
         }
     }
-    let same = state_sha256(&node).map_err(content_error)? == file.end_sha256;
-    summarise(options, events, effects, same)?;
-    Ok(if same {
+    let is_same = state_sha256(&node).map_err(content_error)? == file.end_sha256;
+    summarise(options, events, effects, is_same)?;
+    Ok(if is_same {
         Exit::Done
     } else {
         Exit::ReplayDiffers
@@ -55,13 +57,13 @@
     options: &ReplayOptions,
     events: usize,
     effects: usize,
-    same: bool,
+    is_same: bool,
 ) -> Result<(), CliError> {
     if options.json {
-        let summary = json!({ "events": events, "effects": effects, "same_end": same });
+        let summary = json!({ "events": events, "effects": effects, "same_end": is_same });
         return print_line(&summary.to_string());
     }
-    let verdict = if same {
+    let verdict = if is_same {
         "is the recorded one"
     } else {
         "differs from the recorded one"
@@ -81,15 +83,15 @@
     if options.json {
         return json!({ "at": at, "event": name, "effects": effects }).to_string();
     }
-    let span_ms = at.since(started_at).0;
+    let elapsed_ms = at.since(started_at).0;
     let effects: Vec<String> = effects.iter().map(effect_text).collect();
-    format!("{span_ms:>8} ms  {name:<16}  {}", effects.join("; "))
+    format!("{elapsed_ms:>8} ms  {name:<16}  {}", effects.join("; "))
 }
 
 fn effect_text(effect: &Effect) -> String {
     match effect {
         Effect::AppendLog { records } => {
-            let records = records.iter().map(|record| variant(&record.body, "kind"));
+            let records = records.iter().map(|record| tag_value(&record.body, "kind"));
             format!("AppendLog {}", records.collect::<Vec<_>>().join(","))
         }
         Effect::Refuse { request, refusal } => {
@@ -98,16 +100,16 @@
         Effect::Begin { attempt } => {
             format!("Begin {} at {}", attempt.request.0, attempt.upstream)
         }
-        other => outer_name(other),
+        other => variant_name(other),
     }
 }
 
 fn event_name(event: &Event) -> String {
-    outer_name(event)
+    variant_name(event)
 }
 
-/// Returns the name of an enum's variant in its outer JSON form.
-fn outer_name(value: &impl Serialize) -> String {
+/// Returns the variant name of an enum that serde writes in its externally tagged form.
+fn variant_name(value: &impl Serialize) -> String {
     match serde_json::to_value(value) {
         Ok(Value::String(name)) => name,
         Ok(Value::Object(fields)) => fields.keys().next().cloned().unwrap_or_default(),
@@ -115,7 +117,9 @@
     }
 }
 
-fn variant(value: &impl Serialize, tag: &str) -> String {
+/// Returns the variant name of an enum that serde writes in its internally tagged form, with the
+/// name in the field `tag`.
+fn tag_value(value: &impl Serialize, tag: &str) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value[tag].as_str().unwrap_or_default().to_string()
 }
--- a/src/cli/request.rs
+++ b/src/cli/request.rs
@@ -1,4 +1,4 @@
-//! The request that `send` makes, from its options.
+//! Builds the HTTP request of the command `send` from its options.
 
 use crate::cli::exit::{CliError, FileSnafu};
 use crate::cli::options::SendOptions;
@@ -8,23 +8,24 @@
 use std::fs::read_to_string;
 use trillium_client::{Client, Conn, Method};
 
-const BODY_FILE_MARK: char = '@';
+/// A body option that begins with this character names a file.
+const BODY_FILE_PREFIX: char = '@';
 
-/// What kind of answer to expect.
+/// The kind of a request, which decides how its answer is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A streamed chat answer.
+    /// A chat request to a model, with a streamed answer.
     Chat,
-    /// A plain service's answer, whatever it is.
+    /// A call to a plain service, with any answer.
     Service,
 }
 
-/// A request, ready to be sent to any host.
+/// A request that can be sent to any host.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What kind of answer to expect.
+    /// The kind of the request.
     pub kind: RequestKind,
-    /// The model or service.
+    /// The name of the model or service.
     pub name: String,
     method: Method,
     path: String,
@@ -34,11 +35,12 @@
 }
 
 impl Request {
-    /// Makes the request that the options describe.
+    /// Creates the request that the options describe. The API key and a service call's body may
+    /// come from files.
     ///
     /// # Errors
     ///
-    /// Returns the option that is missing, or that does not fit the others.
+    /// Returns the option that is missing or contradicts the others, or why a file cannot be read.
     pub fn new(options: &SendOptions) -> Result<Self, CliError> {
         let mut request = match (&options.model, &options.service) {
             (Some(model), None) => chat(options, model)?,
@@ -57,7 +59,7 @@
         Ok(request)
     }
 
-    /// Builds the call to a host.
+    /// Builds the request to the caller interface at `url`.
     pub fn build(&self, client: &Client, url: &str) -> Conn {
         let mut conn = client
             .build_conn(self.method, format!("{url}{}", self.path))
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Builds the question which hosts to use.
+    /// Builds the request for the list of hosts that callers should use, to the caller interface at
+    /// `url`.
     pub fn build_entry(&self, client: &Client, url: &str) -> Conn {
         client
             .build_conn(Method::Get, format!("{url}/v1/entry?model={}", self.name))
@@ -136,7 +139,7 @@
     let Some(body) = &options.body else {
         return Ok(None);
     };
-    match body.strip_prefix(BODY_FILE_MARK) {
+    match body.strip_prefix(BODY_FILE_PREFIX) {
         None => Ok(Some(body.clone())),
         Some(path) => read_to_string(path).map(Some).context(FileSnafu { path }),
     }
--- a/src/cli/send.rs
+++ b/src/cli/send.rs
@@ -1,7 +1,8 @@
-//! Sends one request, from host to host until it is answered or may have run.
+//! The command `send`, which sends one request to one host after another until it is answered or
+//! may have run.
 
 use crate::cli::call::ErrorBody;
-use crate::cli::exit::{CallSnafu, CliError, Exit, LostSnafu};
+use crate::cli::exit::{AnswerLostSnafu, CallSnafu, CliError, Exit};
 use crate::cli::options::SendOptions;
 use crate::cli::render::{print, print_line};
 use crate::cli::request::{Request, RequestKind};
@@ -19,60 +20,62 @@
 use trillium_client::{Client, Conn};
 
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most hosts tried in one command.
+/// The most hosts that one command tries, those from refusals included.
 const MAX_HOSTS: usize = 16;
-const END_OF_STREAM: &str = "[DONE]";
+const STREAM_END: &str = "[DONE]";
 
-/// Sends the request to the first host that takes it.
+/// Sends the request to the first host that accepts it, and prints the answer.
 ///
 /// # Errors
 ///
-/// Returns why no whole answer came.
+/// Returns which option is wrong, why no host accepted the request, or why its answer is
+/// incomplete.
 pub async fn send(options: &SendOptions) -> Result<Exit, CliError> {
     let request = Request::new(options)?;
     let client = client();
-    let mut hosts = Hosts::new(&options.host)?;
+    let mut hosts = HostQueue::new(&options.host)?;
     if options.entry {
-        let answer = ask_entry(&client, &request, &hosts).await?;
-        hosts = Hosts::from_entry(&answer);
+        let answer = query_entry_hosts(&client, &request, &hosts).await?;
+        hosts = HostQueue::from_entry(&answer);
     }
-    let sending = Sending {
+    let sender = RequestSender {
         client,
         request,
         json: options.json,
         started_at: Instant::now(),
     };
-    let mut last = no_host();
+    let mut last_error = missing_host_error();
     while let Some(url) = hosts.next() {
-        match sending.try_host(&url).await {
-            Err(error) if is_for_another_host(&error) => {
-                hosts.learn(&error);
+        match sender.try_host(&url).await {
+            Err(error) if can_try_another_host(&error) => {
+                hosts.add_suggested(&error);
                 if hosts.is_empty() {
                     return Err(error);
                 }
                 eprintln!("mangovale: {error}; nothing was run, trying the next host");
-                last = error;
+                last_error = error;
             }
             outcome => return outcome,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-/// The hosts still to be tried.
-struct Hosts {
+/// The hosts to try, each at most once.
+struct HostQueue {
     waiting: VecDeque<String>,
+    /// All hosts that were ever added.
     seen: IndexSet<String>,
 }
 
-impl Hosts {
+impl HostQueue {
     fn new(given: &[String]) -> Result<Self, CliError> {
         let mut hosts = Self::empty();
         for host in given {
             hosts.add(http_url("--host", host)?);
         }
         if hosts.is_empty() {
-            return Err(no_host());
+            return Err(missing_host_error());
         }
         Ok(hosts)
     }
@@ -92,7 +95,8 @@
         }
     }
 
-    fn learn(&mut self, error: &CliError) {
+    /// Adds the hosts that a refusal suggests.
+    fn add_suggested(&mut self, error: &CliError) {
         if let CliError::Refused { fields } = error {
             for address in &fields.try_hosts {
                 self.add(format!("http://{address}"));
@@ -115,15 +119,15 @@
     }
 }
 
-fn no_host() -> CliError {
+fn missing_host_error() -> CliError {
     CliError::Option {
         option: "--host",
         why: "give at least one host".to_string(),
     }
 }
 
-/// Tells whether nothing was run at this host and another one may take the request.
-fn is_for_another_host(error: &CliError) -> bool {
+/// Returns whether the request certainly did not run at this host and another one may accept it.
+fn can_try_another_host(error: &CliError) -> bool {
     match error {
         CliError::Call { source, .. } => matches!(source, CallError::NotConnected { .. }),
         CliError::Refused { fields } => {
@@ -135,31 +139,32 @@
     }
 }
 
-async fn ask_entry(
+/// Queries one host after another for the hosts to use, until one names at least one.
+async fn query_entry_hosts(
     client: &Client,
     request: &Request,
-    hosts: &Hosts,
+    hosts: &HostQueue,
 ) -> Result<EntryAnswer, CliError> {
-    let mut last = no_host();
+    let mut last_error = missing_host_error();
     for url in &hosts.seen {
-        match ask_one_entry(client, request, url).await {
+        match query_entry_host(client, request, url).await {
             Ok(answer) if !answer.hosts.is_empty() => return Ok(answer),
             Ok(_) => {
                 let message = "no host takes requests now";
-                last = Refusal::new(ErrorKind::CutOff, message).into();
+                last_error = Refusal::new(ErrorKind::CutOff, message).into();
             }
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-async fn ask_one_entry(
+async fn query_entry_host(
     client: &Client,
     request: &Request,
     url: &str,
 ) -> Result<EntryAnswer, CliError> {
-    let asking = async {
+    let querying = async {
         let conn = request.build_entry(client, url).await;
         let mut conn = conn
             .map_err(|error| call_error(&error))
@@ -176,27 +181,29 @@
             .context(CallSnafu { url })
     };
     let limit = ENTRY_TIMEOUT;
-    let late = Err(CallError::TimedOut { limit }).context(CallSnafu { url });
-    within(limit, asking).await.unwrap_or(late)
+    let timed_out = Err(CallError::TimedOut { limit }).context(CallSnafu { url });
+    within(limit, querying).await.unwrap_or(timed_out)
 }
 
-/// A request being sent.
-struct Sending {
+/// Sends one request to hosts and reads their answers.
+struct RequestSender {
     client: Client,
     request: Request,
     json: bool,
     started_at: Instant,
 }
 
-/// What came of a request.
+/// A whole answer, or the part of a stream that was read so far.
 struct Received {
     status: u16,
+    /// The time from the start of the command until the head of the answer was read.
     first_byte_ms: u128,
+    /// The number of chunks of a streamed answer; 0 for a plain service.
     tokens: u64,
     text: String,
 }
 
-impl Sending {
+impl RequestSender {
     async fn try_host(&self, url: &str) -> Result<Exit, CliError> {
         let conn = self.request.build(&self.client, url).await;
         let mut conn = match conn.map_err(|error| call_error(&error)) {
@@ -204,7 +211,7 @@
             Err(source @ CallError::NotConnected { .. }) => {
                 return Err(source).context(CallSnafu { url });
             }
-            Err(source) => return Err(source).context(LostSnafu { url }),
+            Err(source) => return Err(source).context(AnswerLostSnafu { url }),
         };
         let first_byte_ms = self.started_at.elapsed().as_millis();
         let received = match self.request.kind {
@@ -224,7 +231,9 @@
         first_byte_ms: u128,
     ) -> Result<Received, CliError> {
         let status = status(&conn);
-        let text = read_text(&mut conn).await.context(LostSnafu { url })?;
+        let text = read_text(&mut conn)
+            .await
+            .context(AnswerLostSnafu { url })?;
         if let Ok(body) = serde_json::from_str::<ErrorBody>(&text) {
             return Err(body.into());
         }
@@ -251,26 +260,29 @@
             tokens: 0,
             text: String::new(),
         };
-        let body = conn.take_response_body().ok_or_else(|| broken("no body"));
-        let mut lines = BufReader::new(body.context(LostSnafu { url })?).lines();
+        let body = conn
+            .take_response_body()
+            .ok_or_else(|| broken_answer("no body"));
+        let mut lines = BufReader::new(body.context(AnswerLostSnafu { url })?).lines();
         while let Some(line) = lines.next().await {
-            let line = line.map_err(|error| broken(&error.to_string()));
-            let line = line.context(LostSnafu { url })?;
+            let line = line.map_err(|error| broken_answer(&error.to_string()));
+            let line = line.context(AnswerLostSnafu { url })?;
             let Some(data) = line.strip_prefix("data: ") else {
                 continue;
             };
-            if data == END_OF_STREAM {
+            if data == STREAM_END {
                 return Ok(received);
             }
             if let Ok(error) = serde_json::from_str::<ErrorBody>(data) {
                 return Err(error.into());
             }
-            self.take_chunk(data, &mut received)?;
+            self.add_chunk(data, &mut received)?;
         }
-        Err(broken("the stream ended before its end mark")).context(LostSnafu { url })
+        Err(broken_answer("the stream ended without [DONE]")).context(AnswerLostSnafu { url })
     }
 
-    fn take_chunk(&self, data: &str, received: &mut Received) -> Result<(), CliError> {
+    /// Counts a chunk of the stream, and prints or keeps its text.
+    fn add_chunk(&self, data: &str, received: &mut Received) -> Result<(), CliError> {
         let chunk: Value = serde_json::from_str(data).unwrap_or_default();
         received.tokens += 1;
         let token = chunk["choices"][0]["delta"]["content"].as_str();
@@ -310,6 +322,7 @@
     }
 }
 
+/// Reads the error from an answer with an error status.
 async fn refusal(conn: &mut Conn) -> CliError {
     let status = status(conn);
     let text = read_text(conn).await.unwrap_or_default();
@@ -336,7 +349,7 @@
     conn.status().is_some_and(|status| status.is_success())
 }
 
-fn broken(why: &str) -> CallError {
+fn broken_answer(why: &str) -> CallError {
     CallError::Broken {
         why: why.to_string(),
     }
--- a/src/cli/site.rs
+++ b/src/cli/site.rs
@@ -1,46 +1,51 @@
-//! Which operator interface to ask, and with which token: from options or the environment.
+//! Finds the operator interface to call and the token for it, from options or the environment.
 
 use crate::cli::exit::{CliError, FileSnafu};
 use snafu::ResultExt;
 use std::env;
 use std::path::{Path, PathBuf};
 
-/// The environment variable with the operator interface's address.
+/// The environment variable that gives the address of the operator interface, in the form that
+/// [`Site::resolve`] takes.
 pub const SITE_VARIABLE: &str = "MANGOVALE_SITE";
-/// The environment variable with the path of the operator's token file.
+/// The environment variable that gives the path of the operator's token file.
 pub const TOKEN_FILE_VARIABLE: &str = "MANGOVALE_TOKEN_FILE";
 
-/// An operator interface and the token for it.
+/// The address of an operator interface and the token for it.
 pub struct Site {
     /// The address, as `http://host:port`.
     pub url: String,
-    /// The operator's token.
+    /// The operator's token, a secret; read from a file without the white space around it.
     pub token: String,
 }
 
 impl Site {
-    /// Makes a site from options, and from the environment where an option is absent.
+    /// Reads the address and the token from the options, or from the environment where an option is
+    /// absent.
     ///
-    /// The address may carry the token file after a comma, as `http://host:port,TOKEN_FILE`.
+    /// The address may be followed by a comma and the token file, as `http://host:port,TOKEN_FILE`.
+    /// The option for the token file takes precedence over that, and that over the environment.
     ///
     /// # Errors
     ///
-    /// Returns which of the two is missing or cannot be used.
+    /// Returns whether the address or the token file is missing, or why it cannot be used.
     pub fn resolve(site: Option<&str>, token_file: Option<&Path>) -> Result<Self, CliError> {
-        let site = site.map(str::to_string).or_else(|| variable(SITE_VARIABLE));
+        let site = site
+            .map(str::to_string)
+            .or_else(|| environment_variable(SITE_VARIABLE));
         let site = site.ok_or(CliError::Option {
             option: "--site",
             why: format!("give it, or set {SITE_VARIABLE}"),
         })?;
-        let (url, with_site) = match site.split_once(',') {
+        let (url, after_comma) = match site.split_once(',') {
             Some((url, path)) => (url, Some(PathBuf::from(path))),
             None => (site.as_str(), None),
         };
-        let from_variable = || variable(TOKEN_FILE_VARIABLE).map(PathBuf::from);
+        let from_environment = || environment_variable(TOKEN_FILE_VARIABLE).map(PathBuf::from);
         let path = token_file
             .map(Path::to_path_buf)
-            .or(with_site)
-            .or_else(from_variable);
+            .or(after_comma)
+            .or_else(from_environment);
         let path = path.ok_or(CliError::Option {
             option: "--token-file",
             why: format!("give it, or set {TOKEN_FILE_VARIABLE}"),
@@ -53,11 +58,11 @@
     }
 }
 
-/// Checks that an option's value is `http://host:port`, and drops a slash at its end.
+/// Checks that an option's value has the form `http://host:port`, and removes slashes at its end.
 ///
 /// # Errors
 ///
-/// Returns the option and what it takes.
+/// Returns the option and the form that it takes.
 pub fn http_url(option: &'static str, value: &str) -> Result<String, CliError> {
     let url = value.trim_end_matches('/');
     let rest = url.strip_prefix("http://").unwrap_or_default();
@@ -68,6 +73,6 @@
     Ok(url.to_string())
 }
 
-fn variable(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/src/cli/table.rs
+++ b/src/cli/table.rs
@@ -1,19 +1,19 @@
-//! Prints the table and its history.
+//! The commands `table show` and `table history`, which print the table and its last edits.
 
 use crate::cli::call::OperatorClient;
 use crate::cli::exit::{CliError, Exit};
 use crate::cli::options::{TableHistoryOptions, TableShowOptions};
-use crate::cli::render::{bytes, columns, or_dash, print, print_line};
-use crate::cli::view::text_of;
+use crate::cli::render::{columns, format_bytes, or_dash, print, print_line};
+use crate::cli::view::json_name;
 use crate::prelude::*;
 use crate::table::Table;
 use crate::table::message::{HistoryLine, Row, RowKey};
 
-/// Prints the table.
+/// Prints the table as one host has it.
 ///
 /// # Errors
 ///
-/// Returns why it cannot be read.
+/// Returns why the table cannot be read or printed.
 pub async fn show(options: &TableShowOptions) -> Result<Exit, CliError> {
     let client = OperatorClient::new(&options.site, &options.token_file)?;
     let text = client.get("/table").await?;
@@ -26,14 +26,14 @@
     Ok(Exit::Done)
 }
 
-/// Prints the last edits.
+/// Prints the last edits, accepted and rejected.
 ///
 /// # Errors
 ///
-/// Returns why they cannot be read.
+/// Returns why the table cannot be read or printed.
 pub async fn history(options: &TableHistoryOptions) -> Result<Exit, CliError> {
     let client = OperatorClient::new(&options.site, &options.token_file)?;
-    let table: Table = client.read("/table").await?;
+    let table: Table = client.get_json("/table").await?;
     if options.json {
         print_line(&serde_json::to_string(&table.history).unwrap_or_default())?;
         return Ok(Exit::Done);
@@ -106,9 +106,9 @@
         or_dash(row.requests_per_s),
         or_dash(row.concurrent_requests),
         row.copies.to_string(),
-        text_of(&row.urgency),
+        json_name(&row.urgency),
         row.deadline_ms.to_string(),
-        list(&row.data_centres, "all"),
+        join_or(&row.data_centres, "all"),
         version.to_string(),
     ]
 }
@@ -121,8 +121,8 @@
             vec![
                 name.to_string(),
                 model.value.version.to_string(),
-                bytes(model.value.reserved_bytes),
-                bytes(model.value.checkpoint_bytes),
+                format_bytes(model.value.reserved_bytes),
+                format_bytes(model.value.checkpoint_bytes),
                 or_dash(model.value.base.as_ref()),
                 model.version.to_string(),
             ]
@@ -146,7 +146,7 @@
         .map(|(name, service)| {
             vec![
                 name.to_string(),
-                list(&service.value.upstreams, "-"),
+                join_or(&service.value.upstreams, "-"),
                 service.version.to_string(),
             ]
         })
@@ -169,7 +169,7 @@
     columns(&["BRAND", "KEYS", "CHANGED"], &rows)
 }
 
-fn list(names: &[Name], empty: &str) -> String {
+fn join_or(names: &[Name], empty: &str) -> String {
     if names.is_empty() {
         return empty.to_string();
     }
--- a/src/cli/view.rs
+++ b/src/cli/view.rs
@@ -1,4 +1,5 @@
-//! The commands that only look: health, hosts, placements, dump, trace, error kinds, settings.
+//! The commands that only read: `health`, `hosts`, `placements`, `dump`, `trace`, `errors` and
+//! `check-settings`.
 
 use crate::cli::call::OperatorClient;
 use crate::cli::exit::{CallSnafu, CliError, Exit, SettingsSnafu};
@@ -6,7 +7,7 @@
     CheckSettingsOptions, DumpOptions, ErrorsOptions, HealthOptions, HostsOptions,
     PlacementsOptions, TraceOptions,
 };
-use crate::cli::render::{bytes, columns, print, print_line};
+use crate::cli::render::{columns, format_bytes, print, print_line};
 use crate::cli::site::http_url;
 use crate::edge::http::{call_json, client};
 use crate::error::Ran;
@@ -20,25 +21,31 @@
 use trillium_client::Method;
 
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(5);
-const SERVING: &str = "serving";
+const SERVING_STATE: &str = "serving";
 
-/// Tells whether a host serves.
+/// Prints whether a host serves callers.
 ///
 /// # Errors
 ///
-/// Returns the state of a host that does not, or why it did not answer.
+/// Returns the state of a host that does not serve, or why it did not answer.
 pub async fn health(options: &HealthOptions) -> Result<Exit, CliError> {
     let url = http_url("--host", &options.host)?;
-    let page = format!("{url}/healthz");
-    let answer =
-        call_json::<Value>(&client(), Method::Get, &page, None::<&()>, HEALTH_TIMEOUT).await;
+    let health_url = format!("{url}/healthz");
+    let answer = call_json::<Value>(
+        &client(),
+        Method::Get,
+        &health_url,
+        None::<&()>,
+        HEALTH_TIMEOUT,
+    )
+    .await;
     let answer = answer.context(CallSnafu { url: &url })?;
     let body = answer.body.unwrap_or_default();
     let state = body["state"].as_str().unwrap_or("unknown").to_string();
     if options.json {
         print_line(&json!({ "host": url, "state": state }).to_string())?;
     }
-    if state != SERVING {
+    if state != SERVING_STATE {
         return Err(CliError::NotServing { url, state });
     }
     if !options.json {
@@ -47,11 +54,11 @@
     Ok(Exit::Done)
 }
 
-/// Prints the hosts.
+/// Prints the hosts of the site, present and departed, as one host knows them.
 ///
 /// # Errors
 ///
-/// Returns why they cannot be read.
+/// Returns why the hosts cannot be read or printed.
 pub async fn hosts(options: &HostsOptions) -> Result<Exit, CliError> {
     let client = OperatorClient::new(&options.site, &options.token_file)?;
     let text = client.get("/hosts").await?;
@@ -66,7 +73,7 @@
         .map(|(host, member)| {
             vec![
                 member.entry.name.to_string(),
-                text_of(&member.state),
+                json_name(&member.state),
                 yes_or_no(member.counted),
                 member.entry.data_centre.to_string(),
                 member.entry.caller_address.to_string(),
@@ -88,11 +95,11 @@
     Ok(Exit::Done)
 }
 
-/// Prints upstreams and copies.
+/// Prints the upstreams and the copies of models on them, as one host knows them.
 ///
 /// # Errors
 ///
-/// Returns why they cannot be read.
+/// Returns why the placements cannot be read or printed.
 pub async fn placements(options: &PlacementsOptions) -> Result<Exit, CliError> {
     let client = OperatorClient::new(&options.site, &options.token_file)?;
     let text = client.get("/placements").await?;
@@ -115,11 +122,15 @@
             let reserved = placement.reserved_bytes(&upstream.name);
             vec![
                 upstream.name.to_string(),
-                text_of(&upstream.role),
+                json_name(&upstream.role),
                 if upstream.leaving { "leaving" } else { "live" }.to_string(),
                 upstream.data_centre.to_string(),
                 upstream.address.to_string(),
-                format!("{} of {}", bytes(reserved), bytes(upstream.memory_bytes)),
+                format!(
+                    "{} of {}",
+                    format_bytes(reserved),
+                    format_bytes(upstream.memory_bytes)
+                ),
                 yes_or_no(upstream.checks_fencing),
             ]
         })
@@ -143,9 +154,9 @@
         .map(|(offset, copy)| {
             vec![
                 format!("{}@{}", copy.load.model, copy.load.version),
-                text_of(&copy.state),
+                json_name(&copy.state),
                 copy.load.upstream.to_string(),
-                bytes(copy.load.reserved_bytes),
+                format_bytes(copy.load.reserved_bytes),
                 offset.to_string(),
                 copy.fence.to_string(),
                 copy.executor.to_string(),
@@ -164,11 +175,11 @@
     columns(&header, &rows)
 }
 
-/// Prints a process's state.
+/// Prints the state of a daemon as JSON.
 ///
 /// # Errors
 ///
-/// Returns why it cannot be read.
+/// Returns why the state cannot be read or printed.
 pub async fn dump(options: &DumpOptions) -> Result<Exit, CliError> {
     let client = OperatorClient::new(&options.site, &options.token_file)?;
     let text = client.get("/dump").await?;
@@ -181,18 +192,18 @@
     Ok(Exit::Done)
 }
 
-/// Prints a process's recorded inputs.
+/// Prints the trace of a daemon, its last recorded inputs, in the form that `replay` reads.
 ///
 /// # Errors
 ///
-/// Returns why they cannot be read.
+/// Returns why the trace cannot be read or printed.
 pub async fn trace(options: &TraceOptions) -> Result<Exit, CliError> {
     let client = OperatorClient::new(&options.site, &options.token_file)?;
     print_line(&client.get("/trace").await?)?;
     Ok(Exit::Done)
 }
 
-/// Prints the table of error kinds.
+/// Prints all error kinds with their status, whether the request ran, and advice.
 ///
 /// # Errors
 ///
@@ -209,36 +220,36 @@
 }
 
 fn error_row(kind: ErrorKind) -> Vec<String> {
-    let line = kind.answer();
-    let ran = match line.ran {
+    let defaults = kind.answer();
+    let ran = match defaults.ran {
         Ran::NotRun => "no",
         Ran::Unknown => "unknown",
     };
     vec![
         kind.name().to_string(),
-        line.status.to_string(),
+        defaults.status.to_string(),
         ran.to_string(),
-        yes_or_no(line.retryable),
-        line.advice.to_string(),
+        yes_or_no(defaults.retryable),
+        defaults.advice.to_string(),
     ]
 }
 
 fn error_json(kind: ErrorKind) -> Value {
-    let line = kind.answer();
+    let defaults = kind.answer();
     json!({
         "kind": kind,
-        "status": line.status,
-        "ran": line.ran,
-        "retryable": line.retryable,
-        "advice": line.advice,
+        "status": defaults.status,
+        "ran": defaults.ran,
+        "retryable": defaults.retryable,
+        "advice": defaults.advice,
     })
 }
 
-/// Checks a settings file.
+/// Checks a daemon's settings file.
 ///
 /// # Errors
 ///
-/// Returns the line, the key, and what is allowed.
+/// Returns the line and the key that is wrong, and what is allowed.
 pub fn check_settings(options: &CheckSettingsOptions) -> Result<Exit, CliError> {
     let file = &options.file;
     Settings::read(file).context(SettingsSnafu)?;
@@ -246,8 +257,9 @@
     Ok(Exit::Done)
 }
 
-/// Writes an enum's name as JSON has it.
-pub fn text_of(value: &impl Serialize) -> String {
+/// Returns the name of a variant as it stands in JSON; empty if the value is not written as a
+/// string.
+pub fn json_name(value: &impl Serialize) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value.as_str().unwrap_or_default().to_string()
 }
