--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the binaries of this package on their own.
+//! Runs the binaries of this package as separate processes, each in a temporary directory.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 use std::fs::write;
@@ -6,6 +6,7 @@
 use std::process::Command;
 use tempfile::TempDir;
 
+/// Valid settings of a daemon. Tests replace single lines by their numbers.
 pub const SETTINGS: &str = r#"name = "entry-1"
 data_centre = "here"
 caller_listen = "127.0.0.1:7000"
@@ -42,38 +43,41 @@
 format = "text"
 "#;
 
-/// What a run of a program gave.
+/// The exit code and the output of a program that has ended.
 #[derive(Debug)]
 pub struct Run {
     pub code: Option<i32>,
-    pub out: String,
-    pub errors: String,
+    pub stdout: String,
+    pub stderr: String,
 }
 
 impl Run {
+    /// Checks the exit code.
     #[track_caller]
     pub fn exits_with(self, code: i32) -> Self {
         assert_eq!(self.code, Some(code), "{self:?}");
         self
     }
 
+    /// Checks that standard error contains `text`.
     #[track_caller]
-    pub fn says(self, text: &str) -> Self {
-        assert!(self.errors.contains(text), "no {text:?} in {self:?}");
+    pub fn prints_error(self, text: &str) -> Self {
+        assert!(self.stderr.contains(text), "no {text:?} in {self:?}");
         self
     }
 
+    /// Checks that standard output contains `text`.
     #[track_caller]
     pub fn prints(self, text: &str) -> Self {
-        assert!(self.out.contains(text), "no {text:?} in {self:?}");
+        assert!(self.stdout.contains(text), "no {text:?} in {self:?}");
         self
     }
 }
 
-/// A directory for a test's files.
-pub struct Place(TempDir);
+/// A temporary directory for a test's files, in which the programs run.
+pub struct TestDirectory(TempDir);
 
-impl Place {
+impl TestDirectory {
     pub fn new() -> Self {
         Self(TempDir::new().expect("a temporary directory"))
     }
@@ -82,16 +86,19 @@
         self.0.path()
     }
 
+    /// Writes a file and returns its path.
     pub fn file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.path().join(name);
         write(&path, text).expect("a file can be written");
         path
     }
 
+    /// Runs `mangovaled` until it ends.
     pub fn daemon(&self, arguments: &[&str]) -> Run {
         self.run(env!("CARGO_BIN_EXE_mangovaled"), arguments)
     }
 
+    /// Runs `mangovale` until it ends.
     pub fn tool(&self, arguments: &[&str]) -> Run {
         self.run(env!("CARGO_BIN_EXE_mangovale"), arguments)
     }
@@ -106,8 +113,8 @@
             .expect("the program can be started");
         Run {
             code: output.status.code(),
-            out: String::from_utf8_lossy(&output.stdout).into_owned(),
-            errors: String::from_utf8_lossy(&output.stderr).into_owned(),
+            stdout: String::from_utf8_lossy(&output.stdout).into_owned(),
+            stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
         }
     }
 }
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events.
+//! Checks that the catalogue of log events in docs/EVENTS.md is complete and agrees with the code.
 
 use mangovale::event_log::LogEvent;
 use std::fs::{read_dir, read_to_string};
@@ -7,7 +7,7 @@
 const CATALOGUE: &str = include_str!("../docs/EVENTS.md");
 const SOURCE: &str = include_str!("../src/event_log.rs");
 
-/// Returns the catalogue's lines as cells: number, event, level, meaning, what to do.
+/// Returns the rows of the catalogue's table as cells: number, event, level, meaning, what to do.
 fn lines() -> Vec<Vec<&'static str>> {
     let rows = CATALOGUE.lines().filter(|line| line.starts_with("| "));
     rows.skip(2)
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_variant_is_in_the_list_of_all() {
+fn the_list_of_all_events_has_every_variant_in_order() {
     let variants = SOURCE
         .lines()
         .filter_map(|line| line.strip_suffix(',')?.trim().split_once(" = "))
@@ -52,24 +52,24 @@
 }
 
 #[test]
-fn every_event_is_written_somewhere() {
+fn every_event_is_used_in_the_source() {
     let source = source_text(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")));
     for event in LogEvent::ALL {
         let name = format!("LogEvent::{event:?}");
-        let is_end = |rest: &str| !rest.starts_with(|c: char| c.is_alphanumeric());
-        let written = source.split(&name).skip(1).any(is_end);
-        assert!(written, "{event:?} is never written");
+        let is_name_end = |rest: &str| !rest.starts_with(|c: char| c.is_alphanumeric());
+        let written = source.split(&name).skip(1).any(is_name_end);
+        assert!(written, "{event:?} is not used outside src/event_log.rs");
     }
 }
 
 fn source_text(directory: &Path) -> String {
     let mut text = String::new();
-    for entry in read_dir(directory).expect("a directory") {
-        let path = entry.expect("an entry").path();
+    for entry in read_dir(directory).expect("a directory that can be read") {
+        let path = entry.expect("a directory entry that can be read").path();
         if path.is_dir() {
             text += &source_text(&path);
         } else if !path.ends_with("event_log.rs") {
-            text += &read_to_string(&path).expect("a source file");
+            text += &read_to_string(&path).expect("a source file that can be read");
         }
     }
     text
--- a/tests/peer_certificates.rs
+++ b/tests/peer_certificates.rs
@@ -1,4 +1,4 @@
-//! Only hosts of the fleet are answered as peers.
+//! Checks that a host answers only peers whose certificates its own fleet's authority has signed.
 
 use mangovale::cli::keys;
 use mangovale::cli::options::KeysOptions;
@@ -20,7 +20,7 @@
         operator: Vec::new(),
         brand: Vec::new(),
     };
-    keys::make(&options).expect("keys can be made");
+    keys::make(&options).expect("keys can be created");
     KeySettings {
         fleet_certificate: directory.join("fleet.pem"),
         host_certificate: directory.join("entry.pem"),
@@ -35,16 +35,17 @@
 }
 
 #[test]
-fn a_peer_of_another_fleet_is_not_answered() {
+fn a_peer_with_the_certificate_of_another_fleet_gets_no_answer() {
     let directory = tempfile::TempDir::new().expect("a temporary directory");
     let own = make_keys(&directory.path().join("own"));
     let other = make_keys(&directory.path().join("other"));
+    // Trusts this fleet, but presents a certificate of the other one.
     let mixed = KeySettings {
         fleet_certificate: own.fleet_certificate.clone(),
         ..other.clone()
     };
     let address = free_address();
-    let server = PeerEdge::bind(address, &own).expect("a server");
+    let server = PeerEdge::bind(address, &own).expect("the server can be bound");
     let (gate, inputs) = Gate::new();
     smol::spawn(server.serve(gate.clone())).detach();
     smol::spawn(async move {
@@ -60,7 +61,7 @@
     })
     .detach();
     let ask = |keys: &KeySettings| {
-        let client = PeerEdge::bind(free_address(), keys).expect("a client");
+        let client = PeerEdge::bind(free_address(), keys).expect("the client can be bound");
         smol::block_on(client.ask(address, &REQUEST))
     };
     assert!(ask(&own).is_some());
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,8 +1,8 @@
-//! The bounded trace, and its replay by the tool.
+//! Tests of the trace of a node's inputs, its size limit, and its replay by the tool.
 
 mod common;
 
-use common::Place;
+use common::TestDirectory;
 use mangovale::clock::Millis;
 use mangovale::daemon::event::Event;
 use mangovale::daemon::node::{Node, NodeConfig};
@@ -12,7 +12,7 @@
 use mangovale::shared_log::record::Incarnation;
 
 const STARTED_AT: Millis = Millis(1_000_000);
-const BOUND_BYTES: usize = 64 << 10;
+const MAX_TRACE_BYTES: usize = 64 << 10;
 
 fn config() -> NodeConfig {
     let timing = TimingSettings::default();
@@ -47,10 +47,11 @@
     Event::HostsListed { list }
 }
 
-/// Drives a node through `steps` pairs of a tick and a host list, and records them.
+/// Passes `steps` pairs of a tick and a host list to a node and records them in a trace. The pairs
+/// are 20 ms apart, and the lists have 0 to 6 hosts.
 fn record(steps: u64) -> (Trace, Node) {
     let mut node = Node::new(config());
-    let mut trace = Trace::with_bound(config(), BOUND_BYTES);
+    let mut trace = Trace::with_bound(config(), MAX_TRACE_BYTES);
     for step in 0..steps {
         let at = STARTED_AT + Millis(step * 20);
         for event in [Event::Tick, host_list((step % 7) as usize)] {
@@ -76,9 +77,9 @@
 }
 
 #[test]
-fn a_long_trace_stays_in_its_bound_and_keeps_the_newest_events() {
+fn a_long_trace_stays_within_its_size_limit_and_keeps_the_newest_events() {
     let (trace, node) = record(2_000);
-    assert!(trace.bytes() <= BOUND_BYTES, "{}", trace.bytes());
+    assert!(trace.bytes() <= MAX_TRACE_BYTES, "{}", trace.bytes());
     let (_, file) = to_file(&trace, &node);
     assert!(file.start.is_some());
     let last = file.events.last().expect("an event");
@@ -88,23 +89,23 @@
 #[test]
 fn a_long_trace_replays_to_the_recorded_state() {
     let (trace, node) = record(2_000);
-    let place = Place::new();
-    place.file("long.trace", &to_file(&trace, &node).0);
-    place
+    let directory = TestDirectory::new();
+    directory.file("long.trace", &to_file(&trace, &node).0);
+    directory
         .tool(&["replay", "long.trace"])
         .exits_with(0)
         .prints("the state at the end is the recorded one");
 }
 
 #[test]
-fn a_replay_that_comes_to_another_state_says_so() {
+fn a_replay_that_ends_in_another_state_is_reported() {
     let (trace, node) = record(5);
-    let place = Place::new();
+    let directory = TestDirectory::new();
     let text = to_file(&trace, &node)
         .0
         .replace("\"Tick\"", "\"StopAsked\"");
-    place.file("changed.trace", &text);
-    place
+    directory.file("changed.trace", &text);
+    directory
         .tool(&["replay", "changed.trace", "--json"])
         .exits_with(11)
         .prints("\"same_end\":false");
