--- a/src/logs/leases.rs
+++ b/src/logs/leases.rs
@@ -12,8 +12,8 @@
     pub from_unix_ms: Millis,
     /// When the host gave up or lost the lease, and why; `None` if no line says so.
     pub until: Option<LeaseEnd>,
-    /// How long no host had held the lease before; `None` if the lines do not say when the period
-    /// before ended.
+    /// How long no host had held the lease before; `None` if the lines do not say when the previous
+    /// period ended.
     pub gap_ms: Option<Millis>,
     /// The number of hosts that logged a change of the orderer before the next period began.
     pub heard_by: usize,
@@ -63,6 +63,7 @@
     periods
 }
 
+/// Ends the newest period of the line's host that has no end yet.
 fn end_period(periods: &mut [LeasePeriod], line: &LogLine) {
     let mut newest_first = periods.iter_mut().rev();
     let open = newest_first.find(|period| period.host == line.host && period.until.is_none());
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_host_is_the_word_before_the_object_or_the_source() {
+fn the_host_is_the_last_word_before_the_object_or_else_the_source() {
     let without_host = line("", 5, LogEvent::Started, "");
     let lines = read_lines(&format!(
         "{}{without_host}",
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -54,12 +54,13 @@
 /// Finds a port that is free for TCP and UDP, a different one at each call. It is below the range
 /// from which outgoing connections take their ports.
 fn free_port() -> u16 {
-    const FIRST: u16 = 10_000;
-    const SPAN: u32 = 20_000;
+    const FIRST_PORT: u16 = 10_000;
+    const PORT_COUNT: u32 = 20_000;
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST + (std::process::id().wrapping_mul(61).wrapping_add(number) % SPAN) as u16;
+        let port = FIRST_PORT
+            + (std::process::id().wrapping_mul(61).wrapping_add(number) % PORT_COUNT) as u16;
         let address = ("127.0.0.1", port);
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return port;
