--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock type: milliseconds.
+//! Points in time and spans in milliseconds, and the clock that a process reads.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,8 +7,9 @@
 
 /// A point in time or a span, in milliseconds.
 ///
-/// Points are Unix time as first read at process start and advanced by the boot-time clock, so they
-/// never step back within a process. Subtraction saturates at zero.
+/// A point is a Unix time: the time of day at process start, advanced by the boot-time clock, so
+/// that it never goes backwards within a process. Addition saturates at the largest value,
+/// subtraction at zero.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,12 +17,12 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Zero milliseconds.
+    /// The empty span.
     pub const ZERO: Self = Self(0);
-    /// A point that is never reached.
+    /// The point in time that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// Returns the span from `earlier` to this point, or zero when it lies ahead.
+    /// Returns the span from `earlier` to this point, or zero if `earlier` is after this point.
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
@@ -65,10 +66,11 @@
     }
 }
 
-/// Reads the time at the edge of a process.
+/// Reads the present time for a process.
 ///
-/// It advances with the boot-time clock, which runs on while a machine is suspended: a lease or a deadline
-/// that ends meanwhile must be seen as ended. The time of day is read once, so its jumps change nothing.
+/// It advances with the boot-time clock, which also counts while the machine is suspended, so that
+/// a lease or deadline that passed during a suspension is seen as passed. The time of day is read
+/// only at the start: later changes of it have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_boot_ms: u64,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Returns the present time.
+    /// Returns the present Unix time, in milliseconds.
     pub fn now(&self) -> Millis {
         Millis(self.started_unix_ms + boot_ms().saturating_sub(self.started_boot_ms))
     }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,95 +1,95 @@
-//! The closed list of error kinds that callers and operators see, with the table from kind to answer.
+//! The complete list of error kinds that callers and operators see, with the HTTP answer to each.
 
 use crate::clock::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Why a request or an operator's command was not answered as asked.
+/// The reason for which a request or an operator's command failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
     /// The request is malformed.
     BadRequest,
-    /// No credential, or one that no brand or operator has.
+    /// The credential is missing, or belongs to no brand or operator.
     BadCredential,
     /// The credential does not allow this call.
     Forbidden,
     /// The table has no row for this brand and model or service.
     UnknownModel,
-    /// The path names nothing.
+    /// There is no resource at the path.
     NotFound,
-    /// The body is larger than allowed.
+    /// The request body is larger than allowed.
     BodyTooLarge,
-    /// The head is larger than allowed.
+    /// The request line and headers are larger than allowed.
     HeadTooLarge,
-    /// The request did not arrive whole.
+    /// The request did not arrive completely.
     RequestIncomplete,
-    /// The row's limit is reached.
+    /// The request limit of the row of the table is reached.
     RowLimit,
     /// The organisation's rate limit is reached.
     RateLimited,
-    /// Upstreams crashed each time they ran the request; it is not sent any more.
+    /// Upstreams crashed each time they ran the request, so it is no longer sent to any.
     Quarantined,
-    /// Queues are full.
+    /// The queues of this host are full.
     Overloaded,
-    /// The model cannot be ready before the deadline.
+    /// The model cannot be loaded before the deadline.
     ColdStartTooLong,
-    /// No upstream can take the model now.
+    /// No upstream can load the model now.
     NoCapacity,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// This host cannot tell whether its state is current.
+    /// This host cannot verify that its state is up to date.
     CutOff,
-    /// This host has not caught up with the log since its start.
+    /// This host has not yet applied the log up to its end since it started.
     Starting,
-    /// The log cannot be reached, and the call needs it.
+    /// The call needs the log, which cannot be reached.
     LogUnavailable,
     /// This host is stopping.
     Stopping,
-    /// The upstream failed before running anything.
+    /// The upstream failed before it ran anything.
     UpstreamFailed,
-    /// The upstream may have run the operation; the answer is lost.
+    /// The upstream may have run the operation, but its answer is lost.
     OutcomeUnknown,
-    /// The upstream did not answer within the request's time; it may have run it.
+    /// The upstream did not answer within the time limit of the request, and may have run it.
     AnswerTimeout,
-    /// The answer broke off after its start.
+    /// The upstream's answer ended after its start but before it was complete.
     AnswerBroken,
-    /// The same operation key came with another request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
-    /// The edit is based on an older version of what it changes.
+    /// The edit is based on an outdated version of what it changes.
     EditConflict,
     /// The edit would make the table invalid.
     EditInvalid,
-    /// The edit is on the log but not yet confirmed everywhere.
+    /// The edit is in the log but not yet confirmed by every host.
     EditPending,
-    /// A defect in this process.
+    /// This process has a defect.
     Internal,
 }
 
-/// Whether anything of the request was run.
+/// Whether any part of a request was run, as told to the caller, who decides by it about a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Nothing was run.
+    /// Nothing was run; a retry repeats no effect.
     NotRun,
-    /// It may have run.
+    /// The request may have been run, completely or in part.
     Unknown,
 }
 
-/// One line of the table from kind to answer.
+/// The answer that belongs to an error kind.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerLine {
+pub struct ErrorAnswer {
     /// The HTTP status.
     pub status: u16,
     /// Whether the request may have run.
     pub ran: Ran,
-    /// Whether the same request may succeed later or at another host.
+    /// Whether the same request may succeed later, or at another host.
     pub retryable: bool,
-    /// What the caller can do, in one sentence.
+    /// What the caller can do, as a short phrase.
     pub advice: &'static str,
 }
 
 impl ErrorKind {
-    /// Every kind, in the order of the documentation.
+    /// Every kind, in the order in which the documentation lists them.
     pub const ALL: [Self; 28] = [
         Self::BadRequest,
         Self::BadCredential,
@@ -121,7 +121,7 @@
         Self::Internal,
     ];
 
-    /// Returns the kind's name, as answers, metrics and logs have it.
+    /// Returns the kind's name as it is written in answers, metrics and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -156,7 +156,7 @@
     }
 
     /// Returns the answer that belongs to this kind.
-    pub const fn answer(self) -> AnswerLine {
+    pub const fn answer(self) -> ErrorAnswer {
         use Ran::{NotRun, Unknown};
         match self {
             Self::BadRequest => line(400, NotRun, false, "correct the request"),
@@ -214,8 +214,9 @@
     }
 }
 
-const fn line(status: u16, ran: Ran, retryable: bool, advice: &'static str) -> AnswerLine {
-    AnswerLine {
+/// Builds the answer of one line of the table in [`ErrorKind::answer`].
+const fn line(status: u16, ran: Ran, retryable: bool, advice: &'static str) -> ErrorAnswer {
+    ErrorAnswer {
         status,
         ran,
         retryable,
@@ -223,24 +224,24 @@
     }
 }
 
-/// A final answer that says no.
+/// A final answer that reports an error instead of a result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The kind of the error.
     pub kind: ErrorKind,
-    /// What happened, in one sentence.
+    /// What happened, as a short text for people.
     pub message: String,
-    /// How long the caller does well to wait before it comes back.
+    /// How long the caller should wait before a retry.
     pub retry_after_ms: Option<Millis>,
-    /// Whether anything ran; usually what the kind's line says.
+    /// Whether anything was run; [`Refusal::new`] takes it from the answer of the kind.
     pub ran: Ran,
-    /// Addresses of other hosts to try.
+    /// Addresses of other hosts that the caller can try.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub try_hosts: Vec<std::sync::Arc<str>>,
 }
 
 impl Refusal {
-    /// Makes a refusal with the kind's own line.
+    /// Creates a refusal whose `ran` is that of the kind's answer, without a time for a retry.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Adds the time after which to come back.
+    /// Sets the time after which the caller should retry.
     pub fn after(mut self, retry_after_ms: Millis) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
--- a/src/event_log.rs
+++ b/src/event_log.rs
@@ -1,142 +1,143 @@
-//! Numbered log events. `docs/EVENTS.md` is their catalogue.
+//! Log events with fixed numbers, as listed in `docs/EVENTS.md`.
 
 use crate::daemon::process_log::LOG_TARGET;
 use log::Level;
 
-/// Something a daemon reports in its log under a fixed number.
+/// An event that a daemon writes to its process log under a fixed number.
 ///
-/// A new one also goes into [`LogEvent::ALL`] and `docs/EVENTS.md`; `tests/events.rs` checks it.
+/// A new event must also be added to [`LogEvent::ALL`] and `docs/EVENTS.md`; `tests/events.rs`
+/// checks this. Unless it says process log, "log" means the shared log of the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u16)]
 pub enum LogEvent {
     /// The daemon started.
     Started = 100,
-    /// The daemon joined and is caught up.
+    /// The daemon joined the group of hosts and has applied the log up to its end.
     Joined = 101,
-    /// A planned stop began.
+    /// The daemon began an orderly stop.
     StopBegan = 102,
     /// The daemon stopped.
     Stopped = 103,
-    /// A task panicked; the process ends at once.
+    /// A task panicked, and the process exits at once.
     Panicked = 104,
-    /// Changed settings are in effect.
+    /// The changed settings are in effect.
     SettingsReloaded = 105,
-    /// Changed settings cannot be used.
+    /// The changed settings are invalid; the former ones stay in effect.
     SettingsRejected = 106,
     /// The log cannot be reached.
     LogLost = 200,
     /// The log can be reached again.
     LogBack = 201,
-    /// The next record was trimmed before it was read.
+    /// The log trimmed the next record before this host read it.
     LogTrimmed = 202,
-    /// A record could not be decoded.
+    /// A record of the log could not be decoded.
     RecordUndecodable = 203,
-    /// An append's outcome is unknown.
+    /// It is unknown whether an append to the log took effect.
     AppendUnknown = 204,
-    /// A checkpoint was appended.
+    /// This host appended a checkpoint to the log.
     CheckpointWritten = 205,
-    /// The state was taken from a checkpoint.
+    /// This host restored its state from a checkpoint.
     CheckpointRead = 206,
-    /// The log ends before what was applied.
+    /// The log ends before the last record that this host applied.
     LogShorter = 207,
-    /// A newer release wrote a record; this host stops serving before it.
+    /// A newer release wrote a record that this host cannot apply, so it stops serving.
     RecordNewer = 208,
-    /// This host stopped being fresh.
+    /// This host no longer knows whether its state is up to date.
     BecameStale = 300,
-    /// This host is fresh again.
+    /// This host knows again that its state is up to date.
     BecameFresh = 301,
-    /// The process was paused.
+    /// The process did not run for longer than the settings allow.
     Paused = 302,
-    /// A peer is suspected.
+    /// A peer has been silent for too long and is suspected to have failed.
     PeerSuspected = 303,
-    /// A host was evicted.
+    /// A host was evicted from the group.
     HostEvicted = 304,
-    /// A peer was refused for its certificate.
+    /// A peer's connection was refused in its handshake, as for an invalid certificate.
     PeerRefused = 305,
-    /// This host was taken for dead and comes back as another incarnation.
+    /// This host was evicted while it ran, and joins again as a new incarnation.
     Rejoining = 306,
-    /// The group of hosts has other members.
+    /// The members of the group of hosts changed.
     MembersChanged = 307,
-    /// An edit was accepted by the fold.
+    /// An edit of the table was accepted when its record was applied.
     EditAccepted = 400,
-    /// An edit was rejected by the fold.
+    /// An edit of the table was rejected when its record was applied.
     EditRejected = 401,
-    /// An edit is in force everywhere.
+    /// An edit of the table is in force at every host.
     EditInForce = 402,
     /// A version of the desired state is in force at this host.
     DesiredTaken = 403,
-    /// A load was decided.
+    /// The load of a model was decided.
     LoadDecided = 500,
-    /// A copy became ready.
+    /// A copy of a model is ready for requests.
     CopyReady = 501,
-    /// A load failed.
+    /// The load of a model failed.
     LoadFailed = 502,
-    /// An unload was decided.
+    /// The unload of a copy was decided.
     UnloadDecided = 503,
-    /// A copy is gone.
+    /// A copy no longer exists.
     CopyGone = 504,
-    /// An order was taken over.
+    /// This host took over an order from another host.
     OrderTakenOver = 505,
-    /// An order that another host took over is sent no more.
+    /// This host stopped sending an order, as another host took it over.
     OrderRelinquished = 506,
-    /// A copy is to go whatever the demand for it.
+    /// A copy is to be unloaded regardless of the demand for it.
     CopyRetired = 507,
-    /// An idle copy is to go for another model.
+    /// An idle copy is to be unloaded to free memory for another model.
     CopyEvicted = 508,
-    /// This host took the lease to order loads.
+    /// This host acquired the lease of the orderer, which orders loads.
     LeaseTaken = 509,
-    /// This host orders loads no longer.
+    /// This host no longer holds the lease of the orderer.
     LeaseEnded = 510,
     /// An order was sent to an engine.
     OrderSent = 511,
-    /// What became of an order is known.
+    /// The outcome of an order is known.
     OrderEnded = 512,
-    /// The orderer read an engine anew.
+    /// The orderer read the state of an engine again.
     EngineRead = 513,
-    /// Another host orders loads.
+    /// Another host became the orderer.
     OrdererChanged = 514,
     /// An engine's report could not be read.
     ReportFailed = 515,
     /// An upstream was registered.
     UpstreamRegistered = 600,
-    /// An upstream is leaving.
+    /// An upstream is leaving and takes no new work.
     UpstreamLeaving = 601,
-    /// An upstream does not answer.
+    /// An upstream does not answer or cannot be reached.
     UpstreamSilent = 602,
-    /// An upstream is used no longer.
+    /// An upstream is no longer used.
     UpstreamGone = 603,
-    /// The entry of an upstream changed.
+    /// The list entry of an upstream changed.
     UpstreamUpdated = 604,
-    /// An upstream ended while it ran requests of this host.
+    /// An upstream crashed while it ran requests of this host.
     UpstreamCrashed = 605,
-    /// An upstream named another limit of requests a second than before, or none any more.
+    /// An upstream reported a changed limit of requests per second, or no limit any more.
     UpstreamLimited = 606,
-    /// This host has the list of upstreams.
+    /// This host received the list of upstreams.
     ListTaken = 607,
-    /// A request was refused.
+    /// A request of a caller was refused.
     RequestRefused = 700,
-    /// An attempt failed.
+    /// An attempt of a request at an upstream failed.
     AttemptFailed = 701,
-    /// An outcome is unknown.
+    /// It is unknown whether an upstream ran a request.
     OutcomeUnknown = 702,
-    /// A request has its whole answer.
+    /// A request was answered completely.
     RequestAnswered = 703,
-    /// A request ended without a whole answer.
+    /// A request ended without a complete answer.
     RequestFailed = 704,
-    /// A caller left before the answer was whole.
+    /// A caller disconnected before its answer was complete.
     CallerGone = 705,
-    /// A broken stream went on at another upstream, or could not.
+    /// A broken stream was resumed at another upstream, or could not be resumed.
     StreamResumed = 706,
-    /// A request was not sent, because upstreams crash that run it.
+    /// A request was not sent, because upstreams that run it crash.
     RequestQuarantined = 707,
-    /// A claim was made for an operation.
+    /// This host claimed an operation, so that no other host runs it.
     ClaimMade = 800,
-    /// A claim ended.
+    /// The claim of an operation ended.
     ClaimEnded = 801,
 }
 
 impl LogEvent {
-    /// Every event, in the order of the numbers.
+    /// Every event, in ascending order of the numbers.
     pub const ALL: &[Self] = &[
         Self::Started,
         Self::Joined,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! Mangovale serves many rarely used models to many brands.
 //!
-//! The library holds every decision as a pure state machine (`handle(now, event) -> effects`) and, in
-//! [`edge`], the only code that touches sockets. [`daemon`] joins the two in one event loop.
+//! The decisions are made by pure state machines (`handle(now, event) -> effects`). [`edge`] holds
+//! the code that does input and output over sockets for them; [`daemon`] connects the two in one
+//! event loop.
 
 pub mod admission;
 pub mod attempt;
--- a/src/pairs.rs
+++ b/src/pairs.rs
@@ -1,14 +1,15 @@
-//! Writes a map as a list of pairs, for keys that are no texts: JSON maps take text keys only.
+//! Serialises a map as a list of key-value pairs, for keys that are not strings: JSON objects allow
+//! string keys only. For `#[serde(with = ...)]`.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::hash::Hash;
 
-/// Writes the map.
+/// Serialises the map as a list of pairs, in its order.
 ///
 /// # Errors
 ///
-/// Returns the encoder's error.
+/// Returns the serialiser's error.
 pub fn serialize<K, V, S>(map: &IndexMap<K, V>, serializer: S) -> Result<S::Ok, S::Error>
 where
     K: Serialize,
@@ -18,11 +19,11 @@
     serializer.collect_seq(map)
 }
 
-/// Reads the map.
+/// Deserialises the map from a list of pairs; of pairs with equal keys, the last one counts.
 ///
 /// # Errors
 ///
-/// Returns the decoder's error.
+/// Returns the deserialiser's error.
 pub fn deserialize<'de, K, V, D>(deserializer: D) -> Result<IndexMap<K, V>, D::Error>
 where
     K: Deserialize<'de> + Eq + Hash,
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! Re-exports the types that most modules use.
 
 pub use crate::clock::Millis;
 pub use crate::daemon::effect::{Effect, Effects};
@@ -10,5 +10,5 @@
 pub use serde::{Deserialize, Serialize};
 pub use std::sync::Arc;
 
-/// A shared immutable name.
+/// An immutable string that is cheap to clone: a name, a hash or another identifier.
 pub type Name = Arc<str>;
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -1,11 +1,11 @@
-//! What tests of several modules share.
+//! Helpers for the tests of several modules.
 
 use crate::desired::{Repeat, Route, Target};
 use crate::group::Member;
 use crate::prelude::*;
 use std::net::SocketAddr;
 
-/// Runs a property on inputs made from fixed seeds, and returns what it returned.
+/// Runs a property `runs` times on random inputs from fixed seeds, and returns its results.
 pub fn seeded<T>(
     runs: u64,
     property: impl Fn(&mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<T>,
@@ -19,7 +19,7 @@
     (0..runs).map(run).collect()
 }
 
-/// A host of the group.
+/// Creates a member of the group whose port and fingerprint are made from its incarnation.
 pub fn member(incarnation: u64, data_centre: &str, cpu_millicores: u32) -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], incarnation as u16));
     Member {
@@ -32,7 +32,9 @@
     }
 }
 
-/// Makes a route of all requests of host `h` to service `s`, once each, which a test changes as it needs.
+/// Creates a route that sends all requests for host name `h` to service `s`, each at most once.
+///
+/// Tests change the fields that they need.
 pub fn route() -> Route {
     Route {
         name: "r".into(),
