--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: a TOML file, checked whole before anything starts.
+//! The daemon's settings: a TOML file, of which every value is checked before anything starts.
 
 mod check;
 
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Why settings cannot be used.
+/// The reason for which a settings file cannot be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
@@ -19,33 +19,33 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the read.
         source: std::io::Error,
     },
-    /// The file is not TOML, or has a key or value that is not allowed.
+    /// The file is not TOML, has an unknown key, or lacks or mistypes a value.
     #[snafu(display("{}: {}", path.display(), source.to_string().trim_end()))]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// The decoder's error, with the place in the file.
         source: Box<toml::de::Error>,
     },
-    /// A value is outside of its range.
-    #[snafu(display("{}{}: {key}: {why}", path.display(), line_text(*line)))]
+    /// A value is outside its allowed range.
+    #[snafu(display("{}{}: {key}: {why}", path.display(), line_suffix(*line)))]
     OutOfRange {
         /// The file.
         path: PathBuf,
-        /// The line, when the key is in the file.
+        /// The line number from 1; `None` if the key is not in the file.
         line: Option<usize>,
-        /// The key.
+        /// The key, as `key` or `section.key`.
         key: &'static str,
-        /// What is allowed.
+        /// Which values are allowed.
         why: String,
     },
 }
 
 impl SettingsError {
-    /// Returns what to do next, in one sentence.
+    /// Returns what the operator can do, as a short phrase.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Unreadable { .. } => "check the path and its permissions",
@@ -56,49 +56,49 @@
     }
 }
 
-fn line_text(line: Option<usize>) -> String {
+fn line_suffix(line: Option<usize>) -> String {
     line.map_or_else(String::new, |line| format!(": line {line}"))
 }
 
-/// The settings of one daemon.
+/// The settings of one daemon, as read from its file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host's name, unique in the site.
+    /// The host's name, which must be unique in the site.
     pub name: Arc<str>,
-    /// The data centre it stands in.
+    /// The data centre in which the host runs.
     pub data_centre: Arc<str>,
-    /// Where callers connect.
+    /// The address at which callers connect (TCP).
     pub caller_listen: SocketAddr,
-    /// Where other hosts connect (UDP).
+    /// The address at which other hosts connect (UDP).
     pub peer_listen: SocketAddr,
-    /// Where operators connect.
+    /// The address at which operators connect (TCP).
     pub operator_listen: SocketAddr,
-    /// The address that callers are told, when it is not `caller_listen`.
+    /// The address announced to callers, if it differs from `caller_listen`.
     #[serde(default)]
     pub caller_advertise: Option<SocketAddr>,
-    /// The address that other hosts are told, when it is not `peer_listen`.
+    /// The address announced to other hosts, if it differs from `peer_listen`.
     #[serde(default)]
     pub peer_advertise: Option<SocketAddr>,
-    /// The platform's services.
+    /// The addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Keys and certificates.
+    /// The files of keys and certificates, and the hashes of the operators' tokens.
     pub keys: KeySettings,
-    /// Times that the hosts of a site share.
+    /// Timing of failure detection, which all hosts of a site must set alike.
     #[serde(default)]
     pub timing: TimingSettings,
-    /// Placement policy.
+    /// The policy by which copies of models are kept loaded.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests, answers and connections.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// The process's own log.
+    /// The process log, which is not the shared log of the platform.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
@@ -109,7 +109,8 @@
     pub stream: String,
     /// The host list, as `http://host:port`.
     pub hosts_url: String,
-    /// The weight store, as `http://host:port`; without it fetch times are not predicted.
+    /// The weight store, as `http://host:port`. Without it, fetch times of weights are not
+    /// predicted.
     #[serde(default)]
     pub store_url: Option<String>,
 }
@@ -118,33 +119,33 @@
     "mangovale".to_string()
 }
 
-/// Keys and certificates, as files in PEM form.
+/// Keys and certificates as paths of PEM files, and the hashes of the operators' tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// The fleet's certificate, which signs the hosts' own.
+    /// The fleet's certificate, the authority that signed the certificate of each host.
     pub fleet_certificate: PathBuf,
     /// This host's certificate.
     pub host_certificate: PathBuf,
     /// This host's private key.
     pub host_key: PathBuf,
-    /// SHA-256 of each operator's token, as 64 hex digits.
+    /// SHA-256 of each operator's token, as 64 lower-case hex digits.
     pub operator_token_sha256: Vec<Arc<str>>,
 }
 
-/// Times that the hosts of a site share.
+/// Timing of failure detection, which all hosts of a site must set alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimingSettings {
-    /// How long a host may serve without learning the newest offset.
+    /// How long a host may serve without learning the newest offset of the log.
     pub fresh_bound_ms: Millis,
-    /// The longest gap in a process's clock that is not a pause.
+    /// The longest time between two events of a process that does not count as a pause of it.
     pub pause_ms: Millis,
-    /// The time between rounds of probes.
+    /// The time between two rounds of probes of other hosts.
     pub probe_interval_ms: Millis,
-    /// How long a silent peer is not suspected.
+    /// How long a peer may be silent before it is suspected to have failed.
     pub suspect_after_ms: Millis,
-    /// Partners in a round of probes.
+    /// The number of peers probed in each round.
     pub probes_per_round: u32,
 }
 
@@ -160,23 +161,23 @@
     }
 }
 
-/// Placement policy.
+/// The policy by which copies of models are kept loaded.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
-    /// When idle copies are unloaded.
+    /// The rule that decides when an idle copy is unloaded.
     pub keep_warm: KeepWarmRule,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests, answers and connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BoundSettings {
-    /// The longest request body.
+    /// The longest request body, in bytes.
     pub body_bytes: u64,
-    /// The longest answer that is not a stream.
+    /// The longest answer that is not a stream, in bytes.
     pub answer_bytes: u64,
-    /// Most connections of callers at once.
+    /// The most connections of callers open at the same time.
     pub connections: usize,
 }
 
@@ -190,15 +191,15 @@
     }
 }
 
-/// The process's own log.
+/// The process log, which is not the shared log of the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The least level that is written.
+    /// The least severe level that is written.
     pub level: LogLevel,
-    /// The form of its lines.
+    /// The format of a line.
     pub format: LogFormat,
-    /// Where to write; standard error when absent.
+    /// The file to write to; standard error if absent.
     pub file: Option<PathBuf>,
 }
 
@@ -212,27 +213,27 @@
     }
 }
 
-/// A level of the process's own log.
+/// A level of the process log. Each level includes those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
     /// Errors only.
     Error,
-    /// Warnings too.
+    /// Errors and warnings.
     Warn,
-    /// The usual course too.
+    /// Also events of normal operation.
     Info,
-    /// Single requests too.
+    /// Also events of single requests.
     Debug,
 }
 
-/// The form of the lines of the process's own log.
+/// The format of a line of the process log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
     /// Time, level, event number, event name, details.
     Text,
-    /// One JSON object a line, the same as its `message`.
+    /// One JSON object for each line; its `message` holds event number, event name and details.
     Json,
 }
 
@@ -241,7 +242,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the file, the line and key, and what is allowed.
+    /// Returns the error with the file and, where known, the line, the key and the allowed values.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let settings: Self = toml::from_str(&text)
@@ -249,7 +250,7 @@
             .context(MalformedSnafu { path })?;
         match check::check(&settings) {
             Ok(()) => Ok(settings),
-            Err(check::Fault { key, why }) => OutOfRangeSnafu {
+            Err(check::InvalidValue { key, why }) => OutOfRangeSnafu {
                 path,
                 line: check::line_of(&text, key),
                 key,
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! The ranges of the settings' values.
+//! Checks the ranges of the values of the settings.
 
 use crate::clock::Millis;
 use crate::placement::policy::keep_warm::KeepWarmRule;
@@ -6,31 +6,31 @@
 use std::net::SocketAddr;
 
 const MAX_NAME_BYTES: usize = 64;
-const HASH_DIGITS: usize = 64;
+const SHA256_HEX_DIGITS: usize = 64;
 const MAX_PROBES_PER_ROUND: u32 = 64;
 const MAX_FRESH_BOUND_MS: Millis = Millis(60_000);
 const MAX_BODY_BYTES: u64 = 1 << 30;
 const MAX_CONNECTIONS: usize = 1 << 20;
-/// The loop is woken each 20 ms; a shorter bound would take every hiccup for a pause.
+/// The event loop is woken every 20 ms; a lower value would take small delays for pauses.
 const MIN_PAUSE_MS: Millis = Millis(100);
 
-/// A value that is not allowed.
+/// A value of the settings that is not allowed.
 #[derive(Debug, PartialEq)]
-pub struct Fault {
-    /// The key.
+pub struct InvalidValue {
+    /// The key, as `key` or `section.key`.
     pub key: &'static str,
-    /// What is allowed.
+    /// Which values are allowed.
     pub why: String,
 }
 
-type Check = Result<(), Fault>;
+type CheckResult = Result<(), InvalidValue>;
 
-/// Checks every value.
+/// Checks every value that has a limited range.
 ///
 /// # Errors
 ///
 /// Returns the first value that is not allowed.
-pub fn check(settings: &Settings) -> Check {
+pub fn check(settings: &Settings) -> CheckResult {
     name("name", &settings.name)?;
     name("data_centre", &settings.data_centre)?;
     addresses(settings)?;
@@ -41,22 +41,22 @@
     bounds(settings)
 }
 
-fn require(allowed: bool, key: &'static str, why: impl Into<String>) -> Check {
+fn require(allowed: bool, key: &'static str, why: impl Into<String>) -> CheckResult {
     if allowed {
         return Ok(());
     }
     let why = why.into();
-    Err(Fault { key, why })
+    Err(InvalidValue { key, why })
 }
 
-fn name(key: &'static str, value: &str) -> Check {
+fn name(key: &'static str, value: &str) -> CheckResult {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     let allowed = (1..=MAX_NAME_BYTES).contains(&value.len()) && value.bytes().all(is_allowed);
     let why = format!("takes 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.'");
     require(allowed, key, why)
 }
 
-fn addresses(settings: &Settings) -> Check {
+fn addresses(settings: &Settings) -> CheckResult {
     let listens = [
         ("caller_listen", settings.caller_listen),
         ("peer_listen", settings.peer_listen),
@@ -65,26 +65,31 @@
     for (key, address) in listens {
         require(address.port() != 0, key, "takes a port above 0")?;
     }
-    let same = settings.caller_listen == settings.operator_listen;
-    require(!same, "operator_listen", "must not be caller_listen")?;
+    let same_address = settings.caller_listen == settings.operator_listen;
+    require(
+        !same_address,
+        "operator_listen",
+        "must not be caller_listen",
+    )?;
     let callers = settings.caller_advertise;
     let peers = settings.peer_advertise;
-    told(
+    advertised_address(
         "caller_listen",
         settings.caller_listen,
         "caller_advertise",
         callers,
     )?;
-    told("peer_listen", settings.peer_listen, "peer_advertise", peers)
+    advertised_address("peer_listen", settings.peer_listen, "peer_advertise", peers)
 }
 
-/// Checks the address that others are told.
-fn told(
+/// Checks the address announced to others: the advertised address if there is one, else the address
+/// to listen on.
+fn advertised_address(
     listen_key: &'static str,
     listen: SocketAddr,
     advertise_key: &'static str,
     advertise: Option<SocketAddr>,
-) -> Check {
+) -> CheckResult {
     match advertise {
         Some(address) => {
             let usable = address.port() != 0 && !address.ip().is_unspecified();
@@ -103,36 +108,40 @@
     }
 }
 
-fn platform(settings: &Settings) -> Check {
+fn platform(settings: &Settings) -> CheckResult {
     let platform = &settings.platform;
-    url("platform.log_url", &platform.log_url)?;
-    url("platform.hosts_url", &platform.hosts_url)?;
+    service_url("platform.log_url", &platform.log_url)?;
+    service_url("platform.hosts_url", &platform.hosts_url)?;
     if let Some(store_url) = &platform.store_url {
-        url("platform.store_url", store_url)?;
+        service_url("platform.store_url", store_url)?;
     }
     name("platform.stream", &platform.stream)
 }
 
-fn url(key: &'static str, value: &str) -> Check {
+fn service_url(key: &'static str, value: &str) -> CheckResult {
     let address = value.strip_prefix("http://").unwrap_or_default();
     let address = address.trim_end_matches('/');
     let has_port = address
         .rsplit_once(':')
         .is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok());
-    let plain = !address.contains(['/', ' ', '@', '?']);
-    require(has_port && plain, key, "takes http://host:port")
+    let has_only_host_and_port = !address.contains(['/', ' ', '@', '?']);
+    require(
+        has_port && has_only_host_and_port,
+        key,
+        "takes http://host:port",
+    )
 }
 
-fn keys(settings: &Settings) -> Check {
+fn keys(settings: &Settings) -> CheckResult {
     let key = "keys.operator_token_sha256";
     let hashes = &settings.keys.operator_token_sha256;
     require(!hashes.is_empty(), key, "takes at least one hash")?;
-    let is_hash = |hash: &str| hash.len() == HASH_DIGITS && hash.bytes().all(is_lower_hex);
+    let is_hash = |hash: &str| hash.len() == SHA256_HEX_DIGITS && hash.bytes().all(is_lower_hex);
     let allowed = hashes.iter().all(|hash| is_hash(hash));
     require(
         allowed,
         key,
-        format!("takes {HASH_DIGITS} hex digits each, in lower case"),
+        format!("takes {SHA256_HEX_DIGITS} hex digits each, in lower case"),
     )
 }
 
@@ -140,7 +149,7 @@
     byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte)
 }
 
-fn timing(settings: &Settings) -> Check {
+fn timing(settings: &Settings) -> CheckResult {
     let timing = &settings.timing;
     let fresh_bound_ms = timing.fresh_bound_ms;
     let interval_ms = timing.probe_interval_ms;
@@ -160,7 +169,7 @@
     require(allowed, "timing.probes_per_round", why)
 }
 
-fn policy(settings: &Settings) -> Check {
+fn policy(settings: &Settings) -> CheckResult {
     let key = "policy.keep_warm";
     if let KeepWarmRule::FixedTimeout { idle_ms } = settings.policy.keep_warm {
         require(idle_ms > Millis::ZERO, key, "idle_ms must be above 0")?;
@@ -172,7 +181,7 @@
     Ok(())
 }
 
-fn bounds(settings: &Settings) -> Check {
+fn bounds(settings: &Settings) -> CheckResult {
     let bounds = &settings.bounds;
     let bytes = 1..=MAX_BODY_BYTES;
     let why = format!("must be between 1 and {MAX_BODY_BYTES}");
@@ -191,9 +200,11 @@
     require(allowed, "bounds.connections", why)
 }
 
-/// Finds the line of a key, as `key` or `section.key`, in the text of a settings file.
+/// Finds a key, given as `key` or `section.key`, in the text of a settings file.
+///
+/// Returns its line number, counted from 1, or `None` if the key is not in the text.
 pub fn line_of(text: &str, key: &str) -> Option<usize> {
-    let (wanted_section, wanted_key) = key.rsplit_once('.').unwrap_or(("", key));
+    let (sought_section, sought_key) = key.rsplit_once('.').unwrap_or(("", key));
     let mut section = String::new();
     for (index, line) in text.lines().enumerate() {
         let line = line.trim();
@@ -207,7 +218,7 @@
             continue;
         }
         let found = line.split('=').next().unwrap_or_default().trim();
-        if section == wanted_section && found == wanted_key {
+        if section == sought_section && found == sought_key {
             return Some(index + 1);
         }
     }
