--- a/src/edge/answer.rs
+++ b/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Writes answers: whole ones, JSON pages, refusals.
+//! Writes HTTP answers: complete answers of upstreams, JSON, refusals.
 
 use crate::edge::upstream::{NOT_RUN, RUN_HEADER};
 use crate::error::Ran;
@@ -7,8 +7,8 @@
 use serde_json::json;
 use trillium::Conn;
 
-/// Answers with what an upstream answered.
-pub(super) fn whole_answer(conn: Conn, answer: &KeptAnswer, request_id: &str) -> Conn {
+/// Answers with a complete answer of an upstream.
+pub(super) fn upstream_answer(conn: Conn, answer: &KeptAnswer, request_id: &str) -> Conn {
     let content_type = answer.content_type.as_deref();
     let content_type = content_type.unwrap_or("application/octet-stream");
     conn.with_status(answer.status)
@@ -18,7 +18,7 @@
         .halt()
 }
 
-/// Answers with a JSON body.
+/// Answers with a value encoded as JSON.
 pub fn json_answer(conn: Conn, status: u16, body: &impl Serialize) -> Conn {
     let text = serde_json::to_string(body).unwrap_or_default();
     conn.with_status(status)
@@ -27,11 +27,11 @@
         .halt()
 }
 
-/// Answers with a refusal, by the table of error kinds.
+/// Answers with a refusal, with the status and advice of its [`ErrorKind`].
 pub fn refuse(conn: Conn, refusal: &Refusal, request_id: &str) -> Conn {
-    let line = refusal.kind.answer();
+    let error_answer = refusal.kind.answer();
     let mut conn = conn
-        .with_status(line.status)
+        .with_status(error_answer.status)
         .with_response_header("content-type", "application/json")
         .with_body(error_body(refusal, request_id));
     if let Some(retry_after_ms) = refusal.retry_after_ms {
@@ -44,16 +44,16 @@
     conn.halt()
 }
 
-/// Returns the one JSON form of all errors.
+/// Returns the JSON form that all errors share.
 pub(super) fn error_body(refusal: &Refusal, request_id: &str) -> String {
-    let line = refusal.kind.answer();
+    let error_answer = refusal.kind.answer();
     json!({
         "error": {
             "kind": refusal.kind,
             "message": refusal.message,
-            "advice": line.advice,
+            "advice": error_answer.advice,
             "ran": refusal.ran,
-            "retryable": line.retryable,
+            "retryable": error_answer.retryable,
             "retry_after_ms": refusal.retry_after_ms,
             "try_hosts": refusal.try_hosts,
             "request_id": request_id,
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -1,19 +1,22 @@
-//! The callers' interface over HTTP.
+//! The HTTP interface for callers.
 //!
-//! `POST /v1/chat/completions` for models, any method on `/services/{name}/...` for plain services,
-//! `GET /v1/entry?model=NAME` for the hosts to use.
+//! `POST /v1/chat/completions` takes requests for models, and any method on `/services/{name}/...`
+//! those for plain services. `GET /v1/entry?model=NAME` returns the hosts to use for a model, and
+//! `GET /healthz` whether this host serves.
 
 use crate::attempt::message::{AttemptOutcome, Repeatable, TargetKind};
 use crate::clock::Clock;
 use crate::daemon::event::Event;
 use crate::daemon::metrics::Metrics;
-use crate::edge::answer::{error_body, json_answer, refuse, whole_answer};
+use crate::edge::answer::{error_body, json_answer, refuse, upstream_answer};
 use crate::edge::connections::Connections;
 use crate::edge::gate::{Gate, Instruction, OpenRequest};
-use crate::edge::intake::{Asked, head_of, key_of, query_value, read_body};
+use crate::edge::intake::{
+    CallerRequest, bearer_token_sha256, query_value, read_body, request_head,
+};
 use crate::edge::pipe::{ChunkWriter, pipe};
-use crate::edge::stream::{WRITE_STALL, pass_stream};
-use crate::edge::upstream::{Call, Outgoing, Started};
+use crate::edge::stream::{CALLER_STALL_TIMEOUT, relay_stream};
+use crate::edge::upstream::{AnswerStart, OutgoingRequest, UpstreamCall};
 use crate::idempotency::message::KeptAnswer;
 use crate::prelude::*;
 use crate::settings::BoundSettings;
@@ -24,27 +27,27 @@
 const CHAT_PATH: &str = "/v1/chat/completions";
 const ENTRY_PATH: &str = "/v1/entry";
 const SERVICES_PREFIX: &str = "/services/";
-/// How long the caller of a broken stream may take to read the error.
-const BREAK_STALL: Duration = Duration::from_secs(1);
+/// The longest time for the caller of a broken stream to read the error.
+const ERROR_EVENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the callers' interface works with.
+/// Serves the HTTP interface for callers.
 #[derive(Debug)]
 pub struct CallerEdge {
-    /// The gate to the event loop.
+    /// The handle of the event loop.
     pub gate: Arc<Gate>,
-    /// The clock.
+    /// The clock of the process.
     pub clock: Clock,
     /// The connections to upstreams.
     pub connections: Arc<Connections>,
-    /// This process.
+    /// The incarnation of this process, which begins every request id.
     pub me: Incarnation,
-    /// Bounds on what callers send.
+    /// The limits on requests and answers, from the settings.
     pub bounds: BoundSettings,
-    /// The metrics.
+    /// The metrics that requests are counted in.
     pub metrics: Metrics,
 }
 
-/// When a request came, and for what.
+/// When a request arrived, and whether it is for a model or a plain service.
 #[derive(Clone, Copy)]
 struct Arrival {
     at: Millis,
@@ -58,14 +61,14 @@
     stream: bool,
 }
 
-/// An upstream's answer.
+/// An upstream's answer that can be given to the caller.
 enum Answer {
-    Stream(Started),
-    Whole(KeptAnswer),
+    Stream(AnswerStart),
+    Complete(KeptAnswer),
 }
 
 impl CallerEdge {
-    /// Answers one call.
+    /// Answers one HTTP request.
     pub async fn handle(self: Arc<Self>, conn: Conn) -> Conn {
         let path = conn.path().to_string();
         match (conn.method(), path.as_str()) {
@@ -86,7 +89,7 @@
     }
 
     async fn entry(&self, conn: Conn) -> Conn {
-        let key_sha256 = match key_of(&conn) {
+        let key_sha256 = match bearer_token_sha256(&conn) {
             Ok(key) => key,
             Err(refusal) => return refuse(conn, &refusal, ""),
         };
@@ -113,13 +116,13 @@
                 return self.refuse_early(conn, &refusal, "");
             }
         };
-        let asked = Asked {
+        let request = CallerRequest {
             name: head.model,
             path: CHAT_PATH.into(),
             body,
             streamed: head.stream,
         };
-        self.serve(conn, TargetKind::Model, asked).await
+        self.serve(conn, TargetKind::Model, request).await
     }
 
     async fn service(&self, mut conn: Conn, path: &str) -> Conn {
@@ -133,26 +136,26 @@
             Ok(body) => body,
             Err(refusal) => return self.refuse_early(conn, &refusal, ""),
         };
-        let asked = Asked {
+        let request = CallerRequest {
             name,
             path: upstream_path,
             body,
             streamed: false,
         };
-        self.serve(conn, TargetKind::Service, asked).await
+        self.serve(conn, TargetKind::Service, request).await
     }
 
-    async fn serve(&self, conn: Conn, target: TargetKind, asked: Asked) -> Conn {
+    async fn serve(&self, conn: Conn, target: TargetKind, request: CallerRequest) -> Conn {
         let open = self.gate.open_request();
         let request_id: Name = format!("{}-{}", self.me, open.id).into();
-        let head = match head_of(&conn, open.id, target, &asked) {
+        let head = match request_head(&conn, open.id, target, &request) {
             Ok(head) => head,
             Err(refusal) => return self.refuse_early(conn, &refusal, &request_id),
         };
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             method: conn.method(),
-            path: asked.path,
-            body: asked.body.into(),
+            path: request.path,
+            body: request.body.into(),
             content_type: conn
                 .request_headers()
                 .get_str("content-type")
@@ -168,26 +171,28 @@
             at: self.clock.now(),
             target,
         };
-        self.follow(conn, open, arrival, outgoing).await
+        self.follow_instructions(conn, open, arrival, outgoing)
+            .await
     }
 
-    /// Refuses a call that no decision saw.
+    /// Refuses a request itself, without the event loop, and counts the refusal.
     fn refuse_early(&self, conn: Conn, refusal: &Refusal, request_id: &str) -> Conn {
         self.metrics.count_refusal(refusal.kind);
         refuse(conn, refusal, request_id)
     }
 
-    async fn follow(
+    /// Runs attempts as the event loop instructs, until the caller has an answer or disconnects.
+    async fn follow_instructions(
         &self,
         mut conn: Conn,
         open: OpenRequest,
         arrival: Arrival,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
     ) -> Conn {
         loop {
-            let waiting = conn.cancel_on_disconnect(open.instructions.recv()).await;
-            let attempt = match waiting {
-                // The caller left, and so nobody reads an answer; dropping `open` says so.
+            let instruction = conn.cancel_on_disconnect(open.instructions.recv()).await;
+            let attempt = match instruction {
+                // The caller disconnected; dropping `open` tells the event loop.
                 None => return conn.halt(),
                 Some(Err(_)) => {
                     let refusal = Refusal::new(ErrorKind::Internal, "the request was let go");
@@ -197,42 +202,44 @@
                     return refuse(conn, &refusal, &outgoing.request_id);
                 }
                 Some(Ok(Instruction::Answer(answer))) => {
-                    return whole_answer(conn, &answer, &outgoing.request_id);
+                    return upstream_answer(conn, &answer, &outgoing.request_id);
                 }
                 Some(Ok(Instruction::Begin(attempt))) => attempt,
             };
-            let call = Call {
+            let call = UpstreamCall {
                 attempt,
                 outgoing: outgoing.clone(),
                 connections: self.connections.clone(),
                 clock: self.clock,
             };
-            let outcome = match self.attempt(&mut conn, &open, &arrival, &call).await {
-                Ok(Answer::Stream(started)) => return self.stream(conn, open, call, started),
-                Ok(Answer::Whole(answer)) => {
-                    let outcome = outcome_with(&outgoing, &answer);
-                    self.end(&open, call.attempt.number, outcome).await;
-                    return whole_answer(conn, &answer, &outgoing.request_id);
+            let outcome = match self.run_attempt(&mut conn, &open, &arrival, &call).await {
+                Ok(Answer::Stream(started)) => return self.start_stream(conn, open, call, started),
+                Ok(Answer::Complete(answer)) => {
+                    let outcome = outcome_of_answer(&outgoing, &answer);
+                    self.report_end(&open, call.attempt.number, outcome).await;
+                    return upstream_answer(conn, &answer, &outgoing.request_id);
                 }
                 Err(outcome) => outcome,
             };
             if !matches!(outcome, AttemptOutcome::NotRun(_) | AttemptOutcome::Busy(_)) {
                 call.cancel();
             }
-            self.end(&open, call.attempt.number, outcome).await;
+            self.report_end(&open, call.attempt.number, outcome).await;
         }
     }
 
-    async fn attempt(
+    /// Runs one attempt, and stops it if the caller disconnects and it may be repeated.
+    async fn run_attempt(
         &self,
         conn: &mut Conn,
         open: &OpenRequest,
         arrival: &Arrival,
-        call: &Call,
+        call: &UpstreamCall,
     ) -> Result<Answer, AttemptOutcome> {
-        let running = self.run(open, arrival, call);
+        let running = self.exchange(open, arrival, call);
         match call.outgoing.repeatable {
-            // What may run once only goes on without its caller, whose next arrival gets the answer.
+            // A request that may run at most once continues after its caller disconnects; a repeat
+            // of the request gets the answer.
             Repeatable::No => running.await,
             Repeatable::Yes => conn
                 .cancel_on_disconnect(running)
@@ -241,11 +248,12 @@
         }
     }
 
-    async fn run(
+    /// Sends the request to the upstream, and reads the answer completely unless it is a stream.
+    async fn exchange(
         &self,
         open: &OpenRequest,
         arrival: &Arrival,
-        call: &Call,
+        call: &UpstreamCall,
     ) -> Result<Answer, AttemptOutcome> {
         let started = call.start().await?;
         let span_ms = self.clock.now().since(arrival.at);
@@ -261,25 +269,34 @@
             return Ok(Answer::Stream(started));
         }
         let (status, content_type) = (started.status, started.content_type.clone());
-        let body = call.read_whole(started, self.bounds.answer_bytes).await?;
-        Ok(Answer::Whole(KeptAnswer {
+        let body = call
+            .read_complete(started, self.bounds.answer_bytes)
+            .await?;
+        Ok(Answer::Complete(KeptAnswer {
             status,
             content_type: content_type.map(Name::from),
             body: body.into(),
         }))
     }
 
-    fn stream(&self, conn: Conn, open: OpenRequest, call: Call, started: Started) -> Conn {
+    /// Answers the caller with a stream that a task of its own relays from the upstream.
+    fn start_stream(
+        &self,
+        conn: Conn,
+        open: OpenRequest,
+        call: UpstreamCall,
+        started: AnswerStart,
+    ) -> Conn {
         let (caller, reader) = pipe();
         let gate = self.gate.clone();
         let request_id = call.outgoing.request_id.to_string();
         smol::spawn(async move {
-            let outcome = pass_stream(&call, started, &caller).await;
+            let outcome = relay_stream(&call, started, &caller).await;
             match &outcome {
                 AttemptOutcome::Answered => {
-                    let _ = caller.end(WRITE_STALL).await;
+                    let _ = caller.end(CALLER_STALL_TIMEOUT).await;
                 }
-                AttemptOutcome::Broken(why) => send_break(caller, &call, why).await,
+                AttemptOutcome::Broken(why) => send_error_event(caller, &call, why).await,
                 _ => drop(caller),
             }
             gate.send(Event::AttemptEnded {
@@ -298,7 +315,8 @@
             .halt()
     }
 
-    async fn end(&self, open: &OpenRequest, number: u32, outcome: AttemptOutcome) {
+    /// Reports the outcome of an attempt to the event loop.
+    async fn report_end(&self, open: &OpenRequest, number: u32, outcome: AttemptOutcome) {
         self.gate
             .send(Event::AttemptEnded {
                 request: open.id,
@@ -309,20 +327,24 @@
     }
 }
 
-fn outcome_with(outgoing: &Outgoing, answer: &KeptAnswer) -> AttemptOutcome {
-    let keeps = outgoing.repeatable == Repeatable::No && outgoing.operation_id.is_some();
-    match keeps {
+fn outcome_of_answer(outgoing: &OutgoingRequest, answer: &KeptAnswer) -> AttemptOutcome {
+    let keeps_answer = outgoing.repeatable == Repeatable::No && outgoing.operation_id.is_some();
+    match keeps_answer {
         true => AttemptOutcome::OperationAnswered(answer.clone()),
         false => AttemptOutcome::Answered,
     }
 }
 
-/// Ends a stream with an explicit error, so that half an answer does not look whole.
-async fn send_break(caller: ChunkWriter, call: &Call, why: &str) {
+/// Ends a stream with an error event, so that an incomplete answer does not look complete.
+async fn send_error_event(caller: ChunkWriter, call: &UpstreamCall, why: &str) {
     let refusal = Refusal::new(ErrorKind::AnswerBroken, why);
     let body = error_body(&refusal, &call.outgoing.request_id);
     let event = format!("event: error\ndata: {body}\n\n");
-    if caller.write(event.into_bytes(), BREAK_STALL).await.is_ok() {
-        let _ = caller.end(BREAK_STALL).await;
+    if caller
+        .write(event.into_bytes(), ERROR_EVENT_TIMEOUT)
+        .await
+        .is_ok()
+    {
+        let _ = caller.end(ERROR_EVENT_TIMEOUT).await;
     }
 }
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -1,8 +1,10 @@
-//! The connections to upstreams.
+//! Connections to upstreams.
 //!
-//! The client library writes a request's head to a kept connection and takes the next one when that
-//! write fails; it cannot tell a connection that went silent. So a request that must not be repeated,
-//! and each retry, goes over a new connection, and one silent answer drops all that are kept.
+//! The client library writes the head of a request to a kept-alive connection, and takes the next
+//! connection if that write fails. It cannot detect a connection whose other end no longer
+//! responds. Therefore each retry, and each request that must not be repeated, uses a new
+//! connection, and an answer that does not arrive in time drops all kept-alive connections to its
+//! upstream.
 
 use crate::attempt::message::ConnectionChoice;
 use crate::edge::http::{client, new_connection_client};
@@ -11,39 +13,39 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use trillium_client::Client;
 
-/// Most upstreams with kept connections.
+/// The most upstreams with kept-alive connections; beyond them, all connections are dropped.
 const MAX_ADDRESSES: usize = 1_024;
 
-/// One client for each upstream's kept connections, and one that keeps none.
+/// One client with kept-alive connections for each upstream, and one client that keeps none.
 #[derive(Debug)]
 pub struct Connections {
-    kept: Mutex<HashMap<SocketAddr, Client>>,
-    new: Client,
+    keep_alive: Mutex<HashMap<SocketAddr, Client>>,
+    new_connection: Client,
 }
 
 impl Connections {
-    /// Starts without any connection.
+    /// Creates the clients, without any connection yet.
     pub fn new() -> Self {
         Self {
-            kept: Mutex::default(),
-            new: new_connection_client(),
+            keep_alive: Mutex::default(),
+            new_connection: new_connection_client(),
         }
     }
 
-    /// Returns the client for an attempt.
+    /// Returns the client for an attempt at an upstream.
     pub fn client(&self, address: SocketAddr, choice: ConnectionChoice) -> Client {
         match choice {
-            ConnectionChoice::New => self.new.clone(),
-            ConnectionChoice::Kept => self.kept_client(address),
+            ConnectionChoice::New => self.new_connection.clone(),
+            ConnectionChoice::Kept => self.keep_alive_client(address),
         }
     }
 
-    /// Drops the kept connections to an upstream.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Drops the kept-alive connections to an upstream.
+    pub fn drop_keep_alive(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
-    fn kept_client(&self, address: SocketAddr) -> Client {
+    fn keep_alive_client(&self, address: SocketAddr) -> Client {
         let mut kept = self.lock();
         if kept.len() >= MAX_ADDRESSES && !kept.contains_key(&address) {
             kept.clear();
@@ -52,7 +54,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Client>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+        self.keep_alive
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/edge/digest.rs
+++ b/src/edge/digest.rs
@@ -1,10 +1,13 @@
-//! SHA-256 as hex digits.
+//! SHA-256 digests as hex text.
 
 use ring::digest::{Context, SHA256};
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// Returns SHA-256 over the parts, as 64 hex digits. Each part is preceded by its length.
+/// Returns SHA-256 of the parts, as 64 lower-case hex digits.
+///
+/// Each part is hashed after its length, so that different divisions of the same bytes
+/// have different digests.
 pub fn sha256_of_parts(parts: &[&[u8]]) -> Arc<str> {
     let mut context = Context::new(&SHA256);
     for part in parts {
@@ -14,7 +17,7 @@
     to_hex(context.finish().as_ref())
 }
 
-/// Returns SHA-256 of a text, as 64 hex digits.
+/// Returns SHA-256 of a text, as 64 lower-case hex digits.
 pub fn sha256(text: &str) -> Arc<str> {
     to_hex(ring::digest::digest(&SHA256, text.as_bytes()).as_ref())
 }
--- a/src/edge/engine.rs
+++ b/src/edge/engine.rs
@@ -1,4 +1,4 @@
-//! The orders and reports of model engines over HTTP.
+//! Client of the control interface of model engines, over HTTP.
 
 use crate::edge::http::{CallError, JsonAnswer, call_json, client};
 use crate::edge::{BoxFuture, EngineControl};
@@ -9,11 +9,11 @@
 use trillium_client::{Client, Method};
 
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The error of an engine that takes no more loads.
-const LEAVING: &str = "leaving";
+/// The error text of an engine that is leaving and accepts no more loads.
+const LEAVING_ERROR: &str = "leaving";
 const ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Engines as the platform's protocol page describes them.
+/// Model engines over HTTP, as `docs/design/platform-protocols.md` specifies them.
 #[derive(Debug)]
 pub struct HttpEngines {
     client: Client,
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum State {
+enum OrderState {
     Running,
     Done,
     Failed,
@@ -29,17 +29,17 @@
 
 #[derive(Deserialize)]
 struct OrderBody {
-    state: Option<State>,
+    state: Option<OrderState>,
     error: Option<String>,
 }
 
 impl HttpEngines {
-    /// Makes the client of all engines.
+    /// Creates a client for all engines, without any connection yet.
     pub fn new() -> Self {
         Self { client: client() }
     }
 
-    async fn ask_report(&self, address: SocketAddr) -> Option<EngineReport> {
+    async fn fetch_report(&self, address: SocketAddr) -> Option<EngineReport> {
         let url = format!("http://{address}/state");
         let answer = call_json(&self.client, Method::Get, &url, None::<&()>, REPORT_TIMEOUT)
             .await
@@ -60,13 +60,13 @@
             ORDER_TIMEOUT,
         )
         .await;
-        read_answer(answer)
+        to_order_answer(answer)
     }
 
-    async fn ask_order(&self, address: SocketAddr, order: Offset) -> OrderAnswer {
+    async fn fetch_order_state(&self, address: SocketAddr, order: Offset) -> OrderAnswer {
         let url = format!("http://{address}/orders/{}", order.0);
         let answer = call_json(&self.client, Method::Get, &url, None::<&()>, ORDER_TIMEOUT).await;
-        read_answer(answer)
+        to_order_answer(answer)
     }
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-fn read_answer(answer: Result<JsonAnswer<OrderBody>, CallError>) -> OrderAnswer {
+fn to_order_answer(answer: Result<JsonAnswer<OrderBody>, CallError>) -> OrderAnswer {
     let answer = match answer {
         Ok(answer) => answer,
         Err(CallError::NotConnected { why }) => return OrderAnswer::NotSent(why),
@@ -88,20 +88,20 @@
         .and_then(|body| body.error.clone())
         .unwrap_or_default();
     match (answer.status, answer.body.and_then(|body| body.state)) {
-        (200, Some(State::Done)) => OrderAnswer::Done,
-        (200 | 202, Some(State::Running)) => OrderAnswer::Running,
-        (200 | 502, Some(State::Failed)) => OrderAnswer::Failed(error),
+        (200, Some(OrderState::Done)) => OrderAnswer::Done,
+        (200 | 202, Some(OrderState::Running)) => OrderAnswer::Running,
+        (200 | 502, Some(OrderState::Failed)) => OrderAnswer::Failed(error),
         (404, _) => OrderAnswer::NeverSeen,
         (409, _) => OrderAnswer::Fenced,
         (400 | 422 | 507, _) => OrderAnswer::Failed(error),
-        (503, _) if error == LEAVING => OrderAnswer::NotSent(error),
+        (503, _) if error == LEAVING_ERROR => OrderAnswer::NotSent(error),
         (status, _) => OrderAnswer::Lost(format!("status {status} {error}")),
     }
 }
 
 impl EngineControl for HttpEngines {
     fn report(&self, address: SocketAddr) -> BoxFuture<'_, Option<EngineReport>> {
-        Box::pin(self.ask_report(address))
+        Box::pin(self.fetch_report(address))
     }
 
     fn order(&self, address: SocketAddr, order: EngineOrder) -> BoxFuture<'_, OrderAnswer> {
@@ -109,6 +109,6 @@
     }
 
     fn order_state(&self, address: SocketAddr, order: Offset) -> BoxFuture<'_, OrderAnswer> {
-        Box::pin(self.ask_order(address, order))
+        Box::pin(self.fetch_order_state(address, order))
     }
 }
--- a/src/edge/gate.rs
+++ b/src/edge/gate.rs
@@ -1,6 +1,7 @@
-//! The gate between socket tasks and the event loop.
+//! Connects the tasks that serve sockets with the event loop.
 //!
-//! Tasks send events in; effects come back to the task that waits for them. Both ways are bounded.
+//! A task sends events to the loop, and receives the loop's instructions or answers for its request
+//! or call. The queues in both directions are bounded.
 
 use crate::attempt::message::{Attempt, RequestId};
 use crate::daemon::event::Event;
@@ -14,94 +15,94 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Most events waiting for the loop.
-const MAX_QUEUED_EVENTS: usize = 8_192;
-/// Most instructions waiting for one request's task.
-const MAX_INSTRUCTIONS: usize = 4;
+/// The most events and queries that wait for the event loop; beyond them, senders wait.
+const MAX_QUEUED_INPUTS: usize = 8_192;
+/// The most instructions that wait for the task of one request; further ones are dropped.
+const MAX_QUEUED_INSTRUCTIONS: usize = 4;
 
-/// What the decisions tell a request's task.
+/// An instruction of the event loop to the task of a request.
 #[derive(Clone, Debug)]
 pub enum Instruction {
-    /// Begin an attempt.
+    /// Start an attempt at an upstream.
     Begin(Attempt),
-    /// Give the kept answer of the request's operation.
+    /// Answer the caller with the kept answer of the request's operation.
     Answer(KeptAnswer),
-    /// Give the final answer.
+    /// Answer the caller with a refusal.
     Refuse(Refusal),
 }
 
-/// A question that the loop answers from its state.
+/// A read of the event loop's state. Each variant holds the channel for the answer as text.
 #[derive(Debug)]
 pub enum Query {
-    /// The state dump.
+    /// A dump of the state, as JSON.
     Dump(Sender<String>),
-    /// The recorded inputs.
+    /// The recorded trace of inputs, as JSON.
     Trace(Sender<String>),
-    /// The table.
+    /// The table, as JSON.
     Table(Sender<String>),
-    /// The hosts and upstreams.
+    /// The hosts and upstreams, as JSON.
     Hosts(Sender<String>),
-    /// The copies.
+    /// The copies of models, as JSON.
     Placements(Sender<String>),
-    /// Whether the host serves.
+    /// Whether the host serves: `serving`, or a name of its state.
     Health(Sender<String>),
 }
 
-/// What reaches the loop.
+/// An input of the event loop.
 #[derive(Debug)]
 pub enum Input {
-    /// Something happened.
+    /// An event to handle.
     Event(Event),
-    /// Something is asked.
+    /// A query to answer.
     Query(Query),
 }
 
-type Waiters<K, V> = Mutex<HashMap<K, Sender<V>>>;
+type WaitingTasks<K, V> = Mutex<HashMap<K, Sender<V>>>;
 
-/// The gate.
+/// Handle of the event loop, and the register of the tasks that wait for it.
 #[derive(Debug)]
 pub struct Gate {
     inputs: Sender<Input>,
     next_id: AtomicU64,
-    requests: Waiters<RequestId, Instruction>,
-    entries: Waiters<CallId, Result<EntryAnswer, Refusal>>,
-    edits: Waiters<CallId, EditResult>,
-    peers: Waiters<CallId, PeerReply>,
+    request_tasks: WaitingTasks<RequestId, Instruction>,
+    entry_calls: WaitingTasks<CallId, Result<EntryAnswer, Refusal>>,
+    edit_calls: WaitingTasks<CallId, EditResult>,
+    peer_calls: WaitingTasks<CallId, PeerReply>,
 }
 
 impl Gate {
-    /// Makes a gate and the receiver of its inputs.
+    /// Creates a handle and the receiver of its inputs, which the event loop reads.
     pub fn new() -> (Arc<Self>, Receiver<Input>) {
-        let (inputs, receiver) = bounded(MAX_QUEUED_EVENTS);
+        let (inputs, receiver) = bounded(MAX_QUEUED_INPUTS);
         let gate = Self {
             inputs,
             next_id: AtomicU64::new(1),
-            requests: Mutex::default(),
-            entries: Mutex::default(),
-            edits: Mutex::default(),
-            peers: Mutex::default(),
+            request_tasks: Mutex::default(),
+            entry_calls: Mutex::default(),
+            edit_calls: Mutex::default(),
+            peer_calls: Mutex::default(),
         };
         (Arc::new(gate), receiver)
     }
 
-    /// Sends an event to the loop, waiting while the loop is behind.
+    /// Sends an event to the event loop, and waits while the queue is full.
     pub async fn send(&self, event: Event) {
-        // The loop ends only with the process.
+        // The send fails only if the loop has ended, which happens only when the process exits.
         let _ = self.inputs.send(Input::Event(event)).await;
     }
 
-    /// Asks the loop something about its state.
+    /// Queries the state of the event loop. Returns `None` if the loop has ended.
     pub async fn query(&self, make: impl FnOnce(Sender<String>) -> Query) -> Option<String> {
         let (answer, receiver) = bounded(1);
         self.inputs.send(Input::Query(make(answer))).await.ok()?;
         receiver.recv().await.ok()
     }
 
-    /// Opens a request: its number and its instructions.
+    /// Registers a new request, with a new id and a queue of instructions.
     pub fn open_request(self: &Arc<Self>) -> OpenRequest {
-        let id = RequestId(self.next());
-        let (sender, instructions) = bounded(MAX_INSTRUCTIONS);
-        lock(&self.requests).insert(id, sender);
+        let id = RequestId(self.allocate_id());
+        let (sender, instructions) = bounded(MAX_QUEUED_INSTRUCTIONS);
+        lock(&self.request_tasks).insert(id, sender);
         OpenRequest {
             id,
             instructions,
@@ -109,96 +110,106 @@
         }
     }
 
-    /// Asks which hosts to use.
+    /// Asks which hosts a caller should use for the model `name`, and waits for the answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns the event loop's refusal, or [`ErrorKind::Stopping`] if the loop has ended.
     pub async fn ask_entry(&self, key_sha256: Name, name: Name) -> Result<EntryAnswer, Refusal> {
-        let call = CallId(self.next());
+        let call = CallId(self.allocate_id());
         let event = Event::EntryAsked {
             call,
             key_sha256,
             name,
         };
-        self.call(&self.entries, call, event)
+        self.call(&self.entry_calls, call, event)
             .await
-            .unwrap_or_else(|| Err(stopped()))
+            .unwrap_or_else(|| Err(stopped_refusal()))
     }
 
-    /// Submits an operator's edit.
+    /// Submits an operator's edit of the table, and waits for its result.
     pub async fn ask_edit(&self, edit: crate::table::message::Edit) -> EditResult {
-        let call = CallId(self.next());
+        let call = CallId(self.allocate_id());
         let event = Event::EditAsked { call, edit };
-        self.call(&self.edits, call, event)
+        self.call(&self.edit_calls, call, event)
             .await
-            .unwrap_or_else(|| Err(stopped()))
+            .unwrap_or_else(|| Err(stopped_refusal()))
     }
 
-    /// Passes on a peer's call.
+    /// Submits a peer's request, and waits for the reply. Returns `None` if the event loop has
+    /// ended.
     pub async fn ask_for_peer(
         &self,
         request: crate::membership::message::PeerRequest,
     ) -> Option<PeerReply> {
-        let call = CallId(self.next());
-        self.call(&self.peers, call, Event::PeerAsked { call, request })
+        let call = CallId(self.allocate_id());
+        self.call(&self.peer_calls, call, Event::PeerAsked { call, request })
             .await
     }
 
-    async fn call<V>(&self, waiters: &Waiters<CallId, V>, call: CallId, event: Event) -> Option<V> {
+    async fn call<V>(
+        &self,
+        waiting: &WaitingTasks<CallId, V>,
+        call: CallId,
+        event: Event,
+    ) -> Option<V> {
         let (sender, receiver) = bounded(1);
-        lock(waiters).insert(call, sender);
+        lock(waiting).insert(call, sender);
         self.send(event).await;
         let answer = receiver.recv().await.ok();
-        lock(waiters).remove(&call);
+        lock(waiting).remove(&call);
         answer
     }
 
-    /// Gives a request's task its instruction.
+    /// Sends an instruction to the task of a request, if the request is still open.
     pub fn instruct(&self, request: RequestId, instruction: Instruction) {
-        let sender = lock(&self.requests).get(&request).cloned();
+        let sender = lock(&self.request_tasks).get(&request).cloned();
         if let Some(sender) = sender {
             let _ = sender.try_send(instruction);
         }
     }
 
-    /// Answers a caller that asked which hosts to use.
+    /// Answers the waiting [`Self::ask_entry`] of this call.
     pub fn answer_entry(&self, call: CallId, result: Result<EntryAnswer, Refusal>) {
-        answer(&self.entries, call, result);
+        deliver(&self.entry_calls, call, result);
     }
 
-    /// Answers an operator's edit.
+    /// Answers the waiting [`Self::ask_edit`] of this call.
     pub fn answer_edit(&self, call: CallId, result: EditResult) {
-        answer(&self.edits, call, result);
+        deliver(&self.edit_calls, call, result);
     }
 
-    /// Answers a peer.
+    /// Answers the waiting [`Self::ask_for_peer`] of this call.
     pub fn answer_peer(&self, call: CallId, reply: PeerReply) {
-        answer(&self.peers, call, reply);
+        deliver(&self.peer_calls, call, reply);
     }
 
-    fn next(&self) -> u64 {
+    fn allocate_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// A request that a task holds open; dropping it closes it at the gate.
+/// A registered request. Dropping it ends the registration and sends [`Event::CallerGone`].
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// The request.
+    /// The request's id, unique within the process.
     pub id: RequestId,
-    /// What the decisions tell its task.
+    /// The event loop's instructions to the request's task.
     pub instructions: Receiver<Instruction>,
     gate: Arc<Gate>,
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        lock(&self.gate.requests).remove(&self.id);
-        // The loop passes over requests that have ended already.
+        lock(&self.gate.request_tasks).remove(&self.id);
+        // The event loop ignores this event for requests that have already ended.
         let (gate, request) = (self.gate.clone(), self.id);
         smol::spawn(async move { gate.send(Event::CallerGone { request }).await }).detach();
     }
 }
 
-fn answer<V>(waiters: &Waiters<CallId, V>, call: CallId, value: V) {
-    if let Some(sender) = lock(waiters).remove(&call) {
+fn deliver<V>(waiting: &WaitingTasks<CallId, V>, call: CallId, value: V) {
+    if let Some(sender) = lock(waiting).remove(&call) {
         let _ = sender.try_send(value);
     }
 }
@@ -209,6 +220,6 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-fn stopped() -> Refusal {
+fn stopped_refusal() -> Refusal {
     Refusal::new(ErrorKind::Stopping, "this host has stopped")
 }
--- a/src/edge/hosts.rs
+++ b/src/edge/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's host list over HTTP.
+//! Client of the platform's host list, over HTTP.
 
 use crate::edge::http::{call_json, client};
 use crate::edge::{BoxFuture, HostDirectory};
@@ -12,7 +12,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The host list as the platform's protocol page describes it.
+/// The host list over HTTP, as `docs/design/platform-protocols.md` specifies it.
 #[derive(Debug)]
 pub struct HttpHostList {
     client: Client,
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum LineRole {
+enum EntryRole {
     Engine,
     Service,
     Entry,
@@ -29,18 +29,18 @@
 
 #[derive(Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum LineState {
+enum EntryState {
     Live,
     Leaving,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Line {
+struct ListEntry {
     name: Name,
-    role: LineRole,
+    role: EntryRole,
     address: SocketAddr,
     data_centre: Name,
-    state: LineState,
+    state: EntryState,
     #[serde(default)]
     memory_bytes: u64,
     #[serde(default)]
@@ -53,14 +53,14 @@
 
 #[derive(Deserialize)]
 struct ListAnswer {
-    hosts: Vec<Line>,
+    hosts: Vec<ListEntry>,
 }
 
 #[derive(Deserialize)]
-struct Anything {}
+struct IgnoredAnswer {}
 
 impl HttpHostList {
-    /// Makes the client of a list.
+    /// Creates a client for the list at `hosts_url`.
     pub fn new(hosts_url: &str) -> Self {
         let base = hosts_url.trim_end_matches('/');
         Self {
@@ -80,38 +80,38 @@
         .await;
         let answer: ListAnswer = answer.ok()?.body?;
         let mut list = PlatformList::default();
-        for line in answer.hosts {
-            add_line(&mut list, line);
+        for listed in answer.hosts {
+            add_entry(&mut list, listed);
         }
         Some(list)
     }
 
-    async fn put_line(&self, entry: HostEntry, incarnation: Incarnation) {
-        let line = Line {
+    async fn register_entry(&self, entry: HostEntry, incarnation: Incarnation) {
+        let registration = ListEntry {
             name: entry.name,
-            role: LineRole::Entry,
+            role: EntryRole::Entry,
             address: entry.caller_address,
             data_centre: entry.data_centre,
-            state: LineState::Live,
+            state: EntryState::Live,
             memory_bytes: 0,
             slots: 0,
             checks_fencing: false,
             incarnation: Some(incarnation),
         };
-        // A failed renewal needs no answer: the next one is due within a second.
-        let _ = call_json::<Anything>(
+        // A failed renewal is ignored, as the next one follows within a second.
+        let _ = call_json::<IgnoredAnswer>(
             &self.client,
             Method::Post,
             &self.hosts_url,
-            Some(&line),
+            Some(&registration),
             CALL_TIMEOUT,
         )
         .await;
     }
 
-    async fn delete_line(&self, name: Name) {
+    async fn unregister_entry(&self, name: Name) {
         let url = format!("{}/{name}", self.hosts_url);
-        let _ = call_json::<Anything>(
+        let _ = call_json::<IgnoredAnswer>(
             &self.client,
             Method::Delete,
             &url,
@@ -122,27 +122,27 @@
     }
 }
 
-fn add_line(list: &mut PlatformList, line: Line) {
-    let role = match line.role {
-        LineRole::Entry => {
+fn add_entry(list: &mut PlatformList, listed: ListEntry) {
+    let role = match listed.role {
+        EntryRole::Entry => {
             list.hosts.push(ListedHost {
-                name: line.name,
-                incarnation: line.incarnation,
+                name: listed.name,
+                incarnation: listed.incarnation,
             });
             return;
         }
-        LineRole::Engine => UpstreamRole::Engine,
-        LineRole::Service => UpstreamRole::Service,
+        EntryRole::Engine => UpstreamRole::Engine,
+        EntryRole::Service => UpstreamRole::Service,
     };
     list.upstreams.push(UpstreamEntry {
-        name: line.name,
+        name: listed.name,
         role,
-        address: line.address,
-        data_centre: line.data_centre,
-        memory_bytes: line.memory_bytes,
-        slots: line.slots,
-        checks_fencing: line.checks_fencing,
-        leaving: line.state == LineState::Leaving,
+        address: listed.address,
+        data_centre: listed.data_centre,
+        memory_bytes: listed.memory_bytes,
+        slots: listed.slots,
+        checks_fencing: listed.checks_fencing,
+        leaving: listed.state == EntryState::Leaving,
     });
 }
 
@@ -152,10 +152,10 @@
     }
 
     fn register(&self, entry: HostEntry, incarnation: Incarnation) -> BoxFuture<'_, ()> {
-        Box::pin(self.put_line(entry, incarnation))
+        Box::pin(self.register_entry(entry, incarnation))
     }
 
     fn unregister(&self, name: Name) -> BoxFuture<'_, ()> {
-        Box::pin(self.delete_line(name))
+        Box::pin(self.unregister_entry(name))
     }
 }
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -1,4 +1,4 @@
-//! What all HTTP calls to other systems share: the client, connecting, time limits.
+//! HTTP client for calls to other systems: connections, timeouts and errors.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -12,41 +12,41 @@
 use trillium_server_common::{Connector, Destination};
 use trillium_smol::ClientConfig;
 
-/// How long a new connection may take.
+/// The longest time to establish a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer of a control call.
+/// The longest answer of [`call_json`].
 pub const MAX_CONTROL_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Why a call failed.
+/// The reason for which a call failed.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection was made, so no byte of the request left.
+    /// No connection was established, so no byte of the request was sent.
     #[snafu(display("cannot connect: {why}"))]
     NotConnected {
-        /// Why.
+        /// The reason, as text.
         why: String,
     },
-    /// The answer did not come in time.
+    /// The answer did not arrive in time; the request may have been sent.
     #[snafu(display("no answer within {} ms", limit.as_millis()))]
     TimedOut {
-        /// The limit.
+        /// The timeout.
         limit: Duration,
     },
-    /// The connection failed after bytes of the request may have left.
+    /// The connection failed after bytes of the request may have been sent.
     #[snafu(display("the connection failed: {why}"))]
     Broken {
-        /// Why.
+        /// The reason, as text.
         why: String,
     },
-    /// The answer is not what the protocol says.
+    /// The request or the answer does not conform to the protocol.
     #[snafu(display("the answer cannot be read: {why}"))]
     Malformed {
-        /// Why.
+        /// The reason, as text.
         why: String,
     },
 }
 
-/// The marker inside an I/O error that says that connecting failed.
+/// The inner error of an I/O error, by which [`call_error`] recognises that connecting failed.
 #[derive(Debug)]
 struct ConnectFailed(String);
 
@@ -58,7 +58,7 @@
 
 impl std::error::Error for ConnectFailed {}
 
-/// A connector that bounds the time to connect and marks the errors of connecting.
+/// A connector that applies [`CONNECT_TIMEOUT`] and marks failures to connect.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundedConnector(ClientConfig);
 
@@ -72,11 +72,11 @@
     }
 
     async fn connect(&self, url: &Url) -> io::Result<Self::Transport> {
-        bounded_connect(self.0.connect(url)).await
+        connect_with_timeout(self.0.connect(url)).await
     }
 
     async fn connect_to(&self, destination: Destination) -> io::Result<Self::Transport> {
-        bounded_connect(self.0.connect_to(destination)).await
+        connect_with_timeout(self.0.connect_to(destination)).await
     }
 
     async fn resolve(&self, host: &str, port: u16) -> io::Result<Vec<SocketAddr>> {
@@ -84,7 +84,7 @@
     }
 }
 
-async fn bounded_connect<T>(connecting: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+async fn connect_with_timeout<T>(connecting: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let failed = |why: String| io::Error::other(ConnectFailed(why));
     match within(CONNECT_TIMEOUT, connecting).await {
         None => Err(failed(format!(
@@ -96,7 +96,7 @@
     }
 }
 
-/// Waits for a future for a limited time.
+/// Awaits a future. Returns `None` if it is not ready within the timeout.
 pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         smol::Timer::after(limit).await;
@@ -105,17 +105,17 @@
     smol::future::or(async { Some(future.await) }, timeout).await
 }
 
-/// Makes a client that keeps connections for reuse.
+/// Creates a client that keeps connections alive for reuse.
 pub fn client() -> Client {
     Client::new(BoundedConnector(ClientConfig::new().with_nodelay(true)))
 }
 
-/// Makes a client whose every call goes over a connection of its own.
+/// Creates a client that opens a new connection for each call.
 pub fn new_connection_client() -> Client {
     client().without_keepalive()
 }
 
-/// Sorts a client error by whether bytes of the request may have left.
+/// Converts a client error, by whether bytes of the request may have been sent.
 pub fn call_error(error: &trillium_client::Error) -> CallError {
     if let trillium_client::Error::Io(io_error) = error
         && let Some(inner) = io_error.get_ref()
@@ -130,20 +130,20 @@
     }
 }
 
-/// A decoded answer with its status.
+/// The answer of [`call_json`].
 #[derive(Debug)]
 pub struct JsonAnswer<T> {
     /// The HTTP status.
     pub status: u16,
-    /// The body, when it decodes as the type asked for.
+    /// The decoded body, or `None` if it is not JSON of the expected type.
     pub body: Option<T>,
 }
 
-/// Makes a control call with an optional JSON body and decodes the answer.
+/// Makes a call with an optional JSON body, and decodes the answer as JSON, whatever its status.
 ///
 /// # Errors
 ///
-/// Returns how the call failed.
+/// Returns the reason if no complete answer arrives within the timeout.
 pub async fn call_json<T: DeserializeOwned>(
     client: &Client,
     method: Method,
@@ -160,13 +160,13 @@
             .with_request_header("content-type", "application/json")
             .with_body(text);
     }
-    match within(limit, finish_call(conn)).await {
+    match within(limit, send_and_decode(conn)).await {
         None => Err(CallError::TimedOut { limit }),
         Some(outcome) => outcome,
     }
 }
 
-async fn finish_call<T: DeserializeOwned>(conn: Conn) -> Result<JsonAnswer<T>, CallError> {
+async fn send_and_decode<T: DeserializeOwned>(conn: Conn) -> Result<JsonAnswer<T>, CallError> {
     let mut conn = conn.await.map_err(|error| call_error(&error))?;
     let status = conn.status().map_or(0, |status| status as u16);
     let body = conn.response_body().with_max_len(MAX_CONTROL_ANSWER_BYTES);
--- a/src/edge/intake.rs
+++ b/src/edge/intake.rs
@@ -1,4 +1,4 @@
-//! Reads what callers and operators send: headers, credentials, bodies.
+//! Reads the headers, credentials and bodies of requests from callers and operators.
 
 use crate::attempt::message::{Repeatable, RequestHead, RequestId, TargetKind};
 use crate::edge::digest::{sha256, sha256_of_parts};
@@ -7,40 +7,40 @@
 use std::time::Duration;
 use trillium::{Conn, Method};
 
-/// The header with the caller's own deadline, in milliseconds from its arrival.
+/// The header with the caller's deadline, in milliseconds after the arrival of the request.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// The header that names an operation which may run at most once.
+/// The header with the idempotency key: an operation with such a key runs at most once.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-const MAX_KEY_BYTES: usize = 256;
-/// How long a caller may take to send a body.
-const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
+/// The longest time for a caller to send a body.
+const READ_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a caller asks of an upstream.
-pub(super) struct Asked {
+/// A caller's request for an upstream, as read from its HTTP request.
+pub(super) struct CallerRequest {
     pub(super) name: Name,
     pub(super) path: String,
     pub(super) body: Vec<u8>,
     pub(super) streamed: bool,
 }
 
-/// Makes of a call what the decisions need to know.
+/// Builds the description of a request by which the event loop decides.
 ///
 /// # Errors
 ///
-/// Refuses a call without a credential, and headers that cannot be read.
-pub(super) fn head_of(
+/// Returns a refusal if the credential is missing or a header is invalid.
+pub(super) fn request_head(
     conn: &Conn,
     id: RequestId,
     target: TargetKind,
-    asked: &Asked,
+    request: &CallerRequest,
 ) -> Result<RequestHead, Refusal> {
     let headers = conn.request_headers();
     let idempotency_key = headers.get_str(IDEMPOTENCY_HEADER).map(Name::from);
     if idempotency_key
         .as_ref()
-        .is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES)
+        .is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES)
     {
-        let message = format!("{IDEMPOTENCY_HEADER} takes 1 to {MAX_KEY_BYTES} bytes");
+        let message = format!("{IDEMPOTENCY_HEADER} takes 1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes");
         return Err(Refusal::new(ErrorKind::BadRequest, message));
     }
     let deadline_ms = match headers.get_str(DEADLINE_HEADER).map(str::parse) {
@@ -60,30 +60,30 @@
     };
     let request_sha256 = sha256_of_parts(&[
         method.as_str().as_bytes(),
-        asked.path.as_bytes(),
-        &asked.body,
+        request.path.as_bytes(),
+        &request.body,
     ]);
     Ok(RequestHead {
         id,
-        key_sha256: key_of(conn)?,
+        key_sha256: bearer_token_sha256(conn)?,
         target,
-        name: asked.name.clone(),
+        name: request.name.clone(),
         deadline_ms,
         repeatable,
         idempotency_key,
         request_sha256,
-        streamed: asked.streamed,
-        body_bytes: asked.body.len() as u64,
+        streamed: request.streamed,
+        body_bytes: request.body.len() as u64,
         prefix_hashes: Vec::new(),
     })
 }
 
-/// Returns the hash of the bearer token of a call.
+/// Returns SHA-256 of the bearer token of a request.
 ///
 /// # Errors
 ///
-/// Refuses a call without one.
-pub fn key_of(conn: &Conn) -> Result<Name, Refusal> {
+/// Returns a refusal if the request has no bearer token.
+pub fn bearer_token_sha256(conn: &Conn) -> Result<Name, Refusal> {
     let header = conn.request_headers().get_str("authorization");
     header
         .and_then(|value| value.strip_prefix("Bearer "))
@@ -96,26 +96,29 @@
         })
 }
 
-/// Reads a call's body, up to a bound.
+/// Reads the body of a request, of up to `max_bytes`.
 ///
 /// # Errors
 ///
-/// Refuses a longer one, and one that breaks off.
-pub async fn read_body(conn: &mut Conn, most_bytes: u64) -> Result<Vec<u8>, Refusal> {
+/// Returns a refusal if the body is longer, does not arrive in time, or ends early.
+pub async fn read_body(conn: &mut Conn, max_bytes: u64) -> Result<Vec<u8>, Refusal> {
     let declared = conn
         .request_headers()
         .get_str("content-length")
         .and_then(|v| v.parse().ok());
     let too_long = || {
-        let message = format!("the body is longer than {most_bytes} bytes");
+        let message = format!("the body is longer than {max_bytes} bytes");
         Refusal::new(ErrorKind::BodyTooLarge, message)
     };
-    if declared.is_some_and(|length: u64| length > most_bytes) {
+    if declared.is_some_and(|length: u64| length > max_bytes) {
         return Err(too_long());
     }
-    let body = conn.request_body().with_max_len(most_bytes);
-    let Some(bytes) = within(BODY_TIMEOUT, body.read_bytes()).await else {
-        let message = format!("the body did not come within {} s", BODY_TIMEOUT.as_secs());
+    let body = conn.request_body().with_max_len(max_bytes);
+    let Some(bytes) = within(READ_BODY_TIMEOUT, body.read_bytes()).await else {
+        let message = format!(
+            "the body did not come within {} s",
+            READ_BODY_TIMEOUT.as_secs()
+        );
         return Err(Refusal::new(ErrorKind::BadRequest, message));
     };
     bytes.map_err(|error| match error {
@@ -127,7 +130,7 @@
     })
 }
 
-/// Finds a value in a query string.
+/// Returns the first value of a key in a query string, without percent-decoding.
 pub fn query_value<'a>(query: &'a str, key: &str) -> Option<&'a str> {
     query
         .split('&')
--- a/src/edge/log_service.rs
+++ b/src/edge/log_service.rs
@@ -1,4 +1,4 @@
-//! The append-only log over HTTP.
+//! Client of the platform's append-only log, over HTTP.
 
 use crate::edge::http::{CallError, JsonAnswer, call_json, client, new_connection_client};
 use crate::edge::{BoxFuture, LogService};
@@ -8,17 +8,18 @@
 use std::time::Duration;
 use trillium_client::{Client, Method};
 
-/// How long an append may take before its outcome counts as unknown.
+/// The longest time for an append; after it, the outcome of the append counts as unknown.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a read may take beyond its wait.
+/// The longest time for a read, in addition to the time that the log waits for records.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The log as the platform's protocol page describes it.
+/// One stream of the log over HTTP, as `docs/design/platform-protocols.md` specifies it.
 #[derive(Debug)]
 pub struct HttpLog {
     client: Client,
-    /// For appends, whose outcome would be unknown on a kept connection that the log has closed.
-    fresh_client: Client,
+    /// For appends: on a kept-alive connection that the log closed, their outcome would be unknown.
+    /// Also for the second try of a read.
+    no_reuse_client: Client,
     records_url: String,
 }
 
@@ -38,12 +39,12 @@
 }
 
 impl HttpLog {
-    /// Makes the client of one stream.
+    /// Creates a client for one stream of the log at `log_url`.
     pub fn new(log_url: &str, stream: &str) -> Self {
         let base = log_url.trim_end_matches('/');
         Self {
             client: client(),
-            fresh_client: new_connection_client(),
+            no_reuse_client: new_connection_client(),
             records_url: format!("{base}/streams/{stream}/records"),
         }
     }
@@ -53,10 +54,11 @@
             "{}?from={}&max={MAX_READ_RECORDS}&wait_ms={}",
             self.records_url, from.0, wait_ms.0
         );
-        let limit = wait_ms.to_duration() + READ_TIMEOUT;
-        let answer = match get_page(&self.client, &url, limit).await {
-            // A lost answer or a closed connection is no sign that the log is out of reach.
-            Err(CallError::Broken { .. }) => get_page(&self.fresh_client, &url, limit).await,
+        let timeout = wait_ms.to_duration() + READ_TIMEOUT;
+        let answer = match get_page(&self.client, &url, timeout).await {
+            // Reads again once: a lost answer or a closed connection does not mean that the log
+            // cannot be reached.
+            Err(CallError::Broken { .. }) => get_page(&self.no_reuse_client, &url, timeout).await,
             other => other,
         };
         let answer = answer.map_err(|_| LogCallError::Refused)?;
@@ -75,7 +77,7 @@
         let body = AppendBody { records };
         let url = &self.records_url;
         let answer: Result<JsonAnswer<AppendAnswer>, CallError> = call_json(
-            &self.fresh_client,
+            &self.no_reuse_client,
             Method::Post,
             url,
             Some(&body),
@@ -94,9 +96,9 @@
 async fn get_page(
     client: &Client,
     url: &str,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<JsonAnswer<ReadAnswer>, CallError> {
-    call_json(client, Method::Get, url, None::<&()>, limit).await
+    call_json(client, Method::Get, url, None::<&()>, timeout).await
 }
 
 impl LogService for HttpLog {
--- a/src/edge/operator.rs
+++ b/src/edge/operator.rs
@@ -1,8 +1,8 @@
-//! The operators' interface over HTTP, on its own address and with its own credential.
+//! The HTTP interface for operators, at an address and with credentials of its own.
 
 use crate::edge::answer::{json_answer, refuse};
 use crate::edge::gate::{Gate, Query};
-use crate::edge::intake::{key_of, read_body};
+use crate::edge::intake::{bearer_token_sha256, read_body};
 use crate::prelude::*;
 use crate::table::message::{Change, Edit};
 use serde_json::Value;
@@ -11,21 +11,21 @@
 
 const MAX_EDIT_BYTES: u64 = 1 << 20;
 
-/// What the operators' interface works with.
+/// Serves the HTTP interface for operators.
 #[derive(Debug)]
 pub struct OperatorEdge {
-    /// The gate to the event loop.
+    /// The handle of the event loop.
     pub gate: Arc<Gate>,
-    /// SHA-256 of each operator's token.
+    /// SHA-256 of each operator's token, as hex digits.
     pub token_sha256: Vec<Name>,
-    /// Gives the metrics as text.
+    /// The metrics that `/metrics` returns.
     pub metrics: crate::daemon::metrics::Metrics,
 }
 
 impl OperatorEdge {
-    /// Answers one call.
+    /// Answers one HTTP request.
     pub async fn handle(self: Arc<Self>, conn: Conn) -> Conn {
-        if let Err(refusal) = self.check(&conn) {
+        if let Err(refusal) = self.authorise(&conn) {
             return refuse(conn, &refusal, "");
         }
         let path = conn.path().to_string();
@@ -43,8 +43,8 @@
         }
     }
 
-    fn check(&self, conn: &Conn) -> Result<(), Refusal> {
-        let token = key_of(conn)?;
+    fn authorise(&self, conn: &Conn) -> Result<(), Refusal> {
+        let token = bearer_token_sha256(conn)?;
         if self.token_sha256.contains(&token) {
             return Ok(());
         }
@@ -98,9 +98,10 @@
     }
 }
 
-/// Finds a key of a change that its kind does not have, and says what the kind has.
+/// Finds the first key that the kind of its change does not have, and returns an error text that
+/// names the allowed keys.
 ///
-/// The decoder passes over such keys, since a change carries its kind among its other keys.
+/// The decoder ignores such keys, because the kind of a change is itself one of the keys.
 pub fn unknown_key(raw_changes: &Value, changes: &[Change]) -> Option<String> {
     let raw_changes = raw_changes.as_array()?;
     let pairs = raw_changes.iter().zip(changes).enumerate();
--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -1,6 +1,7 @@
-//! Calls between hosts over QUIC, with certificates of one fleet on both sides.
+//! Calls between hosts over QUIC. Both sides authenticate with certificates of the same fleet.
 //!
-//! Each call is one stream: a length-bounded postcard request, then a postcard reply.
+//! Each call uses one stream: a request in postcard encoding, then a reply in postcard encoding,
+//! both of limited length.
 
 use crate::edge::gate::Gate;
 use crate::edge::http::within;
@@ -21,47 +22,47 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The name that every host's certificate carries.
+/// The server name for which every host's certificate is issued.
 pub const FLEET_SERVER_NAME: &str = "host.mangovale";
-/// The protocol's name and version.
+/// The ALPN identifier: name and version of the protocol.
 const ALPN: &[u8] = b"mangovale-peer/1";
-/// How long a call may take.
+/// The longest time for a call, with its connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a connection lives without traffic.
+/// The time without traffic after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest request and reply.
+/// The longest request, and the longest reply.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Most calls of one peer at once.
+/// The most calls in progress on one connection of a peer.
 const MAX_STREAMS: u32 = 256;
 
-/// Why the peers' edge cannot start.
+/// The reason for which the endpoint cannot start.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// A key file cannot be read.
+    /// A file of keys or certificates cannot be read.
     #[snafu(display("cannot read {}: {why}", path.display()))]
     KeyFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason, as text.
         why: String,
     },
-    /// The keys do not fit together.
+    /// The certificates and the key do not match, or cannot be used for TLS.
     #[snafu(display("the keys do not fit together: {why}"))]
     Keys {
-        /// Why.
+        /// The reason, as text.
         why: String,
     },
-    /// The address cannot be used.
+    /// The address cannot be bound.
     #[snafu(display("cannot listen on {address} (peer_listen, UDP): {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the system.
         source: std::io::Error,
     },
 }
 
-/// The calling and the answering side.
+/// The QUIC endpoint by which this host calls its peers and answers their calls.
 #[derive(Debug)]
 pub struct PeerEdge {
     endpoint: Endpoint,
@@ -69,13 +70,13 @@
 }
 
 impl PeerEdge {
-    /// Binds the address and reads the keys.
+    /// Reads the keys and binds the UDP address.
     ///
     /// # Errors
     ///
-    /// Returns which file, key or address cannot be used.
+    /// Returns the file, keys or address that cannot be used.
     pub fn bind(address: SocketAddr, keys: &KeySettings) -> Result<Arc<Self>, PeerError> {
-        let identity = Identity::read(keys)?;
+        let identity = TlsIdentity::read(keys)?;
         let server = identity.server_config()?;
         let client = identity.client_config()?;
         let mut endpoint = Endpoint::server(server, address).context(ListenSnafu { address })?;
@@ -86,7 +87,7 @@
         }))
     }
 
-    /// Answers peers until the endpoint closes.
+    /// Answers the calls of peers until the endpoint closes.
     pub async fn serve(self: Arc<Self>, gate: Arc<Gate>) {
         while let Some(incoming) = self.endpoint.accept().await {
             let gate = gate.clone();
@@ -100,24 +101,24 @@
         }
     }
 
-    /// Asks a peer. Returns nothing when no answer came in time.
+    /// Calls a peer. Returns `None` if no reply arrives within the timeout.
     pub async fn ask(&self, address: SocketAddr, request: &PeerRequest) -> Option<PeerReply> {
-        let reply = within(CALL_TIMEOUT, self.try_ask(address, request))
+        let reply = within(CALL_TIMEOUT, self.call(address, request))
             .await
             .flatten();
         if reply.is_none() {
-            // A connection that went silent is not used again.
-            self.forget(address);
+            // The connection may no longer work, so the next call opens a new one.
+            self.drop_connection(address);
         }
         reply
     }
 
-    /// Closes every connection.
+    /// Closes the endpoint and every connection.
     pub fn close(&self) {
         self.endpoint.close(0u32.into(), b"stopped");
     }
 
-    async fn try_ask(&self, address: SocketAddr, request: &PeerRequest) -> Option<PeerReply> {
+    async fn call(&self, address: SocketAddr, request: &PeerRequest) -> Option<PeerReply> {
         let connection = self.connection(address).await?;
         let (mut send, mut receive) = connection.open_bi().await.ok()?;
         let bytes = postcard::to_stdvec(request).ok()?;
@@ -128,7 +129,7 @@
     }
 
     async fn connection(&self, address: SocketAddr) -> Option<Connection> {
-        if let Some(connection) = self.kept(address) {
+        if let Some(connection) = self.open_connection(address) {
             return Some(connection);
         }
         let connecting = self.endpoint.connect(address, FLEET_SERVER_NAME).ok()?;
@@ -137,13 +138,13 @@
         Some(connection)
     }
 
-    fn kept(&self, address: SocketAddr) -> Option<Connection> {
+    fn open_connection(&self, address: SocketAddr) -> Option<Connection> {
         let mut connections = self.lock();
         connections.retain(|_, connection| connection.close_reason().is_none());
         connections.get(&address).cloned()
     }
 
-    fn forget(&self, address: SocketAddr) {
+    fn drop_connection(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
@@ -169,20 +170,20 @@
     }
 }
 
-struct Identity {
+struct TlsIdentity {
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
 }
 
-impl Identity {
+impl TlsIdentity {
     fn read(keys: &KeySettings) -> Result<Self, PeerError> {
         let mut roots = RootCertStore::empty();
         for certificate in read_certificates(&keys.fleet_certificate)? {
             roots.add(certificate).map_err(keys_error)?;
         }
         let key = PrivateKeyDer::from_pem_file(&keys.host_key)
-            .map_err(|error| file_error(&keys.host_key, &error))?;
+            .map_err(|error| key_file_error(&keys.host_key, &error))?;
         let chain = read_certificates(&keys.host_certificate)?;
         Ok(Self {
             roots: Arc::new(roots),
@@ -224,7 +225,7 @@
 
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, PeerError> {
     let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
-    let certificates: Vec<_> = read.map_err(|error| file_error(path, &error))?;
+    let certificates: Vec<_> = read.map_err(|error| key_file_error(path, &error))?;
     if certificates.is_empty() {
         return KeyFileSnafu {
             path,
@@ -235,7 +236,7 @@
     Ok(certificates)
 }
 
-fn file_error(path: &Path, error: &impl std::fmt::Display) -> PeerError {
+fn key_file_error(path: &Path, error: &impl std::fmt::Display) -> PeerError {
     PeerError::KeyFile {
         path: path.to_path_buf(),
         why: error.to_string(),
--- a/src/edge/pipe.rs
+++ b/src/edge/pipe.rs
@@ -1,4 +1,4 @@
-//! A bounded pipe of byte chunks from a task to an HTTP body.
+//! A bounded pipe by which a task writes the body of an HTTP answer in chunks.
 
 use smol::channel::{Receiver, Sender, bounded};
 use smol::io::AsyncRead;
@@ -8,17 +8,18 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Most chunks between the task and the body: a slow reader holds its own task up and nobody else.
+/// The most chunks in the pipe. Beyond them, the task that writes waits for its reader, so that a
+/// slow reader delays only its own task.
 const MAX_CHUNKS: usize = 16;
 
-/// What goes through the pipe.
+/// An item in the pipe.
 #[derive(Debug)]
-enum Piece {
+enum PipeItem {
     Chunk(Vec<u8>),
     End,
 }
 
-/// Makes a pipe.
+/// Creates a pipe and returns its two ends.
 pub fn pipe() -> (ChunkWriter, ChunkReader) {
     let (sender, receiver) = bounded(MAX_CHUNKS);
     let reader = ChunkReader {
@@ -30,48 +31,50 @@
     (ChunkWriter { sender }, reader)
 }
 
-/// The reading end is gone, or stalled for too long.
+/// The error of a write whose reader is dropped or took nothing within the timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReaderGone;
 
-/// The writing end. Dropped without [`ChunkWriter::end`], it makes the body fail, so that the
-/// connection is cut and the answer does not look whole.
+/// The writing end.
+///
+/// If it is dropped without [`ChunkWriter::end`], the body fails, and the connection is closed, so
+/// that an incomplete answer does not look complete.
 #[derive(Debug)]
 pub struct ChunkWriter {
-    sender: Sender<Piece>,
+    sender: Sender<PipeItem>,
 }
 
 impl ChunkWriter {
-    /// Writes a chunk.
+    /// Writes a chunk, and waits while the pipe is full.
     ///
     /// # Errors
     ///
-    /// Fails when the reader is gone, or takes nothing within the limit.
-    pub async fn write(&self, chunk: Vec<u8>, limit: Duration) -> Result<(), ReaderGone> {
-        self.send(Piece::Chunk(chunk), limit).await
+    /// Fails if the reader is dropped, or the pipe stays full for the whole timeout.
+    pub async fn write(&self, chunk: Vec<u8>, timeout: Duration) -> Result<(), ReaderGone> {
+        self.send(PipeItem::Chunk(chunk), timeout).await
     }
 
-    /// Ends the body as complete.
+    /// Marks the body as complete.
     ///
     /// # Errors
     ///
-    /// Fails when the reader is gone, or takes nothing within the limit.
-    pub async fn end(self, limit: Duration) -> Result<(), ReaderGone> {
-        self.send(Piece::End, limit).await
+    /// Fails if the reader is dropped, or the pipe stays full for the whole timeout.
+    pub async fn end(self, timeout: Duration) -> Result<(), ReaderGone> {
+        self.send(PipeItem::End, timeout).await
     }
 
-    async fn send(&self, piece: Piece, limit: Duration) -> Result<(), ReaderGone> {
-        match crate::edge::http::within(limit, self.sender.send(piece)).await {
+    async fn send(&self, item: PipeItem, timeout: Duration) -> Result<(), ReaderGone> {
+        match crate::edge::http::within(timeout, self.sender.send(item)).await {
             Some(Ok(())) => Ok(()),
             Some(Err(_)) | None => Err(ReaderGone),
         }
     }
 }
 
-/// The reading end.
+/// The reading end, which the HTTP server reads as the body.
 #[derive(Debug)]
 pub struct ChunkReader {
-    receiver: Pin<Box<Receiver<Piece>>>,
+    receiver: Pin<Box<Receiver<PipeItem>>>,
     chunk: Vec<u8>,
     read_bytes: usize,
     ended: bool,
@@ -92,16 +95,16 @@
                 Poll::Ready(None) => {
                     return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
                 }
-                Poll::Ready(Some(Piece::End)) => self.ended = true,
-                Poll::Ready(Some(Piece::Chunk(chunk))) => {
+                Poll::Ready(Some(PipeItem::End)) => self.ended = true,
+                Poll::Ready(Some(PipeItem::Chunk(chunk))) => {
                     self.chunk = chunk;
                     self.read_bytes = 0;
                 }
             }
         }
-        let left = &self.chunk[self.read_bytes..];
-        let count = left.len().min(buffer.len());
-        buffer[..count].copy_from_slice(&left[..count]);
+        let unread = &self.chunk[self.read_bytes..];
+        let count = unread.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&unread[..count]);
         self.read_bytes += count;
         Poll::Ready(Ok(count))
     }
--- a/src/edge/quic.rs
+++ b/src/edge/quic.rs
@@ -1,4 +1,5 @@
-//! Configurations of QUIC between hosts: TLS 1.3 only, certificates on both sides.
+//! QUIC configurations for connections between hosts: TLS 1.3 only, with certificates on both
+//! sides.
 
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use quinn::{ClientConfig, ServerConfig, TransportConfig};
@@ -9,14 +10,15 @@
 use std::error::Error;
 use std::sync::Arc;
 
-/// A certificate with its chain, and its key.
+/// A certificate with its chain, and its private key.
 pub type Identity = (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>);
 
-/// Makes the answering side's configuration.
+/// Creates the configuration of the side that accepts connections; `protocol` is the ALPN
+/// identifier.
 ///
 /// # Errors
 ///
-/// Returns why the parts do not fit together.
+/// Returns an error if the certificate and key do not match, or cannot be used for TLS.
 pub fn server(
     provider: Arc<CryptoProvider>,
     verifier: Arc<dyn ClientCertVerifier>,
@@ -34,11 +36,11 @@
     Ok(config)
 }
 
-/// Makes the calling side's configuration.
+/// Creates the configuration of the side that connects; `protocol` is the ALPN identifier.
 ///
 /// # Errors
 ///
-/// Returns why the parts do not fit together.
+/// Returns an error if the certificate and key do not match, or cannot be used for TLS.
 pub fn client(
     provider: Arc<CryptoProvider>,
     verifier: Arc<dyn ServerCertVerifier>,
--- a/src/edge/stall.rs
+++ b/src/edge/stall.rs
@@ -1,4 +1,5 @@
-//! Callers' connections whose writes may not stall for ever: one that is never read from is closed.
+//! Closes connections of callers who do not read: a write that makes no progress fails after a
+//! timeout.
 
 use smol::Timer;
 use smol::io::{AsyncRead, AsyncWrite};
@@ -10,8 +11,8 @@
 use std::time::Duration;
 use trillium_server_common::{Acceptor, Transport};
 
-/// How long a write may make no progress.
-pub const STALL_LIMIT: Duration = Duration::from_secs(30);
+/// The longest time for which a write may make no progress.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Wraps each accepted connection in a [`StallGuard`].
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +25,7 @@
     async fn accept(&self, input: Input) -> Result<StallGuard<Input>, Infallible> {
         Ok(StallGuard {
             inner: input,
-            stalled: None,
+            stall_timer: None,
         })
     }
 
@@ -33,26 +34,26 @@
     }
 }
 
-/// A connection whose writes fail once they made no progress for [`STALL_LIMIT`].
+/// A connection whose writes fail after no progress for [`STALL_TIMEOUT`].
 #[derive(Debug)]
 pub struct StallGuard<T> {
     inner: T,
-    stalled: Option<Timer>,
+    stall_timer: Option<Timer>,
 }
 
 impl<T> StallGuard<T> {
-    fn bound<V>(
+    fn fail_if_stalled<V>(
         &mut self,
         cx: &mut Context<'_>,
         polled: Poll<io::Result<V>>,
     ) -> Poll<io::Result<V>> {
         if polled.is_ready() {
-            self.stalled = None;
+            self.stall_timer = None;
             return polled;
         }
         let timer = self
-            .stalled
-            .get_or_insert_with(|| Timer::after(STALL_LIMIT));
+            .stall_timer
+            .get_or_insert_with(|| Timer::after(STALL_TIMEOUT));
         match Pin::new(timer).poll(cx) {
             Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -77,12 +78,12 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.inner).poll_write(cx, bytes);
-        self.bound(cx, polled)
+        self.fail_if_stalled(cx, polled)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_flush(cx);
-        self.bound(cx, polled)
+        self.fail_if_stalled(cx, polled)
     }
 
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/src/edge/store.rs
+++ b/src/edge/store.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! Client of the weight store, over HTTP.
 
 use crate::edge::http::{call_json, client};
 use crate::edge::{BoxFuture, WeightStore};
@@ -8,7 +8,7 @@
 
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The store as the platform's protocol page describes it.
+/// The weight store over HTTP, as `docs/design/platform-protocols.md` specifies it.
 #[derive(Debug)]
 pub struct HttpStore {
     client: Client,
@@ -16,7 +16,7 @@
 }
 
 impl HttpStore {
-    /// Makes the client of a store.
+    /// Creates a client for the store at `store_url`.
     pub fn new(store_url: &str) -> Self {
         let base = store_url.trim_end_matches('/');
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    async fn ask_report(&self) -> Option<StoreReport> {
+    async fn fetch_report(&self) -> Option<StoreReport> {
         let call = call_json(
             &self.client,
             Method::Get,
@@ -39,6 +39,6 @@
 
 impl WeightStore for HttpStore {
     fn report(&self) -> BoxFuture<'_, Option<StoreReport>> {
-        Box::pin(self.ask_report())
+        Box::pin(self.fetch_report())
     }
 }
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -1,50 +1,61 @@
-//! Passes a streamed answer on to its caller, and resumes it when its connection fails.
+//! Relays a streamed answer to its caller, and resumes it when the connection to the upstream
+//! fails.
 
 use crate::attempt::events::{AnswerEvents, StreamStep};
 use crate::attempt::message::{AttemptOutcome, TargetKind};
 use crate::edge::http::within;
 use crate::edge::pipe::{ChunkWriter, ReaderGone};
-use crate::edge::upstream::{Call, Started};
+use crate::edge::upstream::{AnswerStart, UpstreamCall};
 use smol::io::AsyncReadExt;
 use std::time::Duration;
 use trillium_client::ResponseBody;
 
-/// How long a caller may leave its answer unread.
-pub const WRITE_STALL: Duration = Duration::from_secs(10);
-/// Most resumptions of one answer.
+/// The longest time for which a caller may not read its answer.
+pub const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// The most times that one answer is resumed.
 pub const MAX_RESUMPTIONS: u32 = 3;
 
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How the passing of one connection's part ended.
-enum PartEnd {
-    Whole,
+/// How the relay of an answer, or of its part from one connection, ended.
+enum RelayEnd {
+    Complete,
     CallerGone,
     DeadlinePassed,
     Failed(String),
 }
 
-/// Passes an answer on until its end.
-pub async fn pass_stream(call: &Call, started: Started, caller: &ChunkWriter) -> AttemptOutcome {
+/// Relays an answer until its end, and cancels the attempt if it does not end completely.
+///
+/// The answer of a model is validated and resumed; that of a plain service is relayed unchanged.
+pub async fn relay_stream(
+    call: &UpstreamCall,
+    started: AnswerStart,
+    caller: &ChunkWriter,
+) -> AttemptOutcome {
     let end = match call.outgoing.target {
-        TargetKind::Service => pass_unchecked(call, started.body, caller).await,
-        TargetKind::Model => pass_checked(call, started.body, caller).await,
+        TargetKind::Service => relay_unchanged(call, started.body, caller).await,
+        TargetKind::Model => relay_with_resumption(call, started.body, caller).await,
     };
     let outcome = match end {
-        PartEnd::Whole => return AttemptOutcome::Answered,
-        PartEnd::CallerGone => AttemptOutcome::CallerGone,
-        PartEnd::DeadlinePassed => AttemptOutcome::Broken("the deadline passed".into()),
-        PartEnd::Failed(why) => AttemptOutcome::Broken(why),
+        RelayEnd::Complete => return AttemptOutcome::Answered,
+        RelayEnd::CallerGone => AttemptOutcome::CallerGone,
+        RelayEnd::DeadlinePassed => AttemptOutcome::Broken("the deadline passed".into()),
+        RelayEnd::Failed(why) => AttemptOutcome::Broken(why),
     };
     call.cancel();
     outcome
 }
 
-async fn pass_checked(call: &Call, body: ResponseBody<'static>, caller: &ChunkWriter) -> PartEnd {
+async fn relay_with_resumption(
+    call: &UpstreamCall,
+    body: ResponseBody<'static>,
+    caller: &ChunkWriter,
+) -> RelayEnd {
     let mut events = AnswerEvents::new(call.attempt_id());
-    let mut end = pass_part(call, body, &mut events, caller).await;
+    let mut end = relay_part(call, body, &mut events, caller).await;
     for _ in 0..MAX_RESUMPTIONS {
-        let PartEnd::Failed(why) = &end else {
+        let RelayEnd::Failed(why) = &end else {
             return end;
         };
         crate::prelude::LogEvent::AttemptFailed.write(&format!(
@@ -54,24 +65,24 @@
         ));
         events.restart();
         end = match call.resume(events.next_index()).await {
-            Ok(started) => pass_part(call, started.body, &mut events, caller).await,
-            Err(outcome) => PartEnd::Failed(format!("{why}; not resumed: {outcome:?}")),
+            Ok(started) => relay_part(call, started.body, &mut events, caller).await,
+            Err(outcome) => RelayEnd::Failed(format!("{why}; not resumed: {outcome:?}")),
         };
     }
     end
 }
 
-async fn pass_part(
-    call: &Call,
+async fn relay_part(
+    call: &UpstreamCall,
     mut body: ResponseBody<'static>,
     events: &mut AnswerEvents,
     caller: &ChunkWriter,
-) -> PartEnd {
+) -> RelayEnd {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         while let Some(step) = events.next_step() {
             let (bytes, is_end) = match step {
-                StreamStep::Broken(why) => return PartEnd::Failed(why),
+                StreamStep::Broken(why) => return RelayEnd::Failed(why),
                 StreamStep::Pass(event) => (event, false),
                 StreamStep::End(event) => (event, true),
             };
@@ -79,26 +90,26 @@
                 return end;
             }
             if is_end {
-                return PartEnd::Whole;
+                return RelayEnd::Complete;
             }
         }
         match read(call, &mut body, &mut buffer).await {
-            Ok(0) => return PartEnd::Failed("the stream ended before its end mark".into()),
+            Ok(0) => return RelayEnd::Failed("the stream ended before its end mark".into()),
             Ok(count) => events.push(&buffer[..count]),
             Err(end) => return end,
         }
     }
 }
 
-async fn pass_unchecked(
-    call: &Call,
+async fn relay_unchanged(
+    call: &UpstreamCall,
     mut body: ResponseBody<'static>,
     caller: &ChunkWriter,
-) -> PartEnd {
+) -> RelayEnd {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let count = match read(call, &mut body, &mut buffer).await {
-            Ok(0) => return PartEnd::Whole,
+            Ok(0) => return RelayEnd::Complete,
             Ok(count) => count,
             Err(end) => return end,
         };
@@ -109,30 +120,35 @@
 }
 
 async fn read(
-    call: &Call,
+    call: &UpstreamCall,
     body: &mut ResponseBody<'static>,
     buffer: &mut [u8],
-) -> Result<usize, PartEnd> {
-    let to_deadline = call.to_deadline();
-    let silence = call.attempt.first_byte_ms.to_duration();
-    match within(silence.min(to_deadline), body.read(buffer)).await {
-        None if to_deadline <= silence => Err(PartEnd::DeadlinePassed),
+) -> Result<usize, RelayEnd> {
+    let time_to_deadline = call.time_to_deadline();
+    let silence_timeout = call.attempt.first_byte_ms.to_duration();
+    match within(silence_timeout.min(time_to_deadline), body.read(buffer)).await {
+        None if time_to_deadline <= silence_timeout => Err(RelayEnd::DeadlinePassed),
         None => {
-            call.connections.forget(call.attempt.address);
-            Err(PartEnd::Failed("the upstream went silent".into()))
+            call.connections.drop_keep_alive(call.attempt.address);
+            Err(RelayEnd::Failed("the upstream went silent".into()))
         }
-        Some(Err(error)) => Err(PartEnd::Failed(error.to_string())),
+        Some(Err(error)) => Err(RelayEnd::Failed(error.to_string())),
         Some(Ok(count)) => Ok(count),
     }
 }
 
-async fn write(call: &Call, caller: &ChunkWriter, bytes: Vec<u8>) -> Result<(), PartEnd> {
-    let to_deadline = call.to_deadline();
-    match caller.write(bytes, WRITE_STALL.min(to_deadline)).await {
+async fn write(call: &UpstreamCall, caller: &ChunkWriter, bytes: Vec<u8>) -> Result<(), RelayEnd> {
+    let time_to_deadline = call.time_to_deadline();
+    match caller
+        .write(bytes, CALLER_STALL_TIMEOUT.min(time_to_deadline))
+        .await
+    {
         Ok(()) => Ok(()),
-        Err(ReaderGone) if to_deadline < WRITE_STALL && call.to_deadline().is_zero() => {
-            Err(PartEnd::DeadlinePassed)
+        Err(ReaderGone)
+            if time_to_deadline < CALLER_STALL_TIMEOUT && call.time_to_deadline().is_zero() =>
+        {
+            Err(RelayEnd::DeadlinePassed)
         }
-        Err(ReaderGone) => Err(PartEnd::CallerGone),
+        Err(ReaderGone) => Err(RelayEnd::CallerGone),
     }
 }
--- a/src/edge/upstream.rs
+++ b/src/edge/upstream.rs
@@ -1,4 +1,4 @@
-//! One attempt at an upstream over HTTP.
+//! Sends one attempt of a request to an upstream over HTTP.
 
 use crate::attempt::events::is_own_whole_answer;
 use crate::attempt::message::{Attempt, AttemptOutcome, ConnectionChoice, Repeatable, TargetKind};
@@ -9,69 +9,69 @@
 use std::time::Duration;
 use trillium_client::{Conn, Method, ResponseBody};
 
-/// The header by which an upstream says that nothing ran.
+/// The answer header by which an upstream says that it ran nothing of the request.
 pub const RUN_HEADER: &str = "x-mangovale-run";
-/// The value of [`RUN_HEADER`] that says so.
+/// The value of [`RUN_HEADER`] for a request of which nothing was run.
 pub const NOT_RUN: &str = "not_run";
-/// The header with the attempt's identity at the upstream.
-pub const REQUEST_HEADER: &str = "x-request-id";
-/// The header with an operation's identity at a plain service.
+/// The request header with the id of the attempt.
+pub const ATTEMPT_ID_HEADER: &str = "x-request-id";
+/// The request header with the id of an operation that runs at most once, for plain services.
 pub const OPERATION_HEADER: &str = "x-operation-id";
-/// The header that names the attempt whose answer goes on.
-pub const RESUME_REQUEST_HEADER: &str = "x-resume-request";
-/// The header with the position at which the answer goes on.
+/// The request header with the id of the attempt whose answer is to be resumed.
+pub const RESUME_ATTEMPT_HEADER: &str = "x-resume-request";
+/// The request header with the index of the event from which the answer is to be resumed.
 pub const RESUME_FROM_HEADER: &str = "x-resume-from";
 
 const TOO_MANY_REQUESTS: u16 = 429;
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Statuses that blame the request itself, so that another upstream would say the same.
+/// Statuses of faults in the request itself, for which another upstream would answer the same.
 const REQUEST_FAULTS: [u16; 3] = [400, 413, 422];
 
-/// What is sent to the upstream.
+/// The request that each attempt sends to its upstream.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The HTTP method.
     pub method: Method,
-    /// The path with its query.
+    /// The path with its query string.
     pub path: String,
-    /// The body.
+    /// The request body.
     pub body: Arc<[u8]>,
-    /// The body's type.
+    /// The content type of the request body.
     pub content_type: Name,
-    /// The request's identity.
+    /// The request's id, unique among all hosts.
     pub request_id: Name,
-    /// What it is for.
+    /// Whether the request is for a model or for a plain service.
     pub target: TargetKind,
-    /// Whether it may be sent again.
+    /// Whether the request may be sent again after it may have run.
     pub repeatable: Repeatable,
-    /// The operation's identity, when the caller gave a key.
+    /// The id of the operation: the caller's idempotency key, if any.
     pub operation_id: Option<Name>,
 }
 
-/// Where a streamed answer goes on.
+/// From where a streamed answer is to be resumed.
 #[derive(Clone, Debug)]
-pub struct Resume {
-    /// The attempt whose answer it is.
+pub struct ResumePoint {
+    /// The id of the attempt whose answer is resumed.
     pub attempt_id: Name,
-    /// The position.
+    /// The index of the first event to send.
     pub from: u32,
 }
 
-/// The start of an upstream's answer.
+/// The start of an upstream's answer, whose body is not read yet.
 #[derive(Debug)]
-pub struct Started {
+pub struct AnswerStart {
     /// The HTTP status.
     pub status: u16,
-    /// The body's type.
+    /// The content type of the answer's body.
     pub content_type: Option<String>,
-    /// How long the upstream took to its first byte.
+    /// The time from sending the request to the head of the answer.
     pub first_byte_ms: Millis,
-    /// The rest of the answer.
+    /// The body, still to be read.
     pub body: ResponseBody<'static>,
 }
 
-impl Started {
-    /// Tells whether the answer is a stream of events.
+impl AnswerStart {
+    /// Returns whether the answer is a stream of server-sent events.
     pub fn is_event_stream(&self) -> bool {
         self.content_type
             .as_deref()
@@ -79,27 +79,27 @@
     }
 }
 
-/// An attempt with what it sends.
+/// An attempt at an upstream, with the request that it sends.
 #[derive(Clone, Debug)]
-pub struct Call {
-    /// The attempt.
+pub struct UpstreamCall {
+    /// The attempt, as the event loop decided it.
     pub attempt: Attempt,
-    /// What it sends.
-    pub outgoing: Outgoing,
+    /// The request that it sends.
+    pub outgoing: OutgoingRequest,
     /// The connections to upstreams.
     pub connections: Arc<Connections>,
-    /// The clock.
+    /// The clock by which deadlines are measured.
     pub clock: Clock,
 }
 
-impl Call {
-    /// Returns the attempt's identity at the upstream.
+impl UpstreamCall {
+    /// Returns the id by which the upstream knows the attempt: request id and attempt number.
     pub fn attempt_id(&self) -> Name {
         format!("{}-{}", self.outgoing.request_id, self.attempt.number).into()
     }
 
-    /// Returns the time left until the deadline.
-    pub fn to_deadline(&self) -> Duration {
+    /// Returns the time left until the deadline, or zero if it has passed.
+    pub fn time_to_deadline(&self) -> Duration {
         let now = self.clock.now();
         self.attempt.deadline_at.since(now).to_duration()
     }
@@ -108,8 +108,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the attempt's outcome when there is no answer to pass on.
-    pub async fn start(&self) -> Result<Started, AttemptOutcome> {
+    /// Returns the outcome of the attempt if there is no answer to relay.
+    pub async fn start(&self) -> Result<AnswerStart, AttemptOutcome> {
         if self.clock.now() > self.attempt.begin_by {
             let why = "this host was paused before the attempt";
             return Err(AttemptOutcome::NotRun(why.into()));
@@ -117,14 +117,15 @@
         self.send(self.attempt.connection, None).await
     }
 
-    /// Asks the upstream to go on with an answer that broke off, over a new connection.
+    /// Asks the upstream, over a new connection, to send an interrupted answer from event `from`
+    /// on.
     ///
     /// # Errors
     ///
-    /// Returns the outcome when it does not.
-    pub async fn resume(&self, from: u32) -> Result<Started, AttemptOutcome> {
+    /// Returns the outcome of the attempt if the upstream does not resume the answer.
+    pub async fn resume(&self, from: u32) -> Result<AnswerStart, AttemptOutcome> {
         let attempt_id = self.attempt_id();
-        let resume = Resume { attempt_id, from };
+        let resume = ResumePoint { attempt_id, from };
         let started = self.send(ConnectionChoice::New, Some(resume)).await?;
         if started.status == 200 && started.is_event_stream() {
             return Ok(started);
@@ -136,25 +137,28 @@
     async fn send(
         &self,
         connection: ConnectionChoice,
-        resume: Option<Resume>,
-    ) -> Result<Started, AttemptOutcome> {
+        resume: Option<ResumePoint>,
+    ) -> Result<AnswerStart, AttemptOutcome> {
         let sent_at = self.clock.now();
-        let bound = self.attempt.first_byte_ms.to_duration();
-        let limit = bound.min(self.to_deadline());
-        let conn = self.build(connection, resume);
-        match within(limit, conn.into_future()).await {
+        let first_byte_timeout = self.attempt.first_byte_ms.to_duration();
+        let timeout = first_byte_timeout.min(self.time_to_deadline());
+        let conn = self.build_request(connection, resume);
+        match within(timeout, conn.into_future()).await {
             None => {
-                self.connections.forget(self.attempt.address);
+                self.connections.drop_keep_alive(self.attempt.address);
                 let upstream = &self.attempt.upstream;
-                let why = format!("{upstream} sent no answer within {} ms", limit.as_millis());
+                let why = format!(
+                    "{upstream} sent no answer within {} ms",
+                    timeout.as_millis()
+                );
                 Err(AttemptOutcome::Silent(why))
             }
-            Some(Err(error)) => Err(outcome_of(&call_error(&error))),
-            Some(Ok(conn)) => self.check_start(conn, self.clock.now().since(sent_at)),
+            Some(Err(error)) => Err(outcome_of_error(&call_error(&error))),
+            Some(Ok(conn)) => self.check_answer_start(conn, self.clock.now().since(sent_at)),
         }
     }
 
-    fn build(&self, connection: ConnectionChoice, resume: Option<Resume>) -> Conn {
+    fn build_request(&self, connection: ConnectionChoice, resume: Option<ResumePoint>) -> Conn {
         let outgoing = &self.outgoing;
         let url = format!("http://{}{}", self.attempt.address, outgoing.path);
         let client = self.connections.client(self.attempt.address, connection);
@@ -162,9 +166,9 @@
             .build_conn(outgoing.method, url)
             .with_request_header("content-type", outgoing.content_type.to_string());
         conn = match resume {
-            None => conn.with_request_header(REQUEST_HEADER, self.attempt_id().to_string()),
+            None => conn.with_request_header(ATTEMPT_ID_HEADER, self.attempt_id().to_string()),
             Some(resume) => conn
-                .with_request_header(RESUME_REQUEST_HEADER, resume.attempt_id.to_string())
+                .with_request_header(RESUME_ATTEMPT_HEADER, resume.attempt_id.to_string())
                 .with_request_header(RESUME_FROM_HEADER, resume.from.to_string()),
         };
         if let Some(operation_id) = &outgoing.operation_id {
@@ -173,11 +177,11 @@
         conn.with_body(outgoing.body.to_vec())
     }
 
-    fn check_start(
+    fn check_answer_start(
         &self,
         mut conn: Conn,
         first_byte_ms: Millis,
-    ) -> Result<Started, AttemptOutcome> {
+    ) -> Result<AnswerStart, AttemptOutcome> {
         let status = conn.status().map_or(0, |status| status as u16);
         let headers = conn.response_headers();
         let not_run = headers.get_str(RUN_HEADER) == Some(NOT_RUN);
@@ -192,7 +196,7 @@
         let Some(body) = conn.take_response_body() else {
             return Err(AttemptOutcome::Unknown("the answer has no body".into()));
         };
-        Ok(Started {
+        Ok(AnswerStart {
             status,
             content_type,
             first_byte_ms,
@@ -200,19 +204,20 @@
         })
     }
 
-    /// Reads a whole answer.
+    /// Reads the body of an answer that is not streamed, of up to `max_bytes`.
     ///
     /// # Errors
     ///
-    /// Returns the attempt's outcome when the answer is not whole or not this attempt's.
-    pub async fn read_whole(
+    /// Returns the outcome of the attempt if the answer is incomplete or belongs to another
+    /// attempt.
+    pub async fn read_complete(
         &self,
-        started: Started,
-        most_bytes: u64,
+        started: AnswerStart,
+        max_bytes: u64,
     ) -> Result<Vec<u8>, AttemptOutcome> {
-        let body = started.body.with_max_len(most_bytes);
+        let body = started.body.with_max_len(max_bytes);
         let unknown = |why: String| Err(AttemptOutcome::Unknown(why));
-        let bytes = match within(self.to_deadline(), body.read_bytes()).await {
+        let bytes = match within(self.time_to_deadline(), body.read_bytes()).await {
             None => return unknown("the answer stopped half-way".into()),
             Some(Err(error)) => return unknown(error.to_string()),
             Some(Ok(bytes)) => bytes,
@@ -224,7 +229,7 @@
         Ok(bytes)
     }
 
-    /// Tells an engine that nobody waits for the attempt's answer any more.
+    /// Tells an engine, in the background, to cancel the attempt. Does nothing for a plain service.
     pub fn cancel(&self) {
         if self.outgoing.target != TargetKind::Model {
             return;
@@ -240,7 +245,7 @@
     }
 }
 
-fn outcome_of(error: &CallError) -> AttemptOutcome {
+fn outcome_of_error(error: &CallError) -> AttemptOutcome {
     match error {
         CallError::NotConnected { .. } => AttemptOutcome::NotRun(error.to_string()),
         CallError::TimedOut { .. } | CallError::Broken { .. } | CallError::Malformed { .. } => {
