--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -4,7 +4,7 @@
 use crate::daemon::event::Event;
 use crate::daemon::node::NodeConfig;
 use crate::edge::engine::HttpEngines;
-use crate::edge::gate::{Gate, Instruction};
+use crate::edge::event_loop_handle::{Gate, Instruction};
 use crate::edge::hosts::HttpHostList;
 use crate::edge::log_service::HttpLog;
 use crate::edge::peer::PeerEdge;
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -8,7 +8,7 @@
 use crate::daemon::node::{Life, Node, NodeConfig};
 use crate::daemon::servers::{close, listen_callers, listen_operators};
 use crate::daemon::trace::Trace;
-use crate::edge::gate::{Gate, Input, Query};
+use crate::edge::event_loop_handle::{Gate, Input, Query};
 use crate::edge::peer::{PeerEdge, PeerError};
 use crate::membership::message::HostEntry;
 use crate::prelude::*;
--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -5,7 +5,7 @@
 use crate::daemon::run::{ListenSnafu, RunError};
 use crate::edge::caller::CallerEdge;
 use crate::edge::connections::Connections;
-use crate::edge::gate::Gate;
+use crate::edge::event_loop_handle::Gate;
 use crate::edge::http::within;
 use crate::edge::operator::OperatorEdge;
 use crate::edge::stall::StallAcceptor;
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -10,7 +10,7 @@
 use crate::daemon::metrics::Metrics;
 use crate::edge::answer::{error_body, json_answer, refuse, upstream_answer};
 use crate::edge::connections::Connections;
-use crate::edge::gate::{Gate, Instruction, OpenRequest};
+use crate::edge::event_loop_handle::{Gate, Instruction, OpenRequest};
 use crate::edge::intake::{
     CallerRequest, bearer_token_sha256, query_value, read_body, request_head,
 };
@@ -81,7 +81,10 @@
     }
 
     async fn health(&self, conn: Conn) -> Conn {
-        let health = self.gate.query(crate::edge::gate::Query::Health).await;
+        let health = self
+            .gate
+            .query(crate::edge::event_loop_handle::Query::Health)
+            .await;
         let serving = health.as_deref() == Some("serving");
         let status = if serving { 200 } else { 503 };
         let state = health.unwrap_or_else(|| "stopped".to_string());
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -9,7 +9,7 @@
 pub mod connections;
 pub mod digest;
 pub mod engine;
-pub mod gate;
+pub mod event_loop_handle;
 pub mod hosts;
 pub mod http;
 pub mod intake;
--- a/src/edge/operator.rs
+++ b/src/edge/operator.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface for operators, at an address and with credentials of its own.
 
 use crate::edge::answer::{json_answer, refuse};
-use crate::edge::gate::{Gate, Query};
+use crate::edge::event_loop_handle::{Gate, Query};
 use crate::edge::intake::{bearer_token_sha256, read_body};
 use crate::prelude::*;
 use crate::table::message::{Change, Edit};
--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -3,7 +3,7 @@
 //! Each call uses one stream: a request in postcard encoding, then a reply in postcard encoding,
 //! both of limited length.
 
-use crate::edge::gate::Gate;
+use crate::edge::event_loop_handle::Gate;
 use crate::edge::http::within;
 use crate::edge::quic;
 use crate::membership::message::{PeerReply, PeerRequest};
--- a/tests/peer_certificates.rs
+++ b/tests/peer_certificates.rs
@@ -3,7 +3,7 @@
 use mangovale::cli::keys;
 use mangovale::cli::options::KeysOptions;
 use mangovale::daemon::event::Event;
-use mangovale::edge::gate::{Gate, Input};
+use mangovale::edge::event_loop_handle::{Gate, Input};
 use mangovale::edge::peer::PeerEdge;
 use mangovale::membership::message::{PeerReply, PeerRequest};
 use mangovale::settings::KeySettings;
