--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -4,7 +4,7 @@
 use crate::daemon::event::Event;
 use crate::daemon::node::NodeConfig;
 use crate::edge::engine::HttpEngines;
-use crate::edge::event_loop_handle::{Gate, Instruction};
+use crate::edge::event_loop_handle::{EventLoopHandle, Instruction};
 use crate::edge::hosts::HttpHostList;
 use crate::edge::log_service::HttpLog;
 use crate::edge::peer::PeerEdge;
@@ -44,7 +44,7 @@
     /// The clock.
     pub clock: Clock,
     /// Where events go, and answers to whoever waits for them.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<EventLoopHandle>,
     /// The calls to peers.
     pub peers: Arc<PeerEdge>,
     /// The platform's services.
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -8,7 +8,7 @@
 use crate::daemon::node::{Life, Node, NodeConfig};
 use crate::daemon::servers::{close, listen_callers, listen_operators};
 use crate::daemon::trace::Trace;
-use crate::edge::event_loop_handle::{Gate, Input, Query};
+use crate::edge::event_loop_handle::{EventLoopHandle, Input, Query};
 use crate::edge::peer::{PeerEdge, PeerError};
 use crate::membership::message::HostEntry;
 use crate::prelude::*;
@@ -86,7 +86,7 @@
 async fn run_async(settings: Settings) -> Result<(), RunError> {
     let clock = Clock::start();
     let me = Incarnation::new(clock.now(), fastrand::u64(..));
-    let (gate, inputs) = Gate::new();
+    let (gate, inputs) = EventLoopHandle::new();
     let metrics = Metrics::new()?;
     let peers = PeerEdge::bind(settings.peer_listen, &settings.keys).context(PeerSnafu)?;
     let callers = listen_callers(&settings, me, clock, &gate, &metrics)?;
@@ -142,13 +142,13 @@
     Signals::new([Signal::Term, Signal::Int]).context(SignalSnafu)
 }
 
-async fn watch_signals(gate: Arc<Gate>, mut signals: Signals) {
+async fn watch_signals(gate: Arc<EventLoopHandle>, mut signals: Signals) {
     while signals.next().await.is_some() {
         gate.send(Event::StopAsked).await;
     }
 }
 
-async fn tick(gate: Arc<Gate>) {
+async fn tick(gate: Arc<EventLoopHandle>) {
     loop {
         smol::Timer::after(TICK).await;
         gate.send(Event::Tick).await;
--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -5,7 +5,7 @@
 use crate::daemon::run::{ListenSnafu, RunError};
 use crate::edge::caller::CallerEdge;
 use crate::edge::connections::Connections;
-use crate::edge::event_loop_handle::Gate;
+use crate::edge::event_loop_handle::EventLoopHandle;
 use crate::edge::http::within;
 use crate::edge::operator::OperatorEdge;
 use crate::edge::stall::StallAcceptor;
@@ -30,7 +30,7 @@
     settings: &Settings,
     me: Incarnation,
     clock: Clock,
-    gate: &Arc<Gate>,
+    gate: &Arc<EventLoopHandle>,
     metrics: &Metrics,
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("caller_listen", settings.caller_listen)?;
@@ -62,7 +62,7 @@
 /// Returns why its address cannot be used.
 pub fn listen_operators(
     settings: &Settings,
-    gate: &Arc<Gate>,
+    gate: &Arc<EventLoopHandle>,
     metrics: &Metrics,
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("operator_listen", settings.operator_listen)?;
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -10,7 +10,7 @@
 use crate::daemon::metrics::Metrics;
 use crate::edge::answer::{error_body, json_answer, refuse, upstream_answer};
 use crate::edge::connections::Connections;
-use crate::edge::event_loop_handle::{Gate, Instruction, OpenRequest};
+use crate::edge::event_loop_handle::{EventLoopHandle, Instruction, OpenRequest};
 use crate::edge::intake::{
     CallerRequest, bearer_token_sha256, query_value, read_body, request_head,
 };
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct CallerEdge {
     /// The handle of the event loop.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<EventLoopHandle>,
     /// The clock of the process.
     pub clock: Clock,
     /// The connections to upstreams.
--- a/src/edge/event_loop_handle.rs
+++ b/src/edge/event_loop_handle.rs
@@ -61,7 +61,7 @@
 
 /// Handle of the event loop, and the register of the tasks that wait for it.
 #[derive(Debug)]
-pub struct Gate {
+pub struct EventLoopHandle {
     inputs: Sender<Input>,
     next_id: AtomicU64,
     request_tasks: WaitingTasks<RequestId, Instruction>,
@@ -70,7 +70,7 @@
     peer_calls: WaitingTasks<CallId, PeerReply>,
 }
 
-impl Gate {
+impl EventLoopHandle {
     /// Creates a handle and the receiver of its inputs, which the event loop reads.
     pub fn new() -> (Arc<Self>, Receiver<Input>) {
         let (inputs, receiver) = bounded(MAX_QUEUED_INPUTS);
@@ -196,7 +196,7 @@
     pub id: RequestId,
     /// The event loop's instructions to the request's task.
     pub instructions: Receiver<Instruction>,
-    gate: Arc<Gate>,
+    gate: Arc<EventLoopHandle>,
 }
 
 impl Drop for OpenRequest {
--- a/src/edge/operator.rs
+++ b/src/edge/operator.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface for operators, at an address and with credentials of its own.
 
 use crate::edge::answer::{json_answer, refuse};
-use crate::edge::event_loop_handle::{Gate, Query};
+use crate::edge::event_loop_handle::{EventLoopHandle, Query};
 use crate::edge::intake::{bearer_token_sha256, read_body};
 use crate::prelude::*;
 use crate::table::message::{Change, Edit};
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct OperatorEdge {
     /// The handle of the event loop.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<EventLoopHandle>,
     /// SHA-256 of each operator's token, as hex digits.
     pub token_sha256: Vec<Name>,
     /// The metrics that `/metrics` returns.
--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -3,7 +3,7 @@
 //! Each call uses one stream: a request in postcard encoding, then a reply in postcard encoding,
 //! both of limited length.
 
-use crate::edge::event_loop_handle::Gate;
+use crate::edge::event_loop_handle::EventLoopHandle;
 use crate::edge::http::within;
 use crate::edge::quic;
 use crate::membership::message::{PeerReply, PeerRequest};
@@ -88,7 +88,7 @@
     }
 
     /// Answers the calls of peers until the endpoint closes.
-    pub async fn serve(self: Arc<Self>, gate: Arc<Gate>) {
+    pub async fn serve(self: Arc<Self>, gate: Arc<EventLoopHandle>) {
         while let Some(incoming) = self.endpoint.accept().await {
             let gate = gate.clone();
             smol::spawn(async move {
@@ -155,7 +155,7 @@
     }
 }
 
-async fn serve_connection(connection: Connection, gate: Arc<Gate>) {
+async fn serve_connection(connection: Connection, gate: Arc<EventLoopHandle>) {
     while let Ok((mut send, mut receive)) = connection.accept_bi().await {
         let gate = gate.clone();
         smol::spawn(async move {
--- a/tests/peer_certificates.rs
+++ b/tests/peer_certificates.rs
@@ -3,7 +3,7 @@
 use mangovale::cli::keys;
 use mangovale::cli::options::KeysOptions;
 use mangovale::daemon::event::Event;
-use mangovale::edge::event_loop_handle::{Gate, Input};
+use mangovale::edge::event_loop_handle::{EventLoopHandle, Input};
 use mangovale::edge::peer::PeerEdge;
 use mangovale::membership::message::{PeerReply, PeerRequest};
 use mangovale::settings::KeySettings;
@@ -45,7 +45,7 @@
     };
     let address = free_address();
     let server = PeerEdge::bind(address, &own).expect("a server");
-    let (gate, inputs) = Gate::new();
+    let (gate, inputs) = EventLoopHandle::new();
     smol::spawn(server.serve(gate.clone())).detach();
     smol::spawn(async move {
         while let Ok(input) = inputs.recv().await {
