--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -168,13 +168,16 @@
             Effect::AnswerPeer { call, reply } => self.gate.answer_peer(call, reply),
             Effect::Begin { attempt } => {
                 let request = attempt.request;
-                self.gate.instruct(request, Instruction::Begin(attempt));
+                self.gate
+                    .send_instruction(request, Instruction::Begin(attempt));
             }
             Effect::Refuse { request, refusal } => {
-                self.gate.instruct(request, Instruction::Refuse(refusal));
+                self.gate
+                    .send_instruction(request, Instruction::Refuse(refusal));
             }
             Effect::GiveAnswer { request, answer } => {
-                self.gate.instruct(request, Instruction::Answer(answer));
+                self.gate
+                    .send_instruction(request, Instruction::Answer(answer));
             }
             Effect::AnswerEntry { call, result } => self.gate.answer_entry(call, result),
             Effect::AnswerEdit { call, result } => self.gate.answer_edit(call, result),
--- a/src/edge/event_loop_handle.rs
+++ b/src/edge/event_loop_handle.rs
@@ -162,7 +162,7 @@
     }
 
     /// Sends an instruction to the task of a request, if the request is still open.
-    pub fn instruct(&self, request: RequestId, instruction: Instruction) {
+    pub fn send_instruction(&self, request: RequestId, instruction: Instruction) {
         let sender = lock(&self.request_tasks).get(&request).cloned();
         if let Some(sender) = sender {
             let _ = sender.try_send(instruction);
