--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::daemon::metrics::Metrics;
 use crate::daemon::run::{ListenSnafu, RunError};
-use crate::edge::caller::CallerEdge;
+use crate::edge::caller::CallerServer;
 use crate::edge::connections::Connections;
 use crate::edge::event_loop_handle::EventLoopHandle;
 use crate::edge::http::within;
@@ -34,7 +34,7 @@
     metrics: &Metrics,
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("caller_listen", settings.caller_listen)?;
-    let edge = Arc::new(CallerEdge {
+    let edge = Arc::new(CallerServer {
         gate: gate.clone(),
         clock,
         connections: Arc::new(Connections::new()),
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -32,7 +32,7 @@
 
 /// Serves the HTTP interface for callers.
 #[derive(Debug)]
-pub struct CallerEdge {
+pub struct CallerServer {
     /// The handle of the event loop.
     pub gate: Arc<EventLoopHandle>,
     /// The clock of the process.
@@ -67,7 +67,7 @@
     Complete(KeptAnswer),
 }
 
-impl CallerEdge {
+impl CallerServer {
     /// Answers one HTTP request.
     pub async fn handle(self: Arc<Self>, conn: Conn) -> Conn {
         let path = conn.path().to_string();
