--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -7,7 +7,7 @@
 use crate::edge::connections::Connections;
 use crate::edge::event_loop_handle::EventLoopHandle;
 use crate::edge::http::within;
-use crate::edge::operator::OperatorEdge;
+use crate::edge::operator::OperatorServer;
 use crate::edge::stall::StallAcceptor;
 use crate::prelude::*;
 use crate::settings::Settings;
@@ -66,7 +66,7 @@
     metrics: &Metrics,
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("operator_listen", settings.operator_listen)?;
-    let edge = Arc::new(OperatorEdge {
+    let edge = Arc::new(OperatorServer {
         gate: gate.clone(),
         token_sha256: settings.keys.operator_token_sha256.clone(),
         metrics: metrics.clone(),
--- a/src/edge/operator.rs
+++ b/src/edge/operator.rs
@@ -13,7 +13,7 @@
 
 /// Serves the HTTP interface for operators.
 #[derive(Debug)]
-pub struct OperatorEdge {
+pub struct OperatorServer {
     /// The handle of the event loop.
     pub gate: Arc<EventLoopHandle>,
     /// SHA-256 of each operator's token, as hex digits.
@@ -22,7 +22,7 @@
     pub metrics: crate::daemon::metrics::Metrics,
 }
 
-impl OperatorEdge {
+impl OperatorServer {
     /// Answers one HTTP request.
     pub async fn handle(self: Arc<Self>, conn: Conn) -> Conn {
         if let Err(refusal) = self.authorise(&conn) {
