--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -7,7 +7,7 @@
 use crate::edge::event_loop_handle::{EventLoopHandle, Instruction};
 use crate::edge::hosts::HttpHostList;
 use crate::edge::log_service::HttpLog;
-use crate::edge::peer::PeerEdge;
+use crate::edge::peer::PeerEndpoint;
 use crate::edge::store::HttpStore;
 use crate::edge::{EngineControl, HostDirectory, LogService, WeightStore};
 use crate::membership::message::HostEntry;
@@ -46,7 +46,7 @@
     /// Where events go, and answers to whoever waits for them.
     pub gate: Arc<EventLoopHandle>,
     /// The calls to peers.
-    pub peers: Arc<PeerEdge>,
+    pub peers: Arc<PeerEndpoint>,
     /// The platform's services.
     pub platform: Platform,
 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -9,7 +9,7 @@
 use crate::daemon::servers::{close, listen_callers, listen_operators};
 use crate::daemon::trace::Trace;
 use crate::edge::event_loop_handle::{EventLoopHandle, Input, Query};
-use crate::edge::peer::{PeerEdge, PeerError};
+use crate::edge::peer::{PeerEndpoint, PeerError};
 use crate::membership::message::HostEntry;
 use crate::prelude::*;
 use crate::settings::Settings;
@@ -88,7 +88,7 @@
     let me = Incarnation::new(clock.now(), fastrand::u64(..));
     let (gate, inputs) = EventLoopHandle::new();
     let metrics = Metrics::new()?;
-    let peers = PeerEdge::bind(settings.peer_listen, &settings.keys).context(PeerSnafu)?;
+    let peers = PeerEndpoint::bind(settings.peer_listen, &settings.keys).context(PeerSnafu)?;
     let callers = listen_callers(&settings, me, clock, &gate, &metrics)?;
     let operators = listen_operators(&settings, &gate, &metrics)?;
     smol::spawn(peers.clone().serve(gate.clone())).detach();
--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -64,12 +64,12 @@
 
 /// The QUIC endpoint by which this host calls its peers and answers their calls.
 #[derive(Debug)]
-pub struct PeerEdge {
+pub struct PeerEndpoint {
     endpoint: Endpoint,
     connections: Mutex<HashMap<SocketAddr, Connection>>,
 }
 
-impl PeerEdge {
+impl PeerEndpoint {
     /// Reads the keys and binds the UDP address.
     ///
     /// # Errors
--- a/tests/peer_certificates.rs
+++ b/tests/peer_certificates.rs
@@ -4,7 +4,7 @@
 use mangovale::cli::options::KeysOptions;
 use mangovale::daemon::event::Event;
 use mangovale::edge::event_loop_handle::{EventLoopHandle, Input};
-use mangovale::edge::peer::PeerEdge;
+use mangovale::edge::peer::PeerEndpoint;
 use mangovale::membership::message::{PeerReply, PeerRequest};
 use mangovale::settings::KeySettings;
 use mangovale::shared_log::record::Offset;
@@ -44,7 +44,7 @@
         ..other.clone()
     };
     let address = free_address();
-    let server = PeerEdge::bind(address, &own).expect("a server");
+    let server = PeerEndpoint::bind(address, &own).expect("a server");
     let (gate, inputs) = EventLoopHandle::new();
     smol::spawn(server.serve(gate.clone())).detach();
     smol::spawn(async move {
@@ -60,7 +60,7 @@
     })
     .detach();
     let ask = |keys: &KeySettings| {
-        let client = PeerEdge::bind(free_address(), keys).expect("a client");
+        let client = PeerEndpoint::bind(free_address(), keys).expect("a client");
         smol::block_on(client.ask(address, &REQUEST))
     };
     assert!(ask(&own).is_some());
