--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -35,10 +35,10 @@
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("caller_listen", settings.caller_listen)?;
     let edge = Arc::new(CallerServer {
-        gate: gate.clone(),
+        event_loop: gate.clone(),
         clock,
         connections: Arc::new(Connections::new()),
-        me,
+        incarnation: me,
         bounds: settings.bounds.clone(),
         metrics: metrics.clone(),
     });
@@ -67,7 +67,7 @@
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("operator_listen", settings.operator_listen)?;
     let edge = Arc::new(OperatorServer {
-        gate: gate.clone(),
+        event_loop: gate.clone(),
         token_sha256: settings.keys.operator_token_sha256.clone(),
         metrics: metrics.clone(),
     });
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -34,13 +34,13 @@
 #[derive(Debug)]
 pub struct CallerServer {
     /// The handle of the event loop.
-    pub gate: Arc<EventLoopHandle>,
+    pub event_loop: Arc<EventLoopHandle>,
     /// The clock of the process.
     pub clock: Clock,
     /// The connections to upstreams.
     pub connections: Arc<Connections>,
     /// The incarnation of this process, which begins every request id.
-    pub me: Incarnation,
+    pub incarnation: Incarnation,
     /// The limits on requests and answers, from the settings.
     pub bounds: BoundSettings,
     /// The metrics that requests are counted in.
@@ -82,7 +82,7 @@
 
     async fn health(&self, conn: Conn) -> Conn {
         let health = self
-            .gate
+            .event_loop
             .query(crate::edge::event_loop_handle::Query::Health)
             .await;
         let serving = health.as_deref() == Some("serving");
@@ -100,7 +100,7 @@
             let refusal = Refusal::new(ErrorKind::BadRequest, "the query takes model=NAME");
             return refuse(conn, &refusal, "");
         };
-        match self.gate.ask_entry(key_sha256, name.into()).await {
+        match self.event_loop.ask_entry(key_sha256, name.into()).await {
             Ok(answer) => json_answer(conn, 200, &answer),
             Err(refusal) => refuse(conn, &refusal, ""),
         }
@@ -149,8 +149,8 @@
     }
 
     async fn serve(&self, conn: Conn, target: TargetKind, request: CallerRequest) -> Conn {
-        let open = self.gate.open_request();
-        let request_id: Name = format!("{}-{}", self.me, open.id).into();
+        let open = self.event_loop.open_request();
+        let request_id: Name = format!("{}-{}", self.incarnation, open.id).into();
         let head = match request_head(&conn, open.id, target, &request) {
             Ok(head) => head,
             Err(refusal) => return self.refuse_early(conn, &refusal, &request_id),
@@ -169,7 +169,7 @@
             repeatable: head.repeatable,
             operation_id: head.idempotency_key.clone(),
         };
-        self.gate.send(Event::RequestArrived { head }).await;
+        self.event_loop.send(Event::RequestArrived { head }).await;
         let arrival = Arrival {
             at: self.clock.now(),
             target,
@@ -261,7 +261,7 @@
         let started = call.start().await?;
         let span_ms = self.clock.now().since(arrival.at);
         self.metrics.first_byte(arrival.target, span_ms);
-        self.gate
+        self.event_loop
             .send(Event::AttemptStarted {
                 request: open.id,
                 number: call.attempt.number,
@@ -291,7 +291,7 @@
         started: AnswerStart,
     ) -> Conn {
         let (caller, reader) = pipe();
-        let gate = self.gate.clone();
+        let event_loop = self.event_loop.clone();
         let request_id = call.outgoing.request_id.to_string();
         smol::spawn(async move {
             let outcome = relay_stream(&call, started, &caller).await;
@@ -302,12 +302,13 @@
                 AttemptOutcome::Broken(why) => send_error_event(caller, &call, why).await,
                 _ => drop(caller),
             }
-            gate.send(Event::AttemptEnded {
-                request: open.id,
-                number: call.attempt.number,
-                outcome,
-            })
-            .await;
+            event_loop
+                .send(Event::AttemptEnded {
+                    request: open.id,
+                    number: call.attempt.number,
+                    outcome,
+                })
+                .await;
         })
         .detach();
         conn.with_status(200)
@@ -320,7 +321,7 @@
 
     /// Reports the outcome of an attempt to the event loop.
     async fn report_end(&self, open: &OpenRequest, number: u32, outcome: AttemptOutcome) {
-        self.gate
+        self.event_loop
             .send(Event::AttemptEnded {
                 request: open.id,
                 number,
--- a/src/edge/event_loop_handle.rs
+++ b/src/edge/event_loop_handle.rs
@@ -74,7 +74,7 @@
     /// Creates a handle and the receiver of its inputs, which the event loop reads.
     pub fn new() -> (Arc<Self>, Receiver<Input>) {
         let (inputs, receiver) = bounded(MAX_QUEUED_INPUTS);
-        let gate = Self {
+        let event_loop = Self {
             inputs,
             next_id: AtomicU64::new(1),
             request_tasks: Mutex::default(),
@@ -82,7 +82,7 @@
             edit_calls: Mutex::default(),
             peer_calls: Mutex::default(),
         };
-        (Arc::new(gate), receiver)
+        (Arc::new(event_loop), receiver)
     }
 
     /// Sends an event to the event loop, and waits while the queue is full.
@@ -106,7 +106,7 @@
         OpenRequest {
             id,
             instructions,
-            gate: self.clone(),
+            event_loop: self.clone(),
         }
     }
 
@@ -196,15 +196,15 @@
     pub id: RequestId,
     /// The event loop's instructions to the request's task.
     pub instructions: Receiver<Instruction>,
-    gate: Arc<EventLoopHandle>,
+    event_loop: Arc<EventLoopHandle>,
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        lock(&self.gate.request_tasks).remove(&self.id);
+        lock(&self.event_loop.request_tasks).remove(&self.id);
         // The event loop ignores this event for requests that have already ended.
-        let (gate, request) = (self.gate.clone(), self.id);
-        smol::spawn(async move { gate.send(Event::CallerGone { request }).await }).detach();
+        let (event_loop, request) = (self.event_loop.clone(), self.id);
+        smol::spawn(async move { event_loop.send(Event::CallerGone { request }).await }).detach();
     }
 }
 
--- a/src/edge/operator.rs
+++ b/src/edge/operator.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct OperatorServer {
     /// The handle of the event loop.
-    pub gate: Arc<EventLoopHandle>,
+    pub event_loop: Arc<EventLoopHandle>,
     /// SHA-256 of each operator's token, as hex digits.
     pub token_sha256: Vec<Name>,
     /// The metrics that `/metrics` returns.
@@ -55,7 +55,7 @@
     }
 
     async fn query(&self, conn: Conn, make: impl FnOnce(Sender<String>) -> Query) -> Conn {
-        match self.gate.query(make).await {
+        match self.event_loop.query(make).await {
             Some(text) => conn
                 .with_status(200)
                 .with_response_header("content-type", "application/json")
@@ -78,7 +78,7 @@
             Ok(edit) => edit,
             Err(refusal) => return refuse(conn, &refusal, ""),
         };
-        match self.gate.ask_edit(edit).await {
+        match self.event_loop.ask_edit(edit).await {
             Ok(answer) => json_answer(conn, 200, &answer),
             Err(refusal) => refuse(conn, &refusal, ""),
         }
--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -88,12 +88,12 @@
     }
 
     /// Answers the calls of peers until the endpoint closes.
-    pub async fn serve(self: Arc<Self>, gate: Arc<EventLoopHandle>) {
+    pub async fn serve(self: Arc<Self>, event_loop: Arc<EventLoopHandle>) {
         while let Some(incoming) = self.endpoint.accept().await {
-            let gate = gate.clone();
+            let event_loop = event_loop.clone();
             smol::spawn(async move {
                 match incoming.await {
-                    Ok(connection) => serve_connection(connection, gate).await,
+                    Ok(connection) => serve_connection(connection, event_loop).await,
                     Err(error) => LogEvent::PeerRefused.write(&error.to_string()),
                 }
             })
@@ -155,13 +155,13 @@
     }
 }
 
-async fn serve_connection(connection: Connection, gate: Arc<EventLoopHandle>) {
+async fn serve_connection(connection: Connection, event_loop: Arc<EventLoopHandle>) {
     while let Ok((mut send, mut receive)) = connection.accept_bi().await {
-        let gate = gate.clone();
+        let event_loop = event_loop.clone();
         smol::spawn(async move {
             let bytes = receive.read_to_end(MAX_MESSAGE_BYTES).await.ok()?;
             let request = postcard::from_bytes(&bytes).ok()?;
-            let reply = gate.ask_for_peer(request).await?;
+            let reply = event_loop.ask_for_peer(request).await?;
             let bytes = postcard::to_stdvec(&reply).ok()?;
             send.write_all(&bytes).await.ok()?;
             send.finish().ok()
