--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -4,7 +4,7 @@
 use crate::daemon::metrics::Metrics;
 use crate::daemon::run::{ListenSnafu, RunError};
 use crate::edge::caller::CallerServer;
-use crate::edge::connections::Connections;
+use crate::edge::connections::UpstreamConnections;
 use crate::edge::event_loop_handle::EventLoopHandle;
 use crate::edge::http::within;
 use crate::edge::operator::OperatorServer;
@@ -37,7 +37,7 @@
     let edge = Arc::new(CallerServer {
         event_loop: gate.clone(),
         clock,
-        connections: Arc::new(Connections::new()),
+        connections: Arc::new(UpstreamConnections::new()),
         incarnation: me,
         bounds: settings.bounds.clone(),
         metrics: metrics.clone(),
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -9,7 +9,7 @@
 use crate::daemon::event::Event;
 use crate::daemon::metrics::Metrics;
 use crate::edge::answer::{error_body, json_answer, refuse, upstream_answer};
-use crate::edge::connections::Connections;
+use crate::edge::connections::UpstreamConnections;
 use crate::edge::event_loop_handle::{EventLoopHandle, Instruction, OpenRequest};
 use crate::edge::intake::{
     CallerRequest, bearer_token_sha256, query_value, read_body, request_head,
@@ -38,7 +38,7 @@
     /// The clock of the process.
     pub clock: Clock,
     /// The connections to upstreams.
-    pub connections: Arc<Connections>,
+    pub connections: Arc<UpstreamConnections>,
     /// The incarnation of this process, which begins every request id.
     pub incarnation: Incarnation,
     /// The limits on requests and answers, from the settings.
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -18,12 +18,12 @@
 
 /// One client with kept-alive connections for each upstream, and one client that keeps none.
 #[derive(Debug)]
-pub struct Connections {
+pub struct UpstreamConnections {
     keep_alive: Mutex<HashMap<SocketAddr, Client>>,
     new_connection: Client,
 }
 
-impl Connections {
+impl UpstreamConnections {
     /// Creates the clients, without any connection yet.
     pub fn new() -> Self {
         Self {
@@ -60,7 +60,7 @@
     }
 }
 
-impl Default for Connections {
+impl Default for UpstreamConnections {
     fn default() -> Self {
         Self::new()
     }
--- a/src/edge/upstream.rs
+++ b/src/edge/upstream.rs
@@ -3,7 +3,7 @@
 use crate::attempt::events::is_own_whole_answer;
 use crate::attempt::message::{Attempt, AttemptOutcome, ConnectionChoice, Repeatable, TargetKind};
 use crate::clock::Clock;
-use crate::edge::connections::Connections;
+use crate::edge::connections::UpstreamConnections;
 use crate::edge::http::{CallError, call_error, within};
 use crate::prelude::*;
 use std::time::Duration;
@@ -87,7 +87,7 @@
     /// The request that it sends.
     pub outgoing: OutgoingRequest,
     /// The connections to upstreams.
-    pub connections: Arc<Connections>,
+    pub connections: Arc<UpstreamConnections>,
     /// The clock by which deadlines are measured.
     pub clock: Clock,
 }
