--- a/bench/src/call.rs
+++ b/bench/src/call.rs
@@ -1,6 +1,6 @@
 //! Calls as a caller or a test makes them, each with one recorded outcome.
 
-use mangovale::edge::http::{CallError, call_error, client, within};
+use mangovale::edge::http::{CallError, call_error, client, with_timeout};
 use mangovale::edge::intake::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -158,7 +158,7 @@
 /// Sends a call and waits for its outcome.
 pub async fn finish(conn: Conn) -> Outcome {
     let started_at = Instant::now();
-    let outcome = within(CALL_LIMIT, read(conn, started_at)).await;
+    let outcome = with_timeout(CALL_LIMIT, read(conn, started_at)).await;
     outcome.unwrap_or_else(|| Outcome::Broken("no end within the limit of a call".to_string()))
 }
 
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -7,7 +7,7 @@
 use crate::call::{Caller, Outcome, ServiceCall, message_digest};
 use crate::history::{End, HistoryLine, Try};
 use crate::site::api_key;
-use mangovale::edge::http::within;
+use mangovale::edge::http::with_timeout;
 use mangovale::membership::entry::EntryAnswer;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -198,7 +198,7 @@
                 break;
             };
             let question = asking.caller.entry(*host, &asking.arrival.target);
-            let outcome = within(ENTRY_LIMIT.min(left), question).await;
+            let outcome = with_timeout(ENTRY_LIMIT.min(left), question).await;
             let Some(kept) = outcome.as_ref().and_then(kept_entry) else {
                 continue;
             };
@@ -240,11 +240,11 @@
                 let call = self
                     .caller
                     .chat(host, &self.arrival.target, &self.message, deadline_ms);
-                within(limit, call).await
+                with_timeout(limit, call).await
             }
             CallKind::ServiceRead | CallKind::ServiceWrite => {
                 let call = self.service_call(deadline_ms);
-                within(limit, self.caller.service(host, &call)).await
+                with_timeout(limit, self.caller.service(host, &call)).await
             }
         }
     }
--- a/bench/src/samples.rs
+++ b/bench/src/samples.rs
@@ -1,7 +1,7 @@
 //! Samples of what engines hold, read from their own exact state.
 
 use crate::call::{Outcome, finish};
-use mangovale::edge::http::{client, within};
+use mangovale::edge::http::{client, with_timeout};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -95,7 +95,7 @@
 async fn read_state(client: &Client, engine: SocketAddr) -> Option<EngineState> {
     let url = format!("http://{engine}/state?exact=1");
     let asking = finish(client.build_conn(Method::Get, url));
-    match within(SAMPLE_LIMIT, asking).await? {
+    match with_timeout(SAMPLE_LIMIT, asking).await? {
         Outcome::Answered { text, .. } => serde_json::from_str(&text).ok(),
         _ => None,
     }
--- a/bench/src/storm.rs
+++ b/bench/src/storm.rs
@@ -12,7 +12,7 @@
 use crate::load::{DEADLINE_MARGIN_MS, Load, LoadTarget};
 use crate::scenario::Scenario;
 use crate::site::{Site, put_row_with};
-use mangovale::edge::http::{client, within};
+use mangovale::edge::http::{client, with_timeout};
 use mangovale::shared_log::record::Offset;
 use mangovale::table::Table;
 use mangovale::table::message::{Edit, EditAnswer, RowKey};
@@ -291,7 +291,7 @@
         if let Some(body) = body {
             conn = conn.with_body(body);
         }
-        match within(OPERATOR_LIMIT, finish(conn)).await? {
+        match with_timeout(OPERATOR_LIMIT, finish(conn)).await? {
             Outcome::Answered { text, .. } => serde_json::from_str(&text).ok(),
             _ => None,
         }
--- a/bench/tests/once.rs
+++ b/bench/tests/once.rs
@@ -1,6 +1,6 @@
 //! Operations with a key run at most once, whatever fails around them.
 
-use mangovale::edge::http::within;
+use mangovale::edge::http::with_timeout;
 use mangovale_bench::call::{Caller, Outcome, ServiceCall};
 use mangovale_bench::process::wait_for;
 use mangovale_bench::site::Site;
@@ -252,7 +252,7 @@
     for step in 0..hosts.len() {
         let host = hosts[(first + step) % hosts.len()];
         let call = book(caller.clone(), host, key.clone(), "slot 7", 3_000);
-        let outcome = within(PATIENCE, call).await;
+        let outcome = with_timeout(PATIENCE, call).await;
         let outcome = outcome.unwrap_or_else(|| Outcome::Broken("no answer".to_string()));
         let stop = ran(&outcome) == "not_run" || outcome.is_success();
         told.push(outcome);
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::exit::{CallSnafu, CliError};
 use crate::cli::site::Site;
-use crate::edge::http::{CallError, call_error, client, within};
+use crate::edge::http::{CallError, call_error, client, with_timeout};
 use crate::error::Ran;
 use crate::prelude::*;
 use serde::de::DeserializeOwned;
@@ -140,7 +140,7 @@
     }
 
     async fn finish(&self, conn: Conn) -> Result<String, CliError> {
-        let answered = within(CALL_TIMEOUT, read(conn)).await;
+        let answered = with_timeout(CALL_TIMEOUT, read(conn)).await;
         let answered = answered.unwrap_or(Err(CallError::TimedOut {
             limit: CALL_TIMEOUT,
         }));
--- a/src/cli/send.rs
+++ b/src/cli/send.rs
@@ -6,7 +6,7 @@
 use crate::cli::render::{print, print_line};
 use crate::cli::request::{Request, RequestKind};
 use crate::cli::site::http_url;
-use crate::edge::http::{CallError, call_error, client, within};
+use crate::edge::http::{CallError, call_error, client, with_timeout};
 use crate::error::{ErrorKind, Ran};
 use crate::membership::entry::EntryAnswer;
 use crate::prelude::*;
@@ -177,7 +177,7 @@
     };
     let limit = ENTRY_TIMEOUT;
     let late = Err(CallError::TimedOut { limit }).context(CallSnafu { url });
-    within(limit, asking).await.unwrap_or(late)
+    with_timeout(limit, asking).await.unwrap_or(late)
 }
 
 /// A request being sent.
--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -6,7 +6,7 @@
 use crate::edge::caller::CallerServer;
 use crate::edge::connections::UpstreamConnections;
 use crate::edge::event_loop_handle::EventLoopHandle;
-use crate::edge::http::within;
+use crate::edge::http::with_timeout;
 use crate::edge::operator::OperatorServer;
 use crate::edge::stall::StallAcceptor;
 use crate::prelude::*;
@@ -86,7 +86,7 @@
 /// Closes a server, waiting a little for its open connections.
 pub async fn close(server: ServerHandle) {
     let closing = async move { server.shut_down().await };
-    within(CLOSE_TIMEOUT, closing).await;
+    with_timeout(CLOSE_TIMEOUT, closing).await;
 }
 
 fn bind(key: &'static str, address: SocketAddr) -> Result<smol::net::TcpListener, RunError> {
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -86,7 +86,7 @@
 
 async fn connect_with_timeout<T>(connecting: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let failed = |why: String| io::Error::other(ConnectFailed(why));
-    match within(CONNECT_TIMEOUT, connecting).await {
+    match with_timeout(CONNECT_TIMEOUT, connecting).await {
         None => Err(failed(format!(
             "no connection within {} ms",
             CONNECT_TIMEOUT.as_millis()
@@ -97,7 +97,7 @@
 }
 
 /// Awaits a future. Returns `None` if it is not ready within the timeout.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         smol::Timer::after(limit).await;
         None
@@ -160,7 +160,7 @@
             .with_request_header("content-type", "application/json")
             .with_body(text);
     }
-    match within(limit, send_and_decode(conn)).await {
+    match with_timeout(limit, send_and_decode(conn)).await {
         None => Err(CallError::TimedOut { limit }),
         Some(outcome) => outcome,
     }
--- a/src/edge/intake.rs
+++ b/src/edge/intake.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt::message::{Repeatable, RequestHead, RequestId, TargetKind};
 use crate::edge::digest::{sha256, sha256_of_parts};
-use crate::edge::http::within;
+use crate::edge::http::with_timeout;
 use crate::prelude::*;
 use std::time::Duration;
 use trillium::{Conn, Method};
@@ -114,7 +114,7 @@
         return Err(too_long());
     }
     let body = conn.request_body().with_max_len(max_bytes);
-    let Some(bytes) = within(READ_BODY_TIMEOUT, body.read_bytes()).await else {
+    let Some(bytes) = with_timeout(READ_BODY_TIMEOUT, body.read_bytes()).await else {
         let message = format!(
             "the body did not come within {} s",
             READ_BODY_TIMEOUT.as_secs()
--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -4,7 +4,7 @@
 //! both of limited length.
 
 use crate::edge::event_loop_handle::EventLoopHandle;
-use crate::edge::http::within;
+use crate::edge::http::with_timeout;
 use crate::edge::quic;
 use crate::membership::message::{PeerReply, PeerRequest};
 use crate::prelude::*;
@@ -103,7 +103,7 @@
 
     /// Calls a peer. Returns `None` if no reply arrives within the timeout.
     pub async fn ask(&self, address: SocketAddr, request: &PeerRequest) -> Option<PeerReply> {
-        let reply = within(CALL_TIMEOUT, self.call(address, request))
+        let reply = with_timeout(CALL_TIMEOUT, self.call(address, request))
             .await
             .flatten();
         if reply.is_none() {
--- a/src/edge/pipe.rs
+++ b/src/edge/pipe.rs
@@ -64,7 +64,7 @@
     }
 
     async fn send(&self, item: PipeItem, timeout: Duration) -> Result<(), ReaderGone> {
-        match crate::edge::http::within(timeout, self.sender.send(item)).await {
+        match crate::edge::http::with_timeout(timeout, self.sender.send(item)).await {
             Some(Ok(())) => Ok(()),
             Some(Err(_)) | None => Err(ReaderGone),
         }
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -3,7 +3,7 @@
 
 use crate::attempt::events::{AnswerEvents, StreamStep};
 use crate::attempt::message::{AttemptOutcome, TargetKind};
-use crate::edge::http::within;
+use crate::edge::http::with_timeout;
 use crate::edge::pipe::{ChunkWriter, ReaderGone};
 use crate::edge::upstream::{AnswerStart, UpstreamCall};
 use smol::io::AsyncReadExt;
@@ -126,7 +126,7 @@
 ) -> Result<usize, RelayEnd> {
     let time_to_deadline = call.time_to_deadline();
     let silence_timeout = call.attempt.first_byte_ms.to_duration();
-    match within(silence_timeout.min(time_to_deadline), body.read(buffer)).await {
+    match with_timeout(silence_timeout.min(time_to_deadline), body.read(buffer)).await {
         None if time_to_deadline <= silence_timeout => Err(RelayEnd::DeadlinePassed),
         None => {
             call.connections.drop_keep_alive(call.attempt.address);
--- a/src/edge/upstream.rs
+++ b/src/edge/upstream.rs
@@ -4,7 +4,7 @@
 use crate::attempt::message::{Attempt, AttemptOutcome, ConnectionChoice, Repeatable, TargetKind};
 use crate::clock::Clock;
 use crate::edge::connections::UpstreamConnections;
-use crate::edge::http::{CallError, call_error, within};
+use crate::edge::http::{CallError, call_error, with_timeout};
 use crate::prelude::*;
 use std::time::Duration;
 use trillium_client::{Conn, Method, ResponseBody};
@@ -143,7 +143,7 @@
         let first_byte_timeout = self.attempt.first_byte_ms.to_duration();
         let timeout = first_byte_timeout.min(self.time_to_deadline());
         let conn = self.build_request(connection, resume);
-        match within(timeout, conn.into_future()).await {
+        match with_timeout(timeout, conn.into_future()).await {
             None => {
                 self.connections.drop_keep_alive(self.attempt.address);
                 let upstream = &self.attempt.upstream;
@@ -217,7 +217,7 @@
     ) -> Result<Vec<u8>, AttemptOutcome> {
         let body = started.body.with_max_len(max_bytes);
         let unknown = |why: String| Err(AttemptOutcome::Unknown(why));
-        let bytes = match within(self.time_to_deadline(), body.read_bytes()).await {
+        let bytes = match with_timeout(self.time_to_deadline(), body.read_bytes()).await {
             None => return unknown("the answer stopped half-way".into()),
             Some(Err(error)) => return unknown(error.to_string()),
             Some(Ok(bytes)) => bytes,
@@ -239,7 +239,7 @@
         let client = self.connections.client(address, ConnectionChoice::New);
         smol::spawn(async move {
             let conn = client.build_conn(Method::Post, url);
-            within(CANCEL_TIMEOUT, conn.into_future()).await;
+            with_timeout(CANCEL_TIMEOUT, conn.into_future()).await;
         })
         .detach();
     }
