--- a/bench/src/call.rs
+++ b/bench/src/call.rs
@@ -1,6 +1,6 @@
 //! Calls as a caller or a test makes them, each with one recorded outcome.
 
-use mangovale::edge::http::{CallError, call_error, client, with_timeout};
+use mangovale::edge::http::{CallError, classify_error, client, with_timeout};
 use mangovale::edge::intake::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -165,7 +165,7 @@
 async fn read(conn: Conn, started_at: Instant) -> Outcome {
     let mut conn = match conn.await {
         Ok(conn) => conn,
-        Err(error) => match call_error(&error) {
+        Err(error) => match classify_error(&error) {
             CallError::NotConnected { .. } => return Outcome::NotConnected,
             other => return Outcome::Broken(other.to_string()),
         },
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::exit::{CallSnafu, CliError};
 use crate::cli::site::Site;
-use crate::edge::http::{CallError, call_error, client, with_timeout};
+use crate::edge::http::{CallError, classify_error, client, with_timeout};
 use crate::error::Ran;
 use crate::prelude::*;
 use serde::de::DeserializeOwned;
@@ -164,13 +164,13 @@
 }
 
 async fn read(conn: Conn) -> Result<TextAnswer, CallError> {
-    let mut conn = conn.await.map_err(|error| call_error(&error))?;
+    let mut conn = conn.await.map_err(|error| classify_error(&error))?;
     let status = conn.status().map_or(0, |status| status as u16);
     let text = conn
         .response_body()
         .with_max_len(MAX_ANSWER_BYTES)
         .read_string()
         .await
-        .map_err(|error| call_error(&error))?;
+        .map_err(|error| classify_error(&error))?;
     Ok(TextAnswer { status, text })
 }
--- a/src/cli/send.rs
+++ b/src/cli/send.rs
@@ -6,7 +6,7 @@
 use crate::cli::render::{print, print_line};
 use crate::cli::request::{Request, RequestKind};
 use crate::cli::site::http_url;
-use crate::edge::http::{CallError, call_error, client, with_timeout};
+use crate::edge::http::{CallError, classify_error, client, with_timeout};
 use crate::error::{ErrorKind, Ran};
 use crate::membership::entry::EntryAnswer;
 use crate::prelude::*;
@@ -162,7 +162,7 @@
     let asking = async {
         let conn = request.build_entry(client, url).await;
         let mut conn = conn
-            .map_err(|error| call_error(&error))
+            .map_err(|error| classify_error(&error))
             .context(CallSnafu { url })?;
         if !is_success(&conn) {
             return Err(refusal(&mut conn).await);
@@ -199,7 +199,7 @@
 impl Sending {
     async fn try_host(&self, url: &str) -> Result<Exit, CliError> {
         let conn = self.request.build(&self.client, url).await;
-        let mut conn = match conn.map_err(|error| call_error(&error)) {
+        let mut conn = match conn.map_err(|error| classify_error(&error)) {
             Ok(conn) => conn,
             Err(source @ CallError::NotConnected { .. }) => {
                 return Err(source).context(CallSnafu { url });
@@ -325,7 +325,7 @@
 async fn read_text(conn: &mut Conn) -> Result<String, CallError> {
     let body = conn.response_body();
     let text = body.read_string().await;
-    text.map_err(|error| call_error(&error))
+    text.map_err(|error| classify_error(&error))
 }
 
 fn status(conn: &Conn) -> u16 {
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -46,7 +46,7 @@
     },
 }
 
-/// The inner error of an I/O error, by which [`call_error`] recognises that connecting failed.
+/// The inner error of an I/O error, by which [`classify_error`] recognises that connecting failed.
 #[derive(Debug)]
 struct ConnectFailed(String);
 
@@ -116,7 +116,7 @@
 }
 
 /// Converts a client error, by whether bytes of the request may have been sent.
-pub fn call_error(error: &trillium_client::Error) -> CallError {
+pub fn classify_error(error: &trillium_client::Error) -> CallError {
     if let trillium_client::Error::Io(io_error) = error
         && let Some(inner) = io_error.get_ref()
         && inner.is::<ConnectFailed>()
@@ -167,13 +167,13 @@
 }
 
 async fn send_and_decode<T: DeserializeOwned>(conn: Conn) -> Result<JsonAnswer<T>, CallError> {
-    let mut conn = conn.await.map_err(|error| call_error(&error))?;
+    let mut conn = conn.await.map_err(|error| classify_error(&error))?;
     let status = conn.status().map_or(0, |status| status as u16);
     let body = conn.response_body().with_max_len(MAX_CONTROL_ANSWER_BYTES);
     let text = body
         .read_string()
         .await
-        .map_err(|error| call_error(&error))?;
+        .map_err(|error| classify_error(&error))?;
     conn.recycle().await;
     Ok(JsonAnswer {
         status,
--- a/src/edge/upstream.rs
+++ b/src/edge/upstream.rs
@@ -4,7 +4,7 @@
 use crate::attempt::message::{Attempt, AttemptOutcome, ConnectionChoice, Repeatable, TargetKind};
 use crate::clock::Clock;
 use crate::edge::connections::UpstreamConnections;
-use crate::edge::http::{CallError, call_error, with_timeout};
+use crate::edge::http::{CallError, classify_error, with_timeout};
 use crate::prelude::*;
 use std::time::Duration;
 use trillium_client::{Conn, Method, ResponseBody};
@@ -153,7 +153,7 @@
                 );
                 Err(AttemptOutcome::Silent(why))
             }
-            Some(Err(error)) => Err(outcome_of_error(&call_error(&error))),
+            Some(Err(error)) => Err(outcome_of_error(&classify_error(&error))),
             Some(Ok(conn)) => self.check_answer_start(conn, self.clock.now().since(sent_at)),
         }
     }
