--- a/bench/src/call.rs
+++ b/bench/src/call.rs
@@ -1,7 +1,7 @@
 //! Calls as a caller or a test makes them, each with one recorded outcome.
 
 use mangovale::edge::http::{CallError, classify_error, client, with_timeout};
-use mangovale::edge::intake::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
+use mangovale::edge::request_reader::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use smol::io::{AsyncBufReadExt, BufReader};
--- a/src/cli/request.rs
+++ b/src/cli/request.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::exit::{CliError, FileSnafu};
 use crate::cli::options::SendOptions;
-use crate::edge::intake::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
+use crate::edge::request_reader::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 use serde_json::json;
 use snafu::ResultExt;
 use std::fs::read_to_string;
--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -11,10 +11,10 @@
 use crate::edge::answer::{error_body, json_answer, refuse, upstream_answer};
 use crate::edge::connections::UpstreamConnections;
 use crate::edge::event_loop_handle::{EventLoopHandle, Instruction, OpenRequest};
-use crate::edge::intake::{
+use crate::edge::pipe::{ChunkWriter, pipe};
+use crate::edge::request_reader::{
     CallerRequest, bearer_token_sha256, query_value, read_body, request_head,
 };
-use crate::edge::pipe::{ChunkWriter, pipe};
 use crate::edge::stream::{CALLER_STALL_TIMEOUT, relay_stream};
 use crate::edge::upstream::{AnswerStart, OutgoingRequest, UpstreamCall};
 use crate::idempotency::message::KeptAnswer;
--- a/src/edge/operator.rs
+++ b/src/edge/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::edge::answer::{json_answer, refuse};
 use crate::edge::event_loop_handle::{EventLoopHandle, Query};
-use crate::edge::intake::{bearer_token_sha256, read_body};
+use crate::edge::request_reader::{bearer_token_sha256, read_body};
 use crate::prelude::*;
 use crate::table::message::{Change, Edit};
 use serde_json::Value;
