--- a/src/edge/peer.rs
+++ b/src/edge/peer.rs
@@ -199,7 +199,7 @@
                 .build()
                 .map_err(keys_error)?;
         let identity = (self.chain.clone(), self.key.clone_key());
-        quic::server(provider, verifier, identity, ALPN, transport()).map_err(keys_error)
+        quic::server_config(provider, verifier, identity, ALPN, transport()).map_err(keys_error)
     }
 
     fn client_config(&self) -> Result<ClientConfig, PeerError> {
@@ -209,7 +209,7 @@
                 .build()
                 .map_err(keys_error)?;
         let identity = (self.chain.clone(), self.key.clone_key());
-        quic::client(provider, verifier, identity, ALPN, transport()).map_err(keys_error)
+        quic::client_config(provider, verifier, identity, ALPN, transport()).map_err(keys_error)
     }
 }
 
--- a/src/edge/quic.rs
+++ b/src/edge/quic.rs
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// Returns an error if the certificate and key do not match, or cannot be used for TLS.
-pub fn server(
+pub fn server_config(
     provider: Arc<CryptoProvider>,
     verifier: Arc<dyn ClientCertVerifier>,
     (chain, key): Identity,
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// Returns an error if the certificate and key do not match, or cannot be used for TLS.
-pub fn client(
+pub fn client_config(
     provider: Arc<CryptoProvider>,
     verifier: Arc<dyn ServerCertVerifier>,
     (chain, key): Identity,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -242,7 +242,7 @@
         verifier: Arc<FingerprintVerifier>,
     ) -> Result<ServerConfig, EntryError> {
         let provider = verifier.provider.clone();
-        quic::server(provider, verifier, self.pair(), ALPN, transport()).map_err(setup_error)
+        quic::server_config(provider, verifier, self.pair(), ALPN, transport()).map_err(setup_error)
     }
 
     fn client_config(
@@ -250,7 +250,7 @@
         verifier: Arc<FingerprintVerifier>,
     ) -> Result<ClientConfig, EntryError> {
         let provider = verifier.provider.clone();
-        quic::client(provider, verifier, self.pair(), ALPN, transport()).map_err(setup_error)
+        quic::client_config(provider, verifier, self.pair(), ALPN, transport()).map_err(setup_error)
     }
 }
 
