--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -83,7 +83,7 @@
         let pending = PendingClaim { request: id, claim };
         if self.pending_claims.begin(pending).is_err() {
             let refusal = Refusal::new(ErrorKind::Overloaded, "too many claims wait for the log");
-            self.refuse(now, id, refusal.after(LOG_RETRY_MS), fx);
+            self.refuse(now, id, refusal.with_retry_after(LOG_RETRY_MS), fx);
         }
     }
 
@@ -281,7 +281,7 @@
         } else {
             ErrorKind::CutOff
         };
-        let refusal = Refusal::new(kind, "the claim was not taken").after(LOG_RETRY_MS);
+        let refusal = Refusal::new(kind, "the claim was not taken").with_retry_after(LOG_RETRY_MS);
         self.refuse(now, id, refusal, fx);
     }
 
@@ -378,7 +378,8 @@
         };
         if now >= request.deadline_at {
             let message = "the deadline passed before the claim was read back";
-            let refusal = Refusal::new(ErrorKind::DeadlinePassed, message).after(LOG_RETRY_MS);
+            let refusal =
+                Refusal::new(ErrorKind::DeadlinePassed, message).with_retry_after(LOG_RETRY_MS);
             self.refuse(now, id, refusal, fx);
             return;
         }
@@ -399,7 +400,8 @@
             return;
         }
         let message = "an earlier request with this key has no outcome yet";
-        let refusal = Refusal::new(ErrorKind::OutcomeUnknown, message).after(LOG_RETRY_MS);
+        let refusal =
+            Refusal::new(ErrorKind::OutcomeUnknown, message).with_retry_after(LOG_RETRY_MS);
         self.refuse(now, id, refusal, fx);
     }
 
@@ -429,12 +431,12 @@
 
 fn log_unavailable() -> Refusal {
     let message = "the log cannot be reached, and the operation is claimed there before it runs";
-    Refusal::new(ErrorKind::LogUnavailable, message).after(LOG_RETRY_MS)
+    Refusal::new(ErrorKind::LogUnavailable, message).with_retry_after(LOG_RETRY_MS)
 }
 
 fn not_released() -> Refusal {
     let message = "the operation was not run here, but its key could not be released";
-    Refusal::new(ErrorKind::OutcomeUnknown, message).after(LOG_RETRY_MS)
+    Refusal::new(ErrorKind::OutcomeUnknown, message).with_retry_after(LOG_RETRY_MS)
 }
 
 fn claimer_gone(claim: &Claim) -> Refusal {
--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -107,18 +107,19 @@
         if !has_copy && !self.driver.is_reachable() {
             let message = "the model is not loaded, and the log that decides loads is out of reach";
             let refusal = Refusal::new(ErrorKind::LogUnavailable, message);
-            return Err(refusal.after(LOG_RETRY_MS));
+            return Err(refusal.with_retry_after(LOG_RETRY_MS));
         }
         match ready {
             Ready::Never => {
                 let message = format!("no engine can take model {model}");
-                Err(Refusal::new(ErrorKind::NoCapacity, message).after(NO_CAPACITY_RETRY_MS))
+                Err(Refusal::new(ErrorKind::NoCapacity, message)
+                    .with_retry_after(NO_CAPACITY_RETRY_MS))
             }
             Ready::After(ready_ms) if ready_ms > deadline_ms => {
                 self.demand
                     .want(now, model, Urgency::Normal, 0, now + WANTED_MS);
                 let message = format!("model {model} can be ready in {ready_ms}");
-                Err(Refusal::new(ErrorKind::ColdStartTooLong, message).after(ready_ms))
+                Err(Refusal::new(ErrorKind::ColdStartTooLong, message).with_retry_after(ready_ms))
             }
             Ready::After(_) | Ready::Soon => Ok(()),
         }
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -65,7 +65,8 @@
         }
         while let Some(waiting) = self.queues.pop(now, model) {
             let message = format!("{model} has no copy, and the log is out of reach");
-            let refusal = Refusal::new(ErrorKind::LogUnavailable, message).after(RETRY_MS);
+            let refusal =
+                Refusal::new(ErrorKind::LogUnavailable, message).with_retry_after(RETRY_MS);
             self.refuse(now, waiting.request, refusal, fx);
         }
     }
--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -31,15 +31,19 @@
         }
         if self.life != Life::Serving {
             let message = "this host is not serving; ask another one";
-            return Err(Refusal::new(ErrorKind::Starting, message).after(EDIT_RETRY_MS));
+            return Err(Refusal::new(ErrorKind::Starting, message).with_retry_after(EDIT_RETRY_MS));
         }
         if !self.driver.is_reachable() {
             let message = "the log is out of reach; nothing was appended";
-            return Err(Refusal::new(ErrorKind::LogUnavailable, message).after(EDIT_RETRY_MS));
+            return Err(
+                Refusal::new(ErrorKind::LogUnavailable, message).with_retry_after(EDIT_RETRY_MS)
+            );
         }
         if !self.acceptance.has_room() {
             let message = "too many edits are under way at this host";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(EDIT_RETRY_MS));
+            return Err(
+                Refusal::new(ErrorKind::Overloaded, message).with_retry_after(EDIT_RETRY_MS)
+            );
         }
         if edit.changes.len() > MAX_CHANGES {
             let message = format!("more than {MAX_CHANGES} changes in one edit");
@@ -49,7 +53,9 @@
         if record.is_none() {
             let message =
                 "the edit is too long for one record, or too many records wait for the log";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(EDIT_RETRY_MS));
+            return Err(
+                Refusal::new(ErrorKind::Overloaded, message).with_retry_after(EDIT_RETRY_MS)
+            );
         }
         self.acceptance.start(now, call, &edit, record, None);
         Ok(())
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -107,7 +107,7 @@
                 row.brand, row.model
             );
             let refusal = Refusal::new(ErrorKind::RowLimit, message);
-            self.refuse(now, id, refusal.after(slice.retry_after_ms), fx);
+            self.refuse(now, id, refusal.with_retry_after(slice.retry_after_ms), fx);
         }
         for id in decided.begin {
             self.proceed(now, id, fx);
@@ -122,7 +122,7 @@
         let waited = now.since(request.phase_since) > SLICE_BOUND_MS;
         if waited || now >= request.deadline_at {
             let message = "the row's limit cannot be checked now";
-            let refusal = Refusal::new(ErrorKind::RowLimit, message).after(RETRY_MS);
+            let refusal = Refusal::new(ErrorKind::RowLimit, message).with_retry_after(RETRY_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -54,7 +54,7 @@
         };
         if !self.requests.has_room() {
             let message = "this host holds too many requests";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(RETRY_MS));
+            return Err(Refusal::new(ErrorKind::Overloaded, message).with_retry_after(RETRY_MS));
         }
         let deadline_ms = head
             .deadline_ms
@@ -65,7 +65,7 @@
                 "the limit of brand {} for {} is reached",
                 key.brand, key.model
             );
-            return Err(Refusal::new(ErrorKind::RowLimit, message).after(retry_after_ms));
+            return Err(Refusal::new(ErrorKind::RowLimit, message).with_retry_after(retry_after_ms));
         }
         let name = head.name.clone();
         let operation = operation_of(&head, &key);
@@ -108,14 +108,15 @@
         };
         let target = request.head.name.clone();
         if self.queues.push(&target, waiting).is_err() {
-            let refusal = Refusal::new(ErrorKind::Overloaded, "the queue is full").after(RETRY_MS);
+            let refusal =
+                Refusal::new(ErrorKind::Overloaded, "the queue is full").with_retry_after(RETRY_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
 
     fn check_serving(&self, now: Millis) -> Result<(), Refusal> {
         let refusal = |kind, message: &str| {
-            let mut refusal = Refusal::new(kind, message).after(RETRY_MS);
+            let mut refusal = Refusal::new(kind, message).with_retry_after(RETRY_MS);
             refusal.try_hosts = self.other_hosts();
             Err(refusal)
         };
@@ -179,7 +180,7 @@
         for hopeless in self.queues.predicted_timeouts(now) {
             let message = "the queue is longer than the request's deadline allows";
             let refusal = Refusal::new(ErrorKind::Overloaded, message);
-            let refusal = refusal.after(hopeless.wait_ms.max(RETRY_MS));
+            let refusal = refusal.with_retry_after(hopeless.wait_ms.max(RETRY_MS));
             self.refuse(now, hopeless.request, refusal, fx);
         }
     }
@@ -195,7 +196,8 @@
             Phase::Releasing { .. } => self.tick_releasing(now, id, fx),
             Phase::Arrived | Phase::Waiting => {
                 let message = "the deadline passed in the queue";
-                let refusal = Refusal::new(ErrorKind::DeadlinePassed, message).after(RETRY_MS);
+                let refusal =
+                    Refusal::new(ErrorKind::DeadlinePassed, message).with_retry_after(RETRY_MS);
                 self.refuse(now, id, refusal, fx);
             }
             Phase::Running { .. } => {
@@ -300,7 +302,12 @@
         } else {
             ErrorKind::DeadlinePassed
         };
-        self.refuse(now, id, Refusal::new(kind, why).after(RETRY_MS), fx);
+        self.refuse(
+            now,
+            id,
+            Refusal::new(kind, why).with_retry_after(RETRY_MS),
+            fx,
+        );
     }
 
     /// Takes the end of a request's task: whatever is still held of the request is let go.
--- a/src/entry/active_request.rs
+++ b/src/entry/active_request.rs
@@ -131,7 +131,7 @@
 ) -> Result<Found, Refusal> {
     let table = table.ok_or_else(|| {
         let why = "this host has no desired state yet";
-        Refusal::new(ErrorKind::Starting, why).after(RETRY_AFTER_MS)
+        Refusal::new(ErrorKind::Starting, why).with_retry_after(RETRY_AFTER_MS)
     })?;
     let route = table
         .find(&head.host(), head.path())
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -90,7 +90,7 @@
     pub fn last_refusal(&self) -> Refusal {
         match self.runs {
             0 => Refusal::new(ErrorKind::Overloaded, "every upstream refused the request")
-                .after(self.limit_retry_after_ms.unwrap_or(BUSY_RETRY_AFTER_MS)),
+                .with_retry_after(self.limit_retry_after_ms.unwrap_or(BUSY_RETRY_AFTER_MS)),
             _ => Refusal::new(ErrorKind::OutcomeUnknown, "the upstream's answer is lost"),
         }
     }
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -147,8 +147,8 @@
     match active_request::prepare(host, head, body, arrived_at) {
         Ok(request) if !host.accepts_requests() => {
             log.summary.request = request.facts.id.clone();
-            let refusal =
-                Refusal::new(ErrorKind::Stopping, "this host is about to end").after(Millis::ZERO);
+            let refusal = Refusal::new(ErrorKind::Stopping, "this host is about to end")
+                .with_retry_after(Millis::ZERO);
             forward::answer_refusal(host, request.facts.id.as_deref(), writer, log, &refusal).await
         }
         Ok(request) => {
@@ -275,7 +275,9 @@
         let total = self.host.held_body_bytes.get() + added;
         if total > MAX_HELD_BODY_BYTES {
             let why = "this host holds as many bytes of requests as it may";
-            return Err(Refusal::new(ErrorKind::Overloaded, why).after(BUSY_RETRY_AFTER_MS));
+            return Err(
+                Refusal::new(ErrorKind::Overloaded, why).with_retry_after(BUSY_RETRY_AFTER_MS)
+            );
         }
         self.host.held_body_bytes.set(total);
         self.bytes += added;
--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -43,7 +43,7 @@
     };
     lines::write(LogEvent::RequestQuarantined, &line);
     let why = "upstreams crashed each time they ran this request";
-    Some(Refusal::new(ErrorKind::Quarantined, why).after(left_ms))
+    Some(Refusal::new(ErrorKind::Quarantined, why).with_retry_after(left_ms))
 }
 
 /// Records that the connection to an upstream ended while it ran a request. Checks whether the
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -45,7 +45,8 @@
                     Scope::Site => "the rate limit of the organisation is reached",
                     Scope::Group => "this host's share of the organisation's rate limit is used up",
                 };
-                return Err(Refusal::new(ErrorKind::RateLimited, why).after(refused.retry_after_ms));
+                return Err(Refusal::new(ErrorKind::RateLimited, why)
+                    .with_retry_after(refused.retry_after_ms));
             }
         }
         Ok(Self {
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -72,7 +72,7 @@
         let now = host.now();
         if host.is_stopping() {
             let why = "this host stops, and no upstream could take the request at once";
-            return Err(Refusal::new(ErrorKind::Stopping, why).after(Millis::ZERO));
+            return Err(Refusal::new(ErrorKind::Stopping, why).with_retry_after(Millis::ZERO));
         }
         let until = until.max(wait_deadline(host, request, began_at)?);
         if now >= until {
@@ -153,7 +153,7 @@
     let why = "the first event would come after the caller has left";
     Some(
         Refusal::new(ErrorKind::Overloaded, why)
-            .after((wait_ms - left_ms).max(BUSY_RETRY_AFTER_MS)),
+            .with_retry_after((wait_ms - left_ms).max(BUSY_RETRY_AFTER_MS)),
     )
 }
 
@@ -193,7 +193,7 @@
             ErrorKind::ColdStartTooLong,
             "the model cannot be ready in time",
         )
-        .after(ready_at.since(host.now()))),
+        .with_retry_after(ready_at.since(host.now()))),
         // The expected time is an estimate, and the engine's report of the loaded model is delayed.
         Some(ready_at) => Ok((ready_at + Millis(1_500)).min(last)),
         None => match orderer_lost_ms(host) {
@@ -201,7 +201,7 @@
                 ErrorKind::ColdStartTooLong,
                 "no upstream holds the model, and no host orders loads now",
             )
-            .after((ORDERER_TAKEOVER_MS - lost_ms).max(RETRY_AFTER_MS))),
+            .with_retry_after((ORDERER_TAKEOVER_MS - lost_ms).max(RETRY_AFTER_MS))),
             _ => Ok((began_at + UPSTREAM_WAIT_MS).min(last)),
         },
     }
@@ -225,10 +225,11 @@
             let ready_at = host.orderer_state.borrow().ready_at(model);
             let after =
                 ready_at.map_or(RETRY_AFTER_MS, |at| at.since(now).max(BUSY_RETRY_AFTER_MS));
-            Refusal::new(ErrorKind::ColdStartTooLong, "no upstream holds the model").after(after)
+            Refusal::new(ErrorKind::ColdStartTooLong, "no upstream holds the model")
+                .with_retry_after(after)
         }
         _ => Refusal::new(ErrorKind::NoCapacity, "no upstream can take the request")
-            .after(RETRY_AFTER_MS),
+            .with_retry_after(RETRY_AFTER_MS),
     }
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -253,7 +253,7 @@
     }
 
     /// Sets the time after which the caller should retry.
-    pub fn after(mut self, retry_after_ms: Millis) -> Self {
+    pub fn with_retry_after(mut self, retry_after_ms: Millis) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
--- a/src/table/acceptance.rs
+++ b/src/table/acceptance.rs
@@ -204,7 +204,7 @@
 
 fn not_logged() -> Refusal {
     let message = "the edit has not been read back from the log; repeat it with the same edit id";
-    Refusal::new(ErrorKind::EditPending, message).after(Millis(1_000))
+    Refusal::new(ErrorKind::EditPending, message).with_retry_after(Millis(1_000))
 }
 
 /// Turns the fold's rejection of an edit into the operator's answer.
@@ -217,7 +217,7 @@
         Rejection::EditInvalid { why } => Refusal::new(ErrorKind::EditInvalid, why.clone()),
         Rejection::NotMember => {
             let message = "this host was taken for dead; send the edit to another one";
-            Refusal::new(ErrorKind::CutOff, message).after(Millis(1_000))
+            Refusal::new(ErrorKind::CutOff, message).with_retry_after(Millis(1_000))
         }
         other => Refusal::new(
             ErrorKind::EditInvalid,
