--- a/src/group/tests/members.rs
+++ b/src/group/tests/members.rs
@@ -4,7 +4,7 @@
 use crate::group::members::MembersUpdate;
 use crate::group::{Member, Members};
 use crate::prelude::*;
-use crate::test_support::{member, seeded};
+use crate::test_support::{member, run_seeded};
 
 /// The member list on the platform's store.
 #[derive(Default)]
@@ -39,7 +39,7 @@
 
 #[test]
 fn after_an_applied_update_the_receiver_has_the_senders_list() {
-    let applied = seeded(300, |u| {
+    let applied = run_seeded(300, |u| {
         let mut group = Group::default();
         (0..5).for_each(|_| group.join());
         let (mut sender, mut host) = (Members::default(), Members::default());
--- a/src/group/tests/tree.rs
+++ b/src/group/tests/tree.rs
@@ -4,7 +4,7 @@
 use crate::group::tree::DIRECT_HOSTS;
 use crate::group::{Member, RelayTree};
 use crate::prelude::*;
-use crate::test_support::{member, seeded};
+use crate::test_support::{member, run_seeded};
 
 /// Makes hosts of six data centres; every tenth host of each has a high CPU capacity.
 fn site(hosts: u64) -> Vec<Member> {
@@ -64,7 +64,7 @@
 
 #[test]
 fn every_host_derives_the_same_tree_and_a_lost_relay_moves_only_its_own_hosts() {
-    seeded(50, |u| {
+    run_seeded(50, |u| {
         // At square sizes, the loss of one host changes the number of relays of a data centre by no
         // more than that host.
         let mut site = site(u.int_in_range(6..=16u64)?.pow(2));
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -6,7 +6,7 @@
 use crate::logs::spread::spreads;
 use crate::logs::{Lines, LogLine};
 use crate::prelude::*;
-use crate::test_support::seeded;
+use crate::test_support::run_seeded;
 
 fn read(text: &str) -> Lines {
     let mut lines = Lines::default();
@@ -52,7 +52,7 @@
 
 #[test]
 fn any_bytes_are_read_without_a_panic() {
-    let outcomes = seeded(200, |random| {
+    let outcomes = run_seeded(200, |random| {
         let bytes: Vec<u8> = random.arbitrary()?;
         let mut lines = Lines::default();
         let read = lines.read(&mut bytes.as_slice(), &Name::from("x"), |_| true);
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -13,7 +13,7 @@
 use crate::ordering::planner::{Planner, load_time};
 use crate::ordering::store_load_limiter::StoreLoadLimiter;
 use crate::prelude::*;
-use crate::test_support::seeded;
+use crate::test_support::run_seeded;
 use crate::upstreams::Lifetime;
 
 const SIZES_MB: [f64; 6] = [100.0, 100.0, 60.0, 60.0, 40.0, 40.0];
@@ -294,7 +294,7 @@
 
 #[test]
 fn orders_never_exceed_the_capacity_of_engines() {
-    let loads: usize = seeded(2_000, drive).into_iter().sum();
+    let loads: usize = run_seeded(2_000, drive).into_iter().sum();
     // Checks that the generated interleavings contain loads.
     assert!(loads > 2_000, "{loads} loads");
 }
@@ -302,7 +302,7 @@
 #[test]
 fn orders_never_exceed_the_capacity_of_restarted_engines() {
     let (restarts, loads): (Vec<usize>, Vec<usize>) =
-        seeded(2_000, drive_restarts).into_iter().unzip();
+        run_seeded(2_000, drive_restarts).into_iter().unzip();
     assert!(restarts.iter().sum::<usize>() > 1_000);
     assert!(loads.iter().sum::<usize>() > 1_000);
 }
--- a/src/ordering/tests/lease.rs
+++ b/src/ordering/tests/lease.rs
@@ -5,7 +5,7 @@
 use crate::ordering::lease::{Learned, Lease, LeaseRecord, is_candidate};
 use crate::prelude::*;
 use crate::test_support;
-use crate::test_support::seeded;
+use crate::test_support::run_seeded;
 use std::net::SocketAddr;
 
 const ENGINE_LEASE_MS: Millis = Millis(3_000);
@@ -239,14 +239,14 @@
 #[test]
 fn no_two_hosts_order_within_the_engines_lease_time_when_holders_report_the_end_of_the_stream() {
     let (orders, takeovers): (Vec<_>, Vec<_>) =
-        seeded(4_000, drive_with_statements).into_iter().unzip();
+        run_seeded(4_000, drive_with_statements).into_iter().unzip();
     assert!(orders.iter().sum::<usize>() > 1_000);
     assert!(takeovers.iter().sum::<usize>() > 30);
 }
 
 #[test]
 fn no_two_hosts_order_within_the_engines_lease_time() {
-    let (orders, takeovers): (Vec<_>, Vec<_>) = seeded(4_000, drive).into_iter().unzip();
+    let (orders, takeovers): (Vec<_>, Vec<_>) = run_seeded(4_000, drive).into_iter().unzip();
     // Checks that the generated interleavings contain orders and changes of the holder.
     assert!(orders.iter().sum::<usize>() > 1_000);
     assert!(takeovers.iter().sum::<usize>() > 30);
--- a/src/ordering/tests/published.rs
+++ b/src/ordering/tests/published.rs
@@ -5,7 +5,7 @@
 use crate::ordering::engine_inventory::EngineChanges;
 use crate::ordering::published::{EngineView, EnginesVersion, PublishedEngines};
 use crate::prelude::*;
-use crate::test_support::seeded;
+use crate::test_support::run_seeded;
 use crate::upstreams::Lifetime;
 use arbtest::arbitrary::{Result, Unstructured};
 
@@ -70,7 +70,7 @@
 
 #[test]
 fn every_host_has_the_orderers_state_of_the_same_version() {
-    let applied = seeded(300, |u| {
+    let applied = run_seeded(300, |u| {
         let mut fence = 1;
         let mut orderer = PublishedEngines::default();
         // Two relays, and a host that receives updates from either.
--- a/src/ordering/tests/relay_aggregate.rs
+++ b/src/ordering/tests/relay_aggregate.rs
@@ -7,7 +7,7 @@
 use crate::ordering::relay_aggregate::RelayAggregate;
 use crate::prelude::*;
 use crate::routing::pick::UpstreamLoad;
-use crate::test_support::seeded;
+use crate::test_support::run_seeded;
 use arbtest::arbitrary::{Result, Unstructured};
 
 fn demand(u: &mut Unstructured<'_>) -> Result<Vec<(ModelRef, RequestCounts)>> {
@@ -35,7 +35,7 @@
 
 #[test]
 fn no_request_is_lost_or_counted_twice_by_a_relay() {
-    seeded(200, |u| {
+    run_seeded(200, |u| {
         let mut relay = RelayAggregate::default();
         let (mut reported, mut passed_on) = (Vec::new(), Vec::new());
         let mut newest: IndexMap<u64, Vec<(ModelRef, RequestCounts)>> = IndexMap::new();
--- a/src/test_support.rs
+++ b/src/test_support.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// Runs a property `runs` times on random inputs from fixed seeds, and returns its results.
-pub fn seeded<T>(
+pub fn run_seeded<T>(
     runs: u64,
     property: impl Fn(&mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<T>,
 ) -> Vec<T> {
