--- a/src/edge/caller.rs
+++ b/src/edge/caller.rs
@@ -43,7 +43,7 @@
     pub incarnation: Incarnation,
     /// The limits on requests and answers, from the settings.
     pub bounds: BoundSettings,
-    /// The metrics that requests are counted in.
+    /// The metrics in which requests are counted.
     pub metrics: Metrics,
 }
 
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -13,7 +13,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use trillium_client::Client;
 
-/// The most upstreams with kept-alive connections; beyond them, all connections are dropped.
+/// The most upstreams with kept-alive connections; beyond them, all those connections are dropped.
 const MAX_ADDRESSES: usize = 1_024;
 
 /// One client with kept-alive connections for each upstream, and one client that keeps none.
--- a/src/edge/event_loop_handle.rs
+++ b/src/edge/event_loop_handle.rs
@@ -36,7 +36,7 @@
 pub enum Query {
     /// A dump of the state, as JSON.
     Dump(Sender<String>),
-    /// The recorded trace of inputs, as JSON.
+    /// The recorded trace of inputs, as the text of a trace file.
     Trace(Sender<String>),
     /// The table, as JSON.
     Table(Sender<String>),
@@ -44,7 +44,7 @@
     Hosts(Sender<String>),
     /// The copies of models, as JSON.
     Placements(Sender<String>),
-    /// Whether the host serves: `serving`, or a name of its state.
+    /// The state of the host: `serving`, `starting`, `cut_off`, `stopping` or `stopped`.
     Health(Sender<String>),
 }
 
@@ -91,7 +91,8 @@
         let _ = self.inputs.send(Input::Event(event)).await;
     }
 
-    /// Queries the state of the event loop. Returns `None` if the loop has ended.
+    /// Queries the state of the event loop. Returns `None` if the loop has ended, or the answer
+    /// cannot be encoded.
     pub async fn query(&self, make: impl FnOnce(Sender<String>) -> Query) -> Option<String> {
         let (answer, receiver) = bounded(1);
         self.inputs.send(Input::Query(make(answer))).await.ok()?;
@@ -128,6 +129,10 @@
     }
 
     /// Submits an operator's edit of the table, and waits for its result.
+    ///
+    /// # Errors
+    ///
+    /// Returns the event loop's refusal, or [`ErrorKind::Stopping`] if the loop has ended.
     pub async fn ask_edit(&self, edit: crate::table::message::Edit) -> EditResult {
         let call = CallId(self.allocate_id());
         let event = Event::EditAsked { call, edit };
--- a/src/edge/stall.rs
+++ b/src/edge/stall.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use trillium_server_common::{Acceptor, Transport};
 
-/// The longest time for which a write may make no progress.
+/// The time without progress after which a write fails.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Wraps each accepted connection in a [`StallGuard`].
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use trillium_client::ResponseBody;
 
-/// The longest time for which a caller may not read its answer.
+/// The longest time for which a caller may leave its answer unread.
 pub const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// The most times that one answer is resumed.
 pub const MAX_RESUMPTIONS: u32 = 3;
--- a/src/error.rs
+++ b/src/error.rs
@@ -29,7 +29,7 @@
     RateLimited,
     /// Upstreams crashed each time they ran the request, so it is no longer sent to any.
     Quarantined,
-    /// The queues of this host are full.
+    /// A queue that the request needs is full.
     Overloaded,
     /// The model cannot be loaded before the deadline.
     ColdStartTooLong,
--- a/src/event_log.rs
+++ b/src/event_log.rs
@@ -52,7 +52,8 @@
     PeerSuspected = 303,
     /// A host was evicted from the group.
     HostEvicted = 304,
-    /// A peer's connection was refused in its handshake, as for an invalid certificate.
+    /// A peer's connection was refused in its handshake, for instance because of an invalid
+    /// certificate.
     PeerRefused = 305,
     /// This host was evicted while it ran, and joins again as a new incarnation.
     Rejoining = 306,
@@ -100,7 +101,7 @@
     ReportFailed = 515,
     /// An upstream was registered.
     UpstreamRegistered = 600,
-    /// An upstream is leaving and takes no new work.
+    /// An upstream announced that it is leaving.
     UpstreamLeaving = 601,
     /// An upstream does not answer or cannot be reached.
     UpstreamSilent = 602,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -84,7 +84,7 @@
     pub platform: PlatformSettings,
     /// The files of keys and certificates, and the hashes of the operators' tokens.
     pub keys: KeySettings,
-    /// Timing of failure detection, which all hosts of a site must set alike.
+    /// Timing of failure detection, the same at all hosts of a site.
     #[serde(default)]
     pub timing: TimingSettings,
     /// The policy by which copies of models are kept loaded.
@@ -133,7 +133,7 @@
     pub operator_token_sha256: Vec<Arc<str>>,
 }
 
-/// Timing of failure detection, which all hosts of a site must set alike.
+/// Timing of failure detection, the same at all hosts of a site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimingSettings {
