--- a/bench/src/call.rs
+++ b/bench/src/call.rs
@@ -1,7 +1,7 @@
 //! Calls as a caller or a test makes them, each with one recorded outcome.
 
-use mangovale::edge::http::{CallError, call_error, client, within};
-use mangovale::edge::intake::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
+use mangovale::edge::http::{CallError, classify_error, client, with_timeout};
+use mangovale::edge::request_reader::{DEADLINE_HEADER, IDEMPOTENCY_HEADER};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use smol::io::{AsyncBufReadExt, BufReader};
@@ -158,14 +158,14 @@
 /// Sends a call and waits for its outcome.
 pub async fn finish(conn: Conn) -> Outcome {
     let started_at = Instant::now();
-    let outcome = within(CALL_LIMIT, read(conn, started_at)).await;
+    let outcome = with_timeout(CALL_LIMIT, read(conn, started_at)).await;
     outcome.unwrap_or_else(|| Outcome::Broken("no end within the limit of a call".to_string()))
 }
 
 async fn read(conn: Conn, started_at: Instant) -> Outcome {
     let mut conn = match conn.await {
         Ok(conn) => conn,
-        Err(error) => match call_error(&error) {
+        Err(error) => match classify_error(&error) {
             CallError::NotConnected { .. } => return Outcome::NotConnected,
             other => return Outcome::Broken(other.to_string()),
         },
--- a/src/cli/send.rs
+++ b/src/cli/send.rs
@@ -7,7 +7,7 @@
 use crate::cli::render::{print, print_line};
 use crate::cli::request::{Request, RequestKind};
 use crate::cli::site::http_url;
-use crate::edge::http::{CallError, call_error, client, within};
+use crate::edge::http::{CallError, classify_error, client, with_timeout};
 use crate::error::{ErrorKind, Ran};
 use crate::membership::entry::EntryAnswer;
 use crate::prelude::*;
@@ -167,7 +167,7 @@
     let querying = async {
         let conn = request.build_entry(client, url).await;
         let mut conn = conn
-            .map_err(|error| call_error(&error))
+            .map_err(|error| classify_error(&error))
             .context(CallSnafu { url })?;
         if !is_success(&conn) {
             return Err(refusal(&mut conn).await);
@@ -182,7 +182,7 @@
     };
     let limit = ENTRY_TIMEOUT;
     let timed_out = Err(CallError::TimedOut { limit }).context(CallSnafu { url });
-    within(limit, querying).await.unwrap_or(timed_out)
+    with_timeout(limit, querying).await.unwrap_or(timed_out)
 }
 
 /// Sends one request to hosts and reads their answers.
@@ -206,7 +206,7 @@
 impl RequestSender {
     async fn try_host(&self, url: &str) -> Result<Exit, CliError> {
         let conn = self.request.build(&self.client, url).await;
-        let mut conn = match conn.map_err(|error| call_error(&error)) {
+        let mut conn = match conn.map_err(|error| classify_error(&error)) {
             Ok(conn) => conn,
             Err(source @ CallError::NotConnected { .. }) => {
                 return Err(source).context(CallSnafu { url });
@@ -338,7 +338,7 @@
 async fn read_text(conn: &mut Conn) -> Result<String, CallError> {
     let body = conn.response_body();
     let text = body.read_string().await;
-    text.map_err(|error| call_error(&error))
+    text.map_err(|error| classify_error(&error))
 }
 
 fn status(conn: &Conn) -> u16 {
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -4,10 +4,10 @@
 use crate::daemon::event::Event;
 use crate::daemon::node::NodeConfig;
 use crate::edge::engine::HttpEngines;
-use crate::edge::gate::{Gate, Instruction};
+use crate::edge::event_loop_handle::{EventLoopHandle, Instruction};
 use crate::edge::hosts::HttpHostList;
 use crate::edge::log_service::HttpLog;
-use crate::edge::peer::PeerEdge;
+use crate::edge::peer::PeerEndpoint;
 use crate::edge::store::HttpStore;
 use crate::edge::{EngineControl, HostDirectory, LogService, WeightStore};
 use crate::membership::message::HostEntry;
@@ -44,9 +44,9 @@
     /// The clock of the process, which also times events.
     pub clock: Clock,
     /// Receives the resulting events, and passes answers on to the tasks that wait for them.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<EventLoopHandle>,
     /// The client for requests to peers.
-    pub peers: Arc<PeerEdge>,
+    pub peers: Arc<PeerEndpoint>,
     /// The clients of the platform's services.
     pub platform: PlatformClients,
 }
@@ -169,13 +169,16 @@
             Effect::AnswerPeer { call, reply } => self.gate.answer_peer(call, reply),
             Effect::Begin { attempt } => {
                 let request = attempt.request;
-                self.gate.instruct(request, Instruction::Begin(attempt));
+                self.gate
+                    .send_instruction(request, Instruction::Begin(attempt));
             }
             Effect::Refuse { request, refusal } => {
-                self.gate.instruct(request, Instruction::Refuse(refusal));
+                self.gate
+                    .send_instruction(request, Instruction::Refuse(refusal));
             }
             Effect::GiveAnswer { request, answer } => {
-                self.gate.instruct(request, Instruction::Answer(answer));
+                self.gate
+                    .send_instruction(request, Instruction::Answer(answer));
             }
             Effect::AnswerEntry { call, result } => self.gate.answer_entry(call, result),
             Effect::AnswerEdit { call, result } => self.gate.answer_edit(call, result),
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -55,7 +55,7 @@
         };
         if !self.requests.has_room() {
             let message = "this host holds too many requests";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).after(RETRY_AFTER_MS));
+            return Err(Refusal::new(ErrorKind::Overloaded, message).with_retry_after(RETRY_AFTER_MS));
         }
         let deadline_ms = head
             .deadline_ms
@@ -66,7 +66,7 @@
                 "the limit of brand {} for {} is reached",
                 key.brand, key.model
             );
-            return Err(Refusal::new(ErrorKind::RowLimit, message).after(retry_after_ms));
+            return Err(Refusal::new(ErrorKind::RowLimit, message).with_retry_after(retry_after_ms));
         }
         let name = head.name.clone();
         let operation = operation_of(&head, &key);
@@ -110,14 +110,14 @@
         let target = request.head.name.clone();
         if self.queues.push(&target, waiting).is_err() {
             let refusal =
-                Refusal::new(ErrorKind::Overloaded, "the queue is full").after(RETRY_AFTER_MS);
+                Refusal::new(ErrorKind::Overloaded, "the queue is full").with_retry_after(RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
 
     fn check_serving(&self, now: Millis) -> Result<(), Refusal> {
         let refusal = |kind, message: &str| {
-            let mut refusal = Refusal::new(kind, message).after(RETRY_AFTER_MS);
+            let mut refusal = Refusal::new(kind, message).with_retry_after(RETRY_AFTER_MS);
             refusal.try_hosts = self.other_hosts();
             Err(refusal)
         };
@@ -185,7 +185,7 @@
         for unservable in self.queues.predicted_timeouts(now) {
             let message = "the queue is longer than the request's deadline allows";
             let refusal = Refusal::new(ErrorKind::Overloaded, message);
-            let refusal = refusal.after(unservable.wait_ms.max(RETRY_AFTER_MS));
+            let refusal = refusal.with_retry_after(unservable.wait_ms.max(RETRY_AFTER_MS));
             self.refuse(now, unservable.request, refusal, fx);
         }
     }
@@ -202,7 +202,7 @@
             Phase::Arrived | Phase::Waiting => {
                 let message = "the deadline passed in the queue";
                 let refusal =
-                    Refusal::new(ErrorKind::DeadlinePassed, message).after(RETRY_AFTER_MS);
+                    Refusal::new(ErrorKind::DeadlinePassed, message).with_retry_after(RETRY_AFTER_MS);
                 self.refuse(now, id, refusal, fx);
             }
             Phase::Running { .. } => {
@@ -310,7 +310,12 @@
         } else {
             ErrorKind::DeadlinePassed
         };
-        self.refuse(now, id, Refusal::new(kind, why).after(RETRY_AFTER_MS), fx);
+        self.refuse(
+            now,
+            id,
+            Refusal::new(kind, why).with_retry_after(RETRY_AFTER_MS),
+            fx,
+        );
     }
 
     /// Drops a request whose task has ended, if it has no final answer yet.
--- a/src/daemon/servers.rs
+++ b/src/daemon/servers.rs
@@ -3,11 +3,11 @@
 use crate::clock::Clock;
 use crate::daemon::metrics::Metrics;
 use crate::daemon::run::{ListenSnafu, RunError};
-use crate::edge::caller::CallerEdge;
-use crate::edge::connections::Connections;
-use crate::edge::gate::Gate;
-use crate::edge::http::within;
-use crate::edge::operator::OperatorEdge;
+use crate::edge::caller::CallerServer;
+use crate::edge::connections::UpstreamConnections;
+use crate::edge::event_loop_handle::EventLoopHandle;
+use crate::edge::http::with_timeout;
+use crate::edge::operator::OperatorServer;
 use crate::edge::stall::StallAcceptor;
 use crate::prelude::*;
 use crate::settings::Settings;
@@ -30,15 +30,15 @@
     settings: &Settings,
     me: Incarnation,
     clock: Clock,
-    gate: &Arc<Gate>,
+    gate: &Arc<EventLoopHandle>,
     metrics: &Metrics,
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("caller_listen", settings.caller_listen)?;
-    let edge = Arc::new(CallerEdge {
-        gate: gate.clone(),
+    let edge = Arc::new(CallerServer {
+        event_loop: gate.clone(),
         clock,
-        connections: Arc::new(Connections::new()),
-        me,
+        connections: Arc::new(UpstreamConnections::new()),
+        incarnation: me,
         bounds: settings.bounds.clone(),
         metrics: metrics.clone(),
     });
@@ -62,12 +62,12 @@
 /// Returns an error if its address cannot be bound.
 pub fn listen_operators(
     settings: &Settings,
-    gate: &Arc<Gate>,
+    gate: &Arc<EventLoopHandle>,
     metrics: &Metrics,
 ) -> Result<ServerHandle, RunError> {
     let listener = bind("operator_listen", settings.operator_listen)?;
-    let edge = Arc::new(OperatorEdge {
-        gate: gate.clone(),
+    let edge = Arc::new(OperatorServer {
+        event_loop: gate.clone(),
         token_sha256: settings.keys.operator_token_sha256.clone(),
         metrics: metrics.clone(),
     });
@@ -86,7 +86,7 @@
 /// Shuts a server down, and waits for its open connections for at most `CLOSE_TIMEOUT`.
 pub async fn close(server: ServerHandle) {
     let closing = async move { server.shut_down().await };
-    within(CLOSE_TIMEOUT, closing).await;
+    with_timeout(CLOSE_TIMEOUT, closing).await;
 }
 
 fn bind(key: &'static str, address: SocketAddr) -> Result<smol::net::TcpListener, RunError> {
--- a/src/logs/tests.rs
+++ b/src/logs/tests.rs
@@ -6,7 +6,7 @@
 use crate::logs::spread::spreads;
 use crate::logs::{LogLine, LogLines};
 use crate::prelude::*;
-use crate::test_support::seeded;
+use crate::test_support::run_seeded;
 
 fn read_lines(text: &str) -> LogLines {
     let mut lines = LogLines::default();
@@ -53,7 +53,7 @@
 
 #[test]
 fn arbitrary_bytes_are_read_without_a_panic() {
-    let outcomes = seeded(200, |random| {
+    let outcomes = run_seeded(200, |random| {
         let bytes: Vec<u8> = random.arbitrary()?;
         let mut lines = LogLines::default();
         let read = lines.read(&mut bytes.as_slice(), &Name::from("x"), |_| true);
--- a/src/table/pending_edits.rs
+++ b/src/table/pending_edits.rs
@@ -214,7 +214,7 @@
 
 fn not_read_back() -> Refusal {
     let message = "the edit has not been read back from the log; repeat it with the same edit id";
-    Refusal::new(ErrorKind::EditPending, message).after(Millis(1_000))
+    Refusal::new(ErrorKind::EditPending, message).with_retry_after(Millis(1_000))
 }
 
 /// Converts the rejection of an edit into the refusal that its operator gets.
@@ -227,7 +227,7 @@
         Rejection::EditInvalid { why } => Refusal::new(ErrorKind::EditInvalid, why.clone()),
         Rejection::NotMember => {
             let message = "this host was taken for dead; send the edit to another one";
-            Refusal::new(ErrorKind::CutOff, message).after(Millis(1_000))
+            Refusal::new(ErrorKind::CutOff, message).with_retry_after(Millis(1_000))
         }
         other => Refusal::new(
             ErrorKind::EditInvalid,
--- a/tests/peer_certificates.rs
+++ b/tests/peer_certificates.rs
@@ -3,8 +3,8 @@
 use mangovale::cli::keys;
 use mangovale::cli::options::KeysOptions;
 use mangovale::daemon::event::Event;
-use mangovale::edge::gate::{Gate, Input};
-use mangovale::edge::peer::PeerEdge;
+use mangovale::edge::event_loop_handle::{EventLoopHandle, Input};
+use mangovale::edge::peer::PeerEndpoint;
 use mangovale::membership::message::{PeerReply, PeerRequest};
 use mangovale::settings::KeySettings;
 use mangovale::shared_log::record::Offset;
@@ -45,8 +45,8 @@
         ..other.clone()
     };
     let address = free_address();
-    let server = PeerEdge::bind(address, &own).expect("the server can be bound");
-    let (gate, inputs) = Gate::new();
+    let server = PeerEndpoint::bind(address, &own).expect("the server can be bound");
+    let (gate, inputs) = EventLoopHandle::new();
     smol::spawn(server.serve(gate.clone())).detach();
     smol::spawn(async move {
         while let Ok(input) = inputs.recv().await {
@@ -61,7 +61,7 @@
     })
     .detach();
     let ask = |keys: &KeySettings| {
-        let client = PeerEdge::bind(free_address(), keys).expect("the client can be bound");
+        let client = PeerEndpoint::bind(free_address(), keys).expect("the client can be bound");
         smol::block_on(client.ask(address, &REQUEST))
     };
     assert!(ask(&own).is_some());
