--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -293,7 +293,8 @@
         } else {
             ErrorKind::CutOff
         };
-        let refusal = Refusal::new(kind, "the claim was not taken").with_retry_after(LOG_RETRY_AFTER_MS);
+        let refusal =
+            Refusal::new(kind, "the claim was not taken").with_retry_after(LOG_RETRY_AFTER_MS);
         self.refuse(now, id, refusal, fx);
     }
 
@@ -397,8 +398,8 @@
         };
         if now >= request.deadline_at {
             let message = "the deadline passed before the claim was read back";
-            let refusal =
-                Refusal::new(ErrorKind::DeadlinePassed, message).with_retry_after(LOG_RETRY_AFTER_MS);
+            let refusal = Refusal::new(ErrorKind::DeadlinePassed, message)
+                .with_retry_after(LOG_RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
             return;
         }
--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -34,13 +34,14 @@
         }
         if self.life != Life::Serving {
             let message = "this host is not serving; ask another one";
-            return Err(Refusal::new(ErrorKind::Starting, message).with_retry_after(EDIT_RETRY_AFTER_MS));
+            return Err(
+                Refusal::new(ErrorKind::Starting, message).with_retry_after(EDIT_RETRY_AFTER_MS)
+            );
         }
         if !self.driver.is_reachable() {
             let message = "the log is out of reach; nothing was appended";
-            return Err(
-                Refusal::new(ErrorKind::LogUnavailable, message).with_retry_after(EDIT_RETRY_AFTER_MS)
-            );
+            return Err(Refusal::new(ErrorKind::LogUnavailable, message)
+                .with_retry_after(EDIT_RETRY_AFTER_MS));
         }
         if !self.acceptance.has_room() {
             let message = "too many edits are under way at this host";
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -126,7 +126,8 @@
         let waited = now.since(request.phase_since) > SLICE_TIMEOUT_MS;
         if waited || now >= request.deadline_at {
             let message = "the row's limit cannot be checked now";
-            let refusal = Refusal::new(ErrorKind::RowLimit, message).with_retry_after(RETRY_AFTER_MS);
+            let refusal =
+                Refusal::new(ErrorKind::RowLimit, message).with_retry_after(RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -55,7 +55,9 @@
         };
         if !self.requests.has_room() {
             let message = "this host holds too many requests";
-            return Err(Refusal::new(ErrorKind::Overloaded, message).with_retry_after(RETRY_AFTER_MS));
+            return Err(
+                Refusal::new(ErrorKind::Overloaded, message).with_retry_after(RETRY_AFTER_MS)
+            );
         }
         let deadline_ms = head
             .deadline_ms
@@ -109,8 +111,8 @@
         };
         let target = request.head.name.clone();
         if self.queues.push(&target, waiting).is_err() {
-            let refusal =
-                Refusal::new(ErrorKind::Overloaded, "the queue is full").with_retry_after(RETRY_AFTER_MS);
+            let refusal = Refusal::new(ErrorKind::Overloaded, "the queue is full")
+                .with_retry_after(RETRY_AFTER_MS);
             self.refuse(now, id, refusal, fx);
         }
     }
@@ -201,8 +203,8 @@
             Phase::Releasing { .. } => self.tick_releasing(now, id, fx),
             Phase::Arrived | Phase::Waiting => {
                 let message = "the deadline passed in the queue";
-                let refusal =
-                    Refusal::new(ErrorKind::DeadlinePassed, message).with_retry_after(RETRY_AFTER_MS);
+                let refusal = Refusal::new(ErrorKind::DeadlinePassed, message)
+                    .with_retry_after(RETRY_AFTER_MS);
                 self.refuse(now, id, refusal, fx);
             }
             Phase::Running { .. } => {
