--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -139,7 +139,7 @@
     /// Applies the answer to a request for a grant that was sent at `asked_at` for `wanted`
     /// requests. Returns the requests that may begin, and those that must be refused because the
     /// limit is reached. An answer older than [`GRANT_TTL_MS`] decides nothing.
-    pub fn on_slice(
+    pub fn on_quota_grant(
         &mut self,
         now: Millis,
         row: &RowKey,
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -1,4 +1,4 @@
-//! The rate limits of table rows over all hosts: the home of a row grants slices of its limit to
+//! The rate limits of table rows over all hosts: the home of a row grants parts of its limit to
 //! the hosts that have requests for it.
 
 use crate::admission::quota::QuotaGrant;
@@ -10,18 +10,18 @@
 use crate::prelude::*;
 use crate::table::message::RowKey;
 
-/// How long a request waits for a slice of its row's rate limit; then it is refused.
-pub const SLICE_TIMEOUT_MS: Millis = Millis(1_500);
+/// How long a request waits for a part of its row's rate limit; then it is refused.
+pub const QUOTA_TIMEOUT_MS: Millis = Millis(1_500);
 
 /// The retry time when no better estimate is known.
 const RETRY_AFTER_MS: Millis = Millis(1_000);
 
 impl Node {
-    /// Requests the slices that are needed, and forgets expired grants.
+    /// Requests the quotas that waiting requests need, and forgets expired grants.
     pub fn tick_limits(&mut self, now: Millis, fx: &mut Effects) {
         self.note_members(now);
         self.granting.expire(now);
-        self.ask_slices(now, fx);
+        self.request_quotas(now, fx);
     }
 
     fn note_members(&mut self, now: Millis) {
@@ -30,25 +30,25 @@
         self.granting.note_members(now, members_hash);
     }
 
-    /// Makes a request of a row with a rate limit wait for a slice.
-    pub fn wait_for_slice(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
+    /// Makes a request of a row with a rate limit wait for a quota.
+    pub fn wait_for_quota(&mut self, now: Millis, id: RequestId, fx: &mut Effects) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         request.enter(now, Phase::Metered);
         let row = request.row.clone();
         self.metered.push(&row, id);
-        self.ask_slices(now, fx);
+        self.request_quotas(now, fx);
     }
 
-    fn ask_slices(&mut self, now: Millis, fx: &mut Effects) {
+    fn request_quotas(&mut self, now: Millis, fx: &mut Effects) {
         for (row, wanted) in self.metered.due(now) {
             let Some(home) = self.home_of_row(&row) else {
                 continue;
             };
             if home == self.config.me {
-                let slice = self.grant_slice(now, &row, wanted);
-                self.on_slice(now, &row, now, slice, wanted, fx);
+                let grant = self.grant_quota(now, &row, wanted);
+                self.on_quota_grant(now, &row, now, grant, wanted, fx);
                 continue;
             }
             let Some(member) = self.shared.members.get(home) else {
@@ -71,9 +71,9 @@
         rank_hosts(&key, members).first().copied()
     }
 
-    /// Grants a slice of a row's rate limit. Grants nothing if this host is not the home of the
+    /// Grants a part of a row's rate limit. Grants nothing if this host is not the home of the
     /// row, is not fresh, or grants of a former home may still be valid.
-    pub fn grant_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
+    pub fn grant_quota(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
         self.note_members(now);
         let is_home = self.home_of_row(row) == Some(self.config.me);
         let settled = self.granting.is_settled(now, self.config.fresh_bound_ms);
@@ -95,25 +95,27 @@
 
     /// Handles the answer of a row's home to a request for `wanted` requests that was made at
     /// `asked_at`.
-    pub fn on_slice(
+    pub fn on_quota_grant(
         &mut self,
         now: Millis,
         row: &RowKey,
         asked_at: Millis,
-        slice: QuotaGrant,
+        grant: QuotaGrant,
         wanted: u32,
         fx: &mut Effects,
     ) {
-        let decided = self.metered.on_slice(now, row, asked_at, slice, wanted);
-        for id in decided.refuse {
+        let decision = self
+            .metered
+            .on_quota_grant(now, row, asked_at, grant, wanted);
+        for id in decision.refuse {
             let message = format!(
                 "the limit of brand {} for {} is reached",
                 row.brand, row.model
             );
             let refusal = Refusal::new(ErrorKind::RowLimit, message);
-            self.refuse(now, id, refusal.after(slice.retry_after_ms), fx);
+            self.refuse(now, id, refusal.after(grant.retry_after_ms), fx);
         }
-        for id in decided.begin {
+        for id in decision.begin {
             self.claim_or_enqueue(now, id, fx);
         }
     }
@@ -123,7 +125,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let waited = now.since(request.phase_since) > SLICE_TIMEOUT_MS;
+        let waited = now.since(request.phase_since) > QUOTA_TIMEOUT_MS;
         if waited || now >= request.deadline_at {
             let message = "the row's limit cannot be checked now";
             let refusal = Refusal::new(ErrorKind::RowLimit, message).after(RETRY_AFTER_MS);
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -331,7 +331,7 @@
                 self.apply_relayed(now, &records, fx);
             }
             PeerReply::Slice { row, slice, wanted } => {
-                self.on_slice(now, &row, asked_at, slice, wanted, fx);
+                self.on_quota_grant(now, &row, asked_at, slice, wanted, fx);
             }
             PeerReply::Operation { operation, state } => {
                 self.on_operation_state(now, peer, &operation, &state, fx);
@@ -404,7 +404,7 @@
                 next_offset: self.shared.next_offset,
             },
             PeerRequest::Slice { row, wanted } => PeerReply::Slice {
-                slice: self.grant_slice(now, &row, wanted),
+                slice: self.grant_quota(now, &row, wanted),
                 row,
                 wanted,
             },
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -99,9 +99,9 @@
     pub routing: Routing,
     /// The limits of requests in flight, by table row.
     pub limits: ConcurrencyLimits,
-    /// The requests that wait for a slice of their row's rate limit.
+    /// The requests that wait for a part of their row's rate limit.
     pub metered: QuotaRequester,
-    /// The slices of rate limits that this host granted as the home of a row.
+    /// The parts of rate limits that this host granted as the home of a row.
     pub granting: QuotaGranter,
     /// The queues of requests that wait for an upstream.
     pub queues: Queues,
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -25,7 +25,7 @@
         let held = self.requests.get(request);
         let row = held.and_then(|held| self.shared.table.row(&held.row));
         match row.is_some_and(|row| row.requests_per_s.is_some()) {
-            true => self.wait_for_slice(now, request, fx),
+            true => self.wait_for_quota(now, request, fx),
             false => self.claim_or_enqueue(now, request, fx),
         }
     }
