--- a/bench/src/fleet/plan.rs
+++ b/bench/src/fleet/plan.rs
@@ -142,7 +142,7 @@
                 NOW,
                 &planned.engine,
                 planned.action,
-                planned.ask,
+                planned.model_ref,
                 planned.freed_for,
             );
             let Some(order) = order else { break };
--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -41,21 +41,21 @@
 /// an event stream, piece by piece otherwise.
 pub async fn relay_answer<P: Platform>(
     host: &Host<P>,
-    ask: &ActiveRequest,
+    request: &ActiveRequest,
     out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
-    tries: &mut Attempts,
+    attempts: &mut Attempts,
     answer: Box<StartedAnswer>,
 ) -> RelayOutcome {
     if answer.reader.is_done() {
-        return relay_complete(host, ask, out, log, answer).await;
+        return relay_complete(host, request, out, log, answer).await;
     }
-    match ask.route.streams && answer.head.status == 200 {
+    match request.route.streams && answer.head.status == 200 {
         true => {
             let stream = EventRelay {
                 host,
-                ask,
-                tries,
+                request,
+                attempts,
                 buffer: Vec::new(),
                 last_event_id: None,
                 has_begun: false,
@@ -64,13 +64,13 @@
             };
             stream.run(out, log, answer).await
         }
-        false => relay_pieces(host, ask, out, log, answer).await,
+        false => relay_pieces(host, request, out, log, answer).await,
     }
 }
 
 async fn relay_complete<P: Platform>(
     host: &Host<P>,
-    ask: &ActiveRequest,
+    request: &ActiveRequest,
     out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     answer: Box<StartedAnswer>,
@@ -84,11 +84,11 @@
         in_flight,
     } = *answer;
     drop(in_flight);
-    let form = match &*ask.head.method {
+    let form = match &*request.head.method {
         "HEAD" => BodyFraming::HeadOnly,
         _ => BodyFraming::Length(body_start.len() as u64),
     };
-    note_first_byte(host, ask, log);
+    note_first_byte(host, request, log);
     let written = out.write_whole(&head, form, &body_start).await;
     return_to_pool(host, &upstream.id, connection, &head, reader);
     match written {
@@ -100,7 +100,7 @@
 /// Relays a long answer that is no event stream as it arrives.
 async fn relay_pieces<P: Platform>(
     host: &Host<P>,
-    ask: &ActiveRequest,
+    request: &ActiveRequest,
     out: &mut CallerWriter,
     log: &mut RequestLog<'_, P>,
     mut answer: Box<StartedAnswer>,
@@ -109,18 +109,18 @@
         Framing::Length(length) => BodyFraming::Length(length),
         _ => BodyFraming::Chunked,
     };
-    note_first_byte(host, ask, log);
+    note_first_byte(host, request, log);
     let begun = std::mem::take(&mut answer.body_start);
     if out.begin(&answer.head, form).await.is_err() || out.piece(&begun).await.is_err() {
         return RelayOutcome::Truncated("the caller's connection broke");
     }
     loop {
-        let left_ms = (ask.deadline_at + GRACE_MS).since(host.now());
+        let left_ms = (request.deadline_at + GRACE_MS).since(host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match with_timeout(left_ms, read).await {
             None => return RelayOutcome::Truncated("the time limit was reached"),
             Some(Err(_)) => {
-                crashes::note_broken_run(host, ask, &answer.upstream).await;
+                crashes::note_broken_run(host, request, &answer.upstream).await;
                 note_failure(host, &answer.upstream, host.now(), false);
                 return RelayOutcome::Truncated("the upstream broke off");
             }
@@ -148,8 +148,12 @@
     }
 }
 
-fn note_first_byte<P: Platform>(host: &Host<P>, ask: &ActiveRequest, log: &mut RequestLog<'_, P>) {
-    let took_ms = host.now().since(ask.arrived_at);
+fn note_first_byte<P: Platform>(
+    host: &Host<P>,
+    request: &ActiveRequest,
+    log: &mut RequestLog<'_, P>,
+) {
+    let took_ms = host.now().since(request.arrived_at);
     log.summary.first_byte_ms.get_or_insert(took_ms);
 }
 
@@ -157,8 +161,8 @@
 /// after the last one.
 struct EventRelay<'a, P: Platform> {
     host: &'a Host<P>,
-    ask: &'a ActiveRequest,
-    tries: &'a mut Attempts,
+    request: &'a ActiveRequest,
+    attempts: &'a mut Attempts,
     /// Bytes that were read and not yet written: an incomplete event after each write.
     buffer: Vec<u8>,
     last_event_id: Option<String>,
@@ -203,7 +207,7 @@
                 Piece::End => return self.finish(out, log, answer).await,
                 Piece::DeadlineReached => return self.broken("the time limit was reached"),
                 Piece::Failed(why) => {
-                    crashes::note_broken_run(self.host, self.ask, &answer.upstream).await;
+                    crashes::note_broken_run(self.host, self.request, &answer.upstream).await;
                     note_failure(self.host, &answer.upstream, self.host.now(), false);
                     if !self.has_begun {
                         return RelayOutcome::NotStarted(why);
@@ -224,7 +228,7 @@
     /// memory preempts a stream and continues it seconds later. An upstream that is gone resets the
     /// connection or leaves its keep-alive probes unanswered.
     async fn next_piece(&self, answer: &mut StartedAnswer) -> Piece {
-        let ends_at = self.ask.deadline_at + GRACE_MS;
+        let ends_at = self.request.deadline_at + GRACE_MS;
         let left_ms = ends_at.since(self.host.now());
         let read = answer.reader.next(&mut answer.connection.io);
         match with_timeout(left_ms, read).await {
@@ -274,7 +278,7 @@
         }
         self.started_at = self.host.now();
         self.last_write_at = self.started_at;
-        note_first_byte(self.host, self.ask, log);
+        note_first_byte(self.host, self.request, log);
         let form = match answer.head.framing {
             Framing::Length(length) => BodyFraming::Length(length),
             _ => BodyFraming::Chunked,
@@ -290,9 +294,9 @@
     ) -> RelayOutcome {
         let rest = std::mem::take(&mut self.buffer);
         let begun = self.begin(out, log, &answer).await;
-        if self.ask.at_engine {
+        if self.request.at_engine {
             let took_ms = self.host.now().since(self.started_at);
-            self.host.note_occupied(&self.ask.service, took_ms);
+            self.host.note_occupied(&self.request.service, took_ms);
         }
         let written = match begun {
             Ok(()) if rest.is_empty() => out.end().await,
@@ -324,8 +328,8 @@
     }
 
     fn may_resume(&self) -> bool {
-        let route = &self.ask.route;
-        route.repeat == Repeat::Resumable && self.tries.runs + 1 < route.attempts
+        let route = &self.request.route;
+        route.repeat == Repeat::Resumable && self.attempts.runs + 1 < route.attempts
     }
 
     /// Resumes an interrupted stream at another upstream, after the last event that the caller has.
@@ -338,41 +342,41 @@
         if !self.may_resume() {
             return None;
         }
-        if crashes::quarantine(self.host, self.ask).is_some() {
+        if crashes::quarantine(self.host, self.request).is_some() {
             return None;
         }
         let after = self.last_event_id.clone()?;
-        self.tries.note_perhaps_run(from.clone());
+        self.attempts.note_perhaps_run(from.clone());
         let mut resumed = None;
         for _ in 0..MAX_RESUME_ATTEMPTS {
-            let Some(upstream) = choose(self.host, self.ask, self.tries) else {
+            let Some(upstream) = choose(self.host, self.request, self.attempts) else {
                 break;
             };
             if let Err(refused) = upstream_limits::take(self.host, &upstream).await {
-                self.tries.note_limited(upstream, refused.retry_after_ms);
+                self.attempts.note_limited(upstream, refused.retry_after_ms);
                 continue;
             }
-            if !self.tries.may_repeat(self.host, self.ask) {
+            if !self.attempts.may_repeat(self.host, self.request) {
                 break;
             }
-            let (host, ask, after) = (self.host, self.ask, Some(&*after));
-            limits::note_extra_run(host, ask);
-            match try_upstream(host, ask, &upstream, self.tries, log, after).await {
+            let (host, request, after) = (self.host, self.request, Some(&*after));
+            limits::note_extra_run(host, request);
+            match try_upstream(host, request, &upstream, self.attempts, log, after).await {
                 SendOutcome::Answered(answer) if answer.head.status == 200 => {
                     resumed = Some(answer);
                     break;
                 }
                 SendOutcome::Answered(_) | SendOutcome::MayHaveRun => {
-                    self.tries.note_perhaps_run(upstream);
+                    self.attempts.note_perhaps_run(upstream);
                     break;
                 }
                 SendOutcome::NotRun { .. } | SendOutcome::NotSent => {
-                    self.tries.note_not_run(upstream)
+                    self.attempts.note_not_run(upstream)
                 }
             }
         }
         let line = ResumeLine {
-            request: self.ask.facts.id.as_deref(),
+            request: self.request.facts.id.as_deref(),
             from,
             why,
             after_event: Some(&after),
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -492,13 +492,13 @@
     size: PageSize,
 ) -> Result<bool, StoreError> {
     let asked_at = host.now();
-    let ask = ChangesQuery {
+    let query = ChangesQuery {
         from,
         wait_ms: next_wait_ms(host, cursor),
         answer_ms: ANSWER_TIMEOUT_MS,
         size,
     };
-    let read = host.platform.follow_table(cursor.table, ask);
+    let read = host.platform.follow_table(cursor.table, query);
     let page = host.count_call(StoreCall::FollowTable, read).await?;
     let TablePage { rows, end, .. } = page;
     cursor.next = Some(end);
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -197,7 +197,7 @@
         self.tree.borrow().is_relay(self.incarnation)
     }
 
-    /// Tells whether the last answer of the orderer came less than [`STALE_MS`] ago.
+    /// Tells whether the last answer of the orderer came less than [`ORDERER_STALE_MS`] ago.
     pub fn has_recent_orderer_answer(&self, now: Millis) -> bool {
         let answered_at = self.orderer_state.borrow().answered_at;
         answered_at.is_some_and(|at| now.since(at) < ORDERER_STALE_MS)
--- a/src/entry/lease_manager.rs
+++ b/src/entry/lease_manager.rs
@@ -230,12 +230,12 @@
     appended.inspect_err(log_store_error).ok()
 }
 
-/// Tells whether this holder has heard from no other host for [`ISOLATED_MS`].
+/// Tells whether this holder has received no report of another host for [`ISOLATED_MS`].
 fn is_isolated<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     let mut orders = host.orders.borrow_mut();
     let has_others = host.members.borrow().count() > 1;
-    let hears_others = orders.demand.reporting_hosts() > 1;
-    if !has_others || hears_others {
+    let has_reporters = orders.demand.reporting_hosts() > 1;
+    if !has_others || has_reporters {
         orders.isolated_since = None;
         return false;
     }
@@ -333,7 +333,7 @@
         .note_claimed(sent_at, offset, record, engine_lease_ms);
     orders.note_lease_read();
     orders.forget_engines();
-    orders.ceiling = None;
+    orders.store_load_limiter = None;
     orders.isolated_since = None;
     log_lease(LogEvent::LeaseTaken, &orders.lease, "it was free");
     update_orderer(host, &mut orders);
--- a/src/entry/list_copy.rs
+++ b/src/entry/list_copy.rs
@@ -67,19 +67,19 @@
 
 /// Answers a host that starts or is behind. Returns nothing when this host does not have the list
 /// itself, or neither orders nor relays.
-pub fn answer<P: Platform>(host: &Host<P>, ask: ListRequest) -> Option<ListPart> {
-    if !serves_tables(host) || !host.upstreams_known.get() || ask.parts > MAX_PARTS {
+pub fn answer<P: Platform>(host: &Host<P>, request: ListRequest) -> Option<ListPart> {
+    if !serves_tables(host) || !host.upstreams_known.get() || request.parts > MAX_PARTS {
         return None;
     }
     let list = host.replication.end(host.now(), Table::Upstreams)?;
     let upstreams = host.upstreams.borrow();
-    let parts = match ask.parts {
+    let parts = match request.parts {
         0 => part_count(&upstreams),
         parts => parts,
     };
     Some(ListPart {
         parts,
-        entries: part_entries(&upstreams, ask.part, parts),
+        entries: part_entries(&upstreams, request.part, parts),
         end: list.end,
         age_ms: list.age_ms,
     })
@@ -151,8 +151,11 @@
     Some(copy)
 }
 
-async fn fetch_part(peers: &Peers, relay: &Member, ask: ListRequest) -> Option<ListPart> {
-    match peers.call(relay.peer_address, &PeerCall::List(ask)).await? {
+async fn fetch_part(peers: &Peers, relay: &Member, request: ListRequest) -> Option<ListPart> {
+    match peers
+        .call(relay.peer_address, &PeerCall::List(request))
+        .await?
+    {
         PeerReply::List(part) => part,
         PeerReply::Sync(_) | PeerReply::AppendedLease(_) | PeerReply::Desired(_) => None,
     }
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -61,8 +61,8 @@
     pub separate: Vec<Name>,
     /// The learned limit of concurrent loads from the weight store; none before the first plan of
     /// this holding.
-    pub ceiling: Option<StoreLoadLimiter>,
-    /// Since when the orderer has heard from no other host; none while it hears from some.
+    pub store_load_limiter: Option<StoreLoadLimiter>,
+    /// Since when the orderer has received no report of another host; none while it receives some.
     pub isolated_since: Option<Millis>,
     /// Until when this host does not claim the lease, so that another host can.
     pub no_claim_until: Millis,
@@ -75,7 +75,7 @@
     /// else a former one has learned; nothing when none has.
     pub fn store_loads_at_once(&self) -> Option<usize> {
         let own = self
-            .ceiling
+            .store_load_limiter
             .as_ref()
             .and_then(StoreLoadLimiter::learned_max_concurrent);
         own.or(self.lease.store_loads_at_once())
@@ -215,9 +215,9 @@
 ) -> Vec<(ModelRef, Millis)> {
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
-    let pace = OrderTiming {
+    let timing = OrderTiming {
         store_loads_at_once: orders
-            .ceiling
+            .store_load_limiter
             .as_ref()
             .map_or(1, StoreLoadLimiter::max_concurrent),
         orders_in_ms: holding.map_or(Millis::ZERO, |holding| holding.orders_from.since(now)),
@@ -231,9 +231,11 @@
             demand: &orders.demand,
             excluded: unusable,
         };
-        planner.ready_in_ms(pace)
+        planner.ready_in_ms(timing)
     });
-    let ready = specs.flatten().map(|(ask, in_ms)| (ask, now + in_ms));
+    let ready = specs
+        .flatten()
+        .map(|(model_ref, in_ms)| (model_ref, now + in_ms));
     ready.collect()
 }
 
@@ -331,9 +333,9 @@
         if from_store
             && let Some(took_ms) = took_ms
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
-            && let Some(ceiling) = &mut orders.ceiling
+            && let Some(store_load_limiter) = &mut orders.store_load_limiter
         {
-            ceiling.record_finish(took_ms, stated_ms, concurrent_loads);
+            store_load_limiter.record_finish(took_ms, stated_ms, concurrent_loads);
         }
         let line = LoadedLine {
             upstream: id,
@@ -341,7 +343,7 @@
             took_ms,
             from_store,
             store_loads_at_once: orders
-                .ceiling
+                .store_load_limiter
                 .as_ref()
                 .map_or(0, StoreLoadLimiter::max_concurrent),
         };
@@ -382,9 +384,9 @@
     {
         if let Some(took_ms) = took_ms
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
-            && let Some(ceiling) = &mut orders.ceiling
+            && let Some(store_load_limiter) = &mut orders.store_load_limiter
         {
-            ceiling.record_overdue(took_ms, stated_ms, concurrent_loads);
+            store_load_limiter.record_overdue(took_ms, stated_ms, concurrent_loads);
         }
     }
 }
@@ -407,14 +409,14 @@
     orders.demand.expire(now);
     orders.inventory.assume_unloaded(now);
     let OrderingState {
-        inventory: ledger,
-        demand: book,
-        ceiling,
+        inventory,
+        demand,
+        store_load_limiter,
         lease,
         ..
     } = &mut *orders;
-    let ceiling =
-        ceiling.get_or_insert_with(|| StoreLoadLimiter::new(now, lease.store_loads_at_once()));
+    let store_load_limiter = store_load_limiter
+        .get_or_insert_with(|| StoreLoadLimiter::new(now, lease.store_loads_at_once()));
     let fence = lease.holding().map_or(0, |holding| holding.fence);
     for (service, spec) in engine_specs(table) {
         for _ in 0..MAX_ORDERS_PER_ROUND {
@@ -422,25 +424,25 @@
                 now,
                 service,
                 spec,
-                inventory: ledger,
-                demand: book,
+                inventory,
+                demand,
                 excluded: unusable,
             };
-            let Some(planned) = planner.next(ceiling) else {
+            let Some(planned) = planner.next(store_load_limiter) else {
                 break;
             };
             let load = planner.load_time(&planned);
             let PlannedOrder {
                 engine,
                 action,
-                ask,
+                model_ref,
                 freed_for,
                 why,
             } = planned;
             if load.from_store && action == Action::Load {
-                ceiling.record_start();
+                store_load_limiter.record_start();
             }
-            if let Some(order) = ledger.begin(now, &engine, action, ask, freed_for) {
+            if let Some(order) = inventory.begin(now, &engine, action, model_ref, freed_for) {
                 let line = OrderLine {
                     upstream: &engine,
                     order: &order,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -201,9 +201,9 @@
 
 async fn answer<P: Platform>(host: &Host<P>, call: PeerCall) -> PeerReply {
     match call {
-        PeerCall::Sync(ask) => PeerReply::Sync(sync::answer(host, ask)),
+        PeerCall::Sync(request) => PeerReply::Sync(sync::answer(host, request)),
         PeerCall::Desired => PeerReply::Desired(desired_copy::answer(host)),
-        PeerCall::List(ask) => PeerReply::List(list_copy::answer(host, ask)),
+        PeerCall::List(request) => PeerReply::List(list_copy::answer(host, request)),
         PeerCall::AppendLease { end, record } => {
             PeerReply::AppendedLease(lease_manager::append_for_peer(host, end, &record).await)
         }
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -28,36 +28,39 @@
 const MIN_SYNC_INTERVAL_MS: Millis = Millis(4);
 
 /// Answers another host's report: as the orderer, or as a relay with what the orderer last said.
-pub fn answer<P: Platform>(host: &Host<P>, ask: SyncRequest) -> SyncReply {
-    match (host.is_orderer(), host.is_relay() && !ask.is_for_orderer) {
-        (true, _) => answer_as_orderer(host, ask),
-        (false, true) => answer_as_relay(host, ask),
+pub fn answer<P: Platform>(host: &Host<P>, request: SyncRequest) -> SyncReply {
+    match (
+        host.is_orderer(),
+        host.is_relay() && !request.is_for_orderer,
+    ) {
+        (true, _) => answer_as_orderer(host, request),
+        (false, true) => answer_as_relay(host, request),
         (false, false) => {
-            crashes::merge_report(host, &ask.crashes);
+            crashes::merge_report(host, &request.crashes);
             let orders = host.orders.borrow();
             SyncReply::NotOrderer {
                 holder: orders.holder().cloned(),
                 resignation: orders.lease.resignation(host.now()),
-                crashes: crashes::build_update(host, ask.crashes.known),
+                crashes: crashes::build_update(host, request.crashes.known),
             }
         }
     }
 }
 
-fn answer_as_orderer<P: Platform>(host: &Host<P>, mut ask: SyncRequest) -> SyncReply {
+fn answer_as_orderer<P: Platform>(host: &Host<P>, mut request: SyncRequest) -> SyncReply {
     let now = host.now();
-    if ask.incarnation != host.incarnation {
-        add_counts(host, &ask);
+    if request.incarnation != host.incarnation {
+        add_counts(host, &request);
     }
-    let totals = totals(host, &ask);
+    let totals = totals(host, &request);
     let mut orders = host.orders.borrow_mut();
     let Some(holding) = orders.lease.holding().cloned() else {
         return SyncReply::NoNews { totals };
     };
-    let has_waiting = ask.demand.iter().any(|(_, count)| count.waiting > 0);
+    let has_waiting = request.demand.iter().any(|(_, count)| count.waiting > 0);
     orders
         .demand
-        .record(now, ask.incarnation, ask.take_report());
+        .record(now, request.incarnation, request.take_report());
     if has_waiting {
         host.request_sync();
     }
@@ -67,61 +70,67 @@
         age_ms: Millis::ZERO,
         lease_end: Some(holding.end),
         orderer: holding.me,
-        engines: orders.published.since(ask.view_version),
-        work: orders.demand.work_of_others(ask.incarnation),
+        engines: orders.published.since(request.view_version),
+        work: orders.demand.work_of_others(request.incarnation),
         ready_in_ms: ready_at
-            .map(|(ask, at)| (ask.clone(), at.since(now)))
+            .map(|(model_ref, at)| (model_ref.clone(), at.since(now)))
             .collect(),
         separate: orders.separate.clone(),
-        tables: host.replication.update_for(now, ask.upstreams_from),
-        members: host.members.borrow().update_since(ask.members_generation),
+        tables: host.replication.update_for(now, request.upstreams_from),
+        members: host
+            .members
+            .borrow()
+            .update_since(request.members_generation),
         totals,
     }))
 }
 
-fn answer_as_relay<P: Platform>(host: &Host<P>, mut ask: SyncRequest) -> SyncReply {
+fn answer_as_relay<P: Platform>(host: &Host<P>, mut request: SyncRequest) -> SyncReply {
     let now = host.now();
-    add_counts(host, &ask);
-    let totals = totals(host, &ask);
-    let mut gather = host.relay_aggregate.borrow_mut();
-    gather.take(now, ask.incarnation, ask.take_report());
-    if ask.is_urgent {
+    add_counts(host, &request);
+    let totals = totals(host, &request);
+    let mut aggregate = host.relay_aggregate.borrow_mut();
+    aggregate.record(now, request.incarnation, request.take_report());
+    if request.is_urgent {
         host.request_sync();
     }
-    let view = host.orderer_state.borrow();
+    let state = host.orderer_state.borrow();
     let orderer = host.orders.borrow().holder().cloned();
-    let (Some(answered_at), Some(orderer)) = (view.answered_at, orderer) else {
+    let (Some(answered_at), Some(orderer)) = (state.answered_at, orderer) else {
         return SyncReply::NoNews { totals };
     };
     let mut work = own_work(host);
-    gather.add_work(Some(ask.incarnation), &mut work);
-    view.add_work(&mut work);
+    aggregate.add_work(Some(request.incarnation), &mut work);
+    state.add_work(&mut work);
     SyncReply::News(Box::new(OrdererUpdate {
         age_ms: now.since(answered_at),
         lease_end: None,
         orderer,
-        engines: view.engines_since(ask.view_version),
+        engines: state.engines_since(request.view_version),
         work: work.into_iter().collect(),
-        ready_in_ms: view.ready_in_ms(now),
-        separate: view.separate(),
-        tables: host.replication.update_for(now, ask.upstreams_from),
-        members: host.members.borrow().update_since(ask.members_generation),
+        ready_in_ms: state.ready_in_ms(now),
+        separate: state.separate(),
+        tables: host.replication.update_for(now, request.upstreams_from),
+        members: host
+            .members
+            .borrow()
+            .update_since(request.members_generation),
         totals,
     }))
 }
 
 /// Adds the counts that a host reports to this host's totals.
-fn add_counts<P: Platform>(host: &Host<P>, ask: &SyncRequest) {
-    limits::merge_usage(host, &ask.usage);
-    upstream_limits::merge_report(host, &ask.upstream_limits);
-    crashes::merge_report(host, &ask.crashes);
+fn add_counts<P: Platform>(host: &Host<P>, request: &SyncRequest) {
+    limits::merge_usage(host, &request.usage);
+    upstream_limits::merge_report(host, &request.upstream_limits);
+    crashes::merge_report(host, &request.crashes);
 }
 
 /// Returns the totals for a host that reported its counts to this one.
-fn totals<P: Platform>(host: &Host<P>, ask: &SyncRequest) -> Totals {
+fn totals<P: Platform>(host: &Host<P>, request: &SyncRequest) -> Totals {
     Totals {
         limits: limits::build_update(host),
-        crashes: crashes::build_update(host, ask.crashes.known),
+        crashes: crashes::build_update(host, request.crashes.known),
         upstream_limits: upstream_limits::build_update(host),
     }
 }
@@ -142,9 +151,9 @@
             false => true,
         };
         let asked_at = host.now();
-        let ask = build_request(&host, &me, is_urgent);
-        has_waiting = ask.demand.iter().any(|(_, count)| count.waiting > 0);
-        is_answered = exchange(&host, &peers, &me, asked_at, ask).await;
+        let request = build_request(&host, &me, is_urgent);
+        has_waiting = request.demand.iter().any(|(_, count)| count.waiting > 0);
+        is_answered = exchange(&host, &peers, &me, asked_at, request).await;
     }
 }
 
@@ -155,10 +164,10 @@
     peers: &Peers,
     me: &Member,
     asked_at: Millis,
-    ask: SyncRequest,
+    request: SyncRequest,
 ) -> bool {
     if host.is_orderer() {
-        apply_reply(host, asked_at, answer(host, ask));
+        apply_reply(host, asked_at, answer(host, request));
         return true;
     }
     if host.is_unknown_to_others(me) {
@@ -169,22 +178,22 @@
         parents.choose(asked_at, &host.tree.borrow(), me)
     };
     let Parent::Relay(relay) = parent else {
-        let mut ask = SyncRequest {
+        let mut request = SyncRequest {
             is_for_orderer: true,
-            ..ask
+            ..request
         };
         if !host.has_recent_orderer_answer(asked_at) {
-            report_to_collector(host, peers, me, asked_at, &mut ask).await;
+            report_to_collector(host, peers, me, asked_at, &mut request).await;
         }
         let orderer = host.orders.borrow().holder().cloned();
         if let Some(orderer) = orderer
-            && let Some(reply) = call_peer(peers, orderer.peer_address, ask).await
+            && let Some(reply) = call_peer(peers, orderer.peer_address, request).await
         {
             apply_reply(host, asked_at, reply);
         }
         return true;
     };
-    let reply = call_peer(peers, relay.peer_address, ask).await;
+    let reply = call_peer(peers, relay.peer_address, request).await;
     note_relay_answer(host, &relay, reply.as_ref())
         && reply.is_some_and(|reply| {
             apply_reply(host, asked_at, reply);
@@ -200,7 +209,7 @@
     peers: &Peers,
     me: &Member,
     asked_at: Millis,
-    ask: &mut SyncRequest,
+    request: &mut SyncRequest,
 ) {
     let collector = {
         let tree = host.tree.borrow();
@@ -218,16 +227,16 @@
         is_for_orderer: false,
         demand: Vec::new(),
         work: Vec::new(),
-        ..ask.clone()
+        ..request.clone()
     };
     match call_peer(peers, collector.peer_address, counts_only).await {
         Some(SyncReply::NoNews { totals }) => apply_totals(host, asked_at, totals),
-        Some(SyncReply::News(news)) => apply_totals(host, asked_at, news.totals),
+        Some(SyncReply::News(update)) => apply_totals(host, asked_at, update.totals),
         // In a small site the collector is no relay, and returns only the requests that crash
         // upstreams.
         Some(SyncReply::NotOrderer { crashes, .. }) => {
             crashes::take_news(host, &crashes);
-            ask.crashes.evidence.clear();
+            request.crashes.evidence.clear();
             return;
         }
         None => {
@@ -235,13 +244,13 @@
             return;
         }
     }
-    ask.usage.clear();
-    ask.upstream_limits.usage.clear();
-    ask.crashes.evidence.clear();
+    request.usage.clear();
+    request.upstream_limits.usage.clear();
+    request.crashes.evidence.clear();
 }
 
-async fn call_peer(peers: &Peers, address: SocketAddr, ask: SyncRequest) -> Option<SyncReply> {
-    match peers.call(address, &PeerCall::Sync(ask)).await? {
+async fn call_peer(peers: &Peers, address: SocketAddr, request: SyncRequest) -> Option<SyncReply> {
+    match peers.call(address, &PeerCall::Sync(request)).await? {
         PeerReply::Sync(reply) => Some(reply),
         PeerReply::AppendedLease(_) | PeerReply::List(_) | PeerReply::Desired(_) => None,
     }
@@ -256,7 +265,7 @@
     let now = host.now();
     let mut parents = host.parents.borrow_mut();
     match reply {
-        Some(SyncReply::News(news)) => parents.note_answered(now, relay, Some(news.age_ms)),
+        Some(SyncReply::News(update)) => parents.note_answered(now, relay, Some(update.age_ms)),
         Some(SyncReply::NoNews { .. }) => parents.note_answered(now, relay, None),
         Some(SyncReply::NotOrderer { .. }) | None => {
             parents.note_failed(now, relay);
@@ -301,11 +310,11 @@
 /// once.
 fn build_request<P: Platform>(host: &Host<P>, me: &Member, is_urgent: bool) -> SyncRequest {
     let mut work = own_work(host);
-    let mut gather = host.relay_aggregate.borrow_mut();
-    let demand = gather.take_demand(host.now(), host.demand.borrow_mut().take());
-    gather.add_work(None, &mut work);
-    let through = gather.relayed_hosts() as u32;
-    drop(gather);
+    let mut aggregate = host.relay_aggregate.borrow_mut();
+    let demand = aggregate.take_demand(host.now(), host.demand.borrow_mut().take());
+    aggregate.add_work(None, &mut work);
+    let through = aggregate.relayed_hosts() as u32;
+    drop(aggregate);
     SyncRequest {
         incarnation: me.incarnation,
         is_for_orderer: false,
@@ -338,7 +347,7 @@
             }
             host.orderer_state.borrow_mut().answered_at = None;
         }
-        SyncReply::News(news) => apply_news(host, asked_at, *news),
+        SyncReply::News(update) => apply_orderer_update(host, asked_at, *update),
     }
 }
 
@@ -348,7 +357,7 @@
     upstream_limits::take_news(host, asked_at, totals.upstream_limits);
 }
 
-fn apply_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: OrdererUpdate) {
+fn apply_orderer_update<P: Platform>(host: &Host<P>, asked_at: Millis, update: OrdererUpdate) {
     let now = host.now();
     let OrdererUpdate {
         age_ms,
@@ -361,7 +370,7 @@
         tables,
         members,
         totals,
-    } = news;
+    } = update;
     apply_totals(host, asked_at, totals);
     if !host.is_orderer() {
         let mut orders = host.orders.borrow_mut();
@@ -380,13 +389,13 @@
             host.apply_members_news(members);
         }
     }
-    let mut view = host.orderer_state.borrow_mut();
-    view.answered_at = view.answered_at.max(Some(now - age_ms));
-    view.take_engines(engines);
-    view.take_work(work);
-    view.take_ready(now, ready_in_ms);
-    view.take_separate(separate);
-    view.answers += 1;
-    drop(view);
+    let mut state = host.orderer_state.borrow_mut();
+    state.answered_at = state.answered_at.max(Some(now - age_ms));
+    state.take_engines(engines);
+    state.take_work(work);
+    state.take_ready(now, ready_in_ms);
+    state.take_separate(separate);
+    state.answers += 1;
+    drop(state);
     host.note_change();
 }
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -207,9 +207,13 @@
         })
     }
 
-    async fn follow_table(&self, table: Table, ask: ChangesQuery) -> Result<TablePage, StoreError> {
-        let from = ask.from;
-        let max_rows = match ask.size {
+    async fn follow_table(
+        &self,
+        table: Table,
+        query: ChangesQuery,
+    ) -> Result<TablePage, StoreError> {
+        let from = query.from;
+        let max_rows = match query.size {
             PageSize::Full => usize::MAX,
             PageSize::Short => SHORT_PAGE_ROWS,
         };
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -23,7 +23,7 @@
 
 const ASKER: u64 = 7;
 
-fn ask() -> SyncRequest {
+fn sync_request() -> SyncRequest {
     sync_ask(ASKER)
 }
 
@@ -46,7 +46,7 @@
     assert!(host.is_relay());
 }
 
-/// Gives a relay what it would have heard from the orderer `age_ms` ago.
+/// Gives a relay what it would have received from the orderer `age_ms` ago.
 fn set_orderer_state(host: &Host<FakePlatform>, age_ms: Millis) {
     let held = ModelRef {
         model: "m".into(),
@@ -83,13 +83,13 @@
 #[test]
 fn host_that_is_neither_orderer_nor_relay_replies_not_orderer() {
     on_site(|site| async move {
-        let reply = answer(&site.host, ask());
+        let reply = answer(&site.host, sync_request());
         assert!(matches!(reply, SyncReply::NotOrderer { .. }));
     });
 }
 
 /// Guards against a host that lost the lease and is a relay being taken for the orderer because it
-/// replies with what it heard before.
+/// replies with what it received before.
 #[test]
 fn relay_asked_as_orderer_replies_not_orderer() {
     on_site(|site| async move {
@@ -99,7 +99,7 @@
             &site.host,
             SyncRequest {
                 is_for_orderer: true,
-                ..ask()
+                ..sync_request()
             },
         );
         assert!(matches!(reply, SyncReply::NotOrderer { .. }));
@@ -111,7 +111,7 @@
     on_site(|site| async move {
         make_relay(&site.host);
         assert!(matches!(
-            answer(&site.host, ask()),
+            answer(&site.host, sync_request()),
             SyncReply::NoNews { .. }
         ));
     });
@@ -125,12 +125,12 @@
         let other = SyncRequest {
             incarnation: 8,
             work: work(2),
-            ..ask()
+            ..sync_request()
         };
         answer(&site.host, other);
         let own = SyncRequest {
             work: work(5),
-            ..ask()
+            ..sync_request()
         };
         let first = expect_news(answer(&site.host, own));
         assert!(first.age_ms >= Millis(400));
@@ -144,7 +144,7 @@
         assert_eq!(first.members.map(|members| members.generation), Some(1));
         let again = SyncRequest {
             view_version: first.engines.version,
-            ..ask()
+            ..sync_request()
         };
         let second = expect_news(answer(&site.host, again));
         assert_eq!(
@@ -171,12 +171,12 @@
         let urgent = SyncRequest {
             is_urgent: true,
             demand: vec![(model, waiting)],
-            ..ask()
+            ..sync_request()
         };
         answer(&site.host, urgent);
         assert!(site.host.wait_for_sync_request(Millis(10_000)).await);
-        let mut gather = site.host.relay_aggregate.borrow_mut();
-        let forwarded = gather.take_demand(site.host.now(), Vec::new());
+        let mut aggregate = site.host.relay_aggregate.borrow_mut();
+        let forwarded = aggregate.take_demand(site.host.now(), Vec::new());
         assert_eq!(
             forwarded
                 .iter()
@@ -215,13 +215,13 @@
         site.until_version(1).await;
         make_relay(&site.host);
         let report = |host, through, requests| {
-            let ask = SyncRequest {
+            let request = SyncRequest {
                 incarnation: host,
                 through,
                 usage: used(requests),
-                ..ask()
+                ..sync_request()
             };
-            match answer(&site.host, ask) {
+            match answer(&site.host, request) {
                 SyncReply::NoNews { totals } => totals.limits.expect("a desired state is in force"),
                 other => panic!("{other:?}"),
             }
@@ -256,11 +256,11 @@
             levels: vec![("o".into(), level)],
         };
         limits::take_reply(&site.host, site.host.now(), Some(orderer_limits));
-        let ask = SyncRequest {
+        let request = SyncRequest {
             usage: used(100),
-            ..ask()
+            ..sync_request()
         };
-        let SyncReply::NoNews { totals } = answer(&site.host, ask) else {
+        let SyncReply::NoNews { totals } = answer(&site.host, request) else {
             panic!("the relay must know of no orderer");
         };
         let limits = totals.limits.expect("a desired state is in force");
@@ -298,7 +298,13 @@
 fn host_that_is_neither_orderer_nor_relay_shares_crash_evidence() {
     on_site(|site| async move {
         let (digest, crashes) = crash_report();
-        answer(&site.host, SyncRequest { crashes, ..ask() });
+        answer(
+            &site.host,
+            SyncRequest {
+                crashes,
+                ..sync_request()
+            },
+        );
         let SyncReply::NotOrderer { crashes, .. } = answer(&site.host, sync_ask(8)) else {
             panic!("the host must not be the orderer");
         };
@@ -324,7 +330,7 @@
         let report = SyncRequest {
             crashes,
             upstream_limits,
-            ..ask()
+            ..sync_request()
         };
         answer(&site.host, report);
         let SyncReply::NoNews { totals } = answer(&site.host, sync_ask(8)) else {
--- a/src/ordering/adapters.rs
+++ b/src/ordering/adapters.rs
@@ -24,9 +24,9 @@
 
 impl ExcludedAdapters<'_> {
     /// Returns whether an engine that is not excluded has an adapter or is loading it.
-    fn is_held_elsewhere(&self, index: &ServiceIndex, ask: &ModelRef) -> bool {
-        let excluded = self.0.get(ask).copied().unwrap_or_default();
-        index.adapter(ask) > excluded
+    fn is_held_elsewhere(&self, index: &ServiceIndex, model_ref: &ModelRef) -> bool {
+        let excluded = self.0.get(model_ref).copied().unwrap_or_default();
+        index.adapter(model_ref) > excluded
     }
 }
 
@@ -37,28 +37,28 @@
         let mut waiting: Vec<_> = self
             .demand
             .iter()
-            .filter(|(ask, demand)| ask.adapter.is_some() && demand.waiting > 0)
+            .filter(|(model_ref, demand)| model_ref.adapter.is_some() && demand.waiting > 0)
             .collect();
         if waiting.is_empty() {
             return None;
         }
         let excluded = self.excluded_adapters();
-        waiting.retain(|(ask, _)| !excluded.is_held_elsewhere(index, ask));
+        waiting.retain(|(model_ref, _)| !excluded.is_held_elsewhere(index, model_ref));
         waiting.sort_by_key(|(_, demand)| std::cmp::Reverse(demand.waiting));
         let separate = self.demand.split_models(self.now);
         waiting
             .into_iter()
-            .find_map(|(ask, _)| self.place_adapter(index, ask, &separate))
+            .find_map(|(model_ref, _)| self.place_adapter(index, model_ref, &separate))
     }
 
     /// Counts the adapters on the excluded engines.
     fn excluded_adapters(&self) -> ExcludedAdapters<'_> {
         let mut excluded = ExcludedAdapters::default();
-        for ask in self
+        for model_ref in self
             .excluded_engines()
             .flat_map(|engine| engine.adapters.keys())
         {
-            *excluded.0.entry(ask).or_default() += 1;
+            *excluded.0.entry(model_ref).or_default() += 1;
         }
         excluded
     }
@@ -68,18 +68,18 @@
     fn place_adapter(
         &self,
         index: &ServiceIndex,
-        ask: &ModelRef,
+        model_ref: &ModelRef,
         separate: &[Name],
     ) -> Option<PlannedOrder> {
-        let spec = self.spec.models.get(&ask.model)?;
+        let spec = self.spec.models.get(&model_ref.model)?;
         let slots = self.spec.adapter_slots as usize;
         let holders = || {
-            self.holders(index, &ask.model)
-                .filter(|engine| engine.holds_model(&ask.model))
+            self.holders(index, &model_ref.model)
+                .filter(|engine| engine.holds_model(&model_ref.model))
         };
         let holding = || holders().filter(|engine| engine.is_free(self.now));
-        let for_short = match separate.contains(&ask.model) {
-            true => short_prompt_copies(&ask.model, holders().map(|engine| &engine.id)),
+        let for_short = match separate.contains(&model_ref.model) {
+            true => short_prompt_copies(&model_ref.model, holders().map(|engine| &engine.id)),
             false => Vec::new(),
         };
         let with_free_slot = holding()
@@ -91,7 +91,7 @@
             return Some(PlannedOrder {
                 engine: engine.id.clone(),
                 action: Action::Load,
-                ask: ask.clone(),
+                model_ref: model_ref.clone(),
                 freed_for: None,
                 why: "callers wait for the adapter",
             });
@@ -111,7 +111,7 @@
         Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Unload,
-            ask: least_recent.clone(),
+            model_ref: least_recent.clone(),
             freed_for: None,
             why: "another adapter needs its place",
         })
@@ -130,8 +130,13 @@
         });
         let excluded = self.excluded_adapters();
         let mut missing: Vec<(f64, ModelRef)> = missing
-            .filter(|ask| !excluded.is_held_elsewhere(index, ask))
-            .map(|ask| (self.demand.demand_for(&ask).requests_per_s(self.now), ask))
+            .filter(|model_ref| !excluded.is_held_elsewhere(index, model_ref))
+            .map(|model_ref| {
+                (
+                    self.demand.demand_for(&model_ref).requests_per_s(self.now),
+                    model_ref,
+                )
+            })
             .collect();
         if missing.is_empty() {
             return None;
@@ -146,23 +151,23 @@
         missing.sort_by(|(a, _), (b, _)| b.total_cmp(a));
         missing
             .into_iter()
-            .find_map(|(_, ask)| self.place_prefetch(index, ask))
+            .find_map(|(_, model_ref)| self.place_prefetch(index, model_ref))
     }
 
     /// Chooses the engine that prefetches one adapter.
-    fn place_prefetch(&self, index: &ServiceIndex, ask: ModelRef) -> Option<PlannedOrder> {
-        let adapter_mb = self.spec.models.get(&ask.model)?.adapter_mb;
+    fn place_prefetch(&self, index: &ServiceIndex, model_ref: ModelRef) -> Option<PlannedOrder> {
+        let adapter_mb = self.spec.models.get(&model_ref.model)?.adapter_mb;
         let slots = (self.spec.adapter_slots as usize).saturating_sub(RESERVED_SLOTS);
         let engine = self
-            .holders(index, &ask.model)
-            .filter(|engine| engine.is_free(self.now) && engine.holds_model(&ask.model))
+            .holders(index, &model_ref.model)
+            .filter(|engine| engine.is_free(self.now) && engine.holds_model(&model_ref.model))
             .filter(|engine| engine.used_adapter_slots(self.now) < slots)
             .filter(|engine| self.has_room(engine, adapter_mb))
             .min_by_key(|engine| engine.adapters.len())?;
         Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Load,
-            ask,
+            model_ref,
             freed_for: None,
             why: "a place for adapters is free and no engine holds this one",
         })
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -78,12 +78,12 @@
     pub fn take_ready(&mut self, now: Millis, ready_in_ms: Vec<(ModelRef, Millis)>) {
         self.ready_at = ready_in_ms
             .into_iter()
-            .map(|(ask, in_ms)| (ask, now + in_ms))
+            .map(|(model_ref, in_ms)| (model_ref, now + in_ms))
             .collect();
     }
 
     /// Records that an engine refused a request because it lacks the model.
-    pub fn note_lacking(&mut self, now: Millis, upstream: &Name, ask: &ModelRef) {
+    pub fn note_lacking(&mut self, now: Millis, upstream: &Name, model_ref: &ModelRef) {
         self.refusals
             .retain(|_, refusal| now.since(refusal.at) < STALE_REFUSAL_VALIDITY_MS);
         let refusal = Refusal {
@@ -91,24 +91,24 @@
             version: self.version(),
         };
         self.refusals
-            .insert((upstream.clone(), ask.clone()), refusal);
+            .insert((upstream.clone(), model_ref.clone()), refusal);
     }
 
     /// Returns whether an engine holds a model, according to the orderer; `None` if the orderer
     /// does not know this start of the engine.
-    pub fn holds(&self, upstream: &Lifetime, ask: &ModelRef) -> Option<bool> {
-        Some(self.engines.held(upstream)?.contains(ask))
+    pub fn holds(&self, upstream: &Lifetime, model_ref: &ModelRef) -> Option<bool> {
+        Some(self.engines.held(upstream)?.contains(model_ref))
     }
 
     /// Returns the engines that hold a model, according to the orderer.
-    pub fn holders<'a>(&'a self, ask: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
-        self.engines.holders(ask)
+    pub fn holders<'a>(&'a self, model_ref: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
+        self.engines.holders(model_ref)
     }
 
     /// Returns whether an engine recently refused a request because it lacks the model. While the
     /// orderer's state is stale and has not changed since, the refusal counts for longer.
-    pub fn is_lacking(&self, now: Millis, upstream: &Name, ask: &ModelRef) -> bool {
-        let key = (upstream.clone(), ask.clone());
+    pub fn is_lacking(&self, now: Millis, upstream: &Name, model_ref: &ModelRef) -> bool {
+        let key = (upstream.clone(), model_ref.clone());
         let Some(refusal) = self.refusals.get(&key) else {
             return false;
         };
@@ -137,7 +137,7 @@
     pub fn ready_in_ms(&self, now: Millis) -> Vec<(ModelRef, Millis)> {
         let ready_at = self.ready_at.iter();
         ready_at
-            .map(|(ask, at)| (ask.clone(), at.since(now)))
+            .map(|(model_ref, at)| (model_ref.clone(), at.since(now)))
             .collect()
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Returns when a model or adapter is expected to be ready; `None` if unknown.
-    pub fn ready_at(&self, ask: &ModelRef) -> Option<Millis> {
-        self.ready_at.get(ask).copied()
+    pub fn ready_at(&self, model_ref: &ModelRef) -> Option<Millis> {
+        self.ready_at.get(model_ref).copied()
     }
 }
--- a/src/ordering/demand.rs
+++ b/src/ordering/demand.rs
@@ -46,17 +46,20 @@
 impl Demand {
     /// Returns the counts of a model or adapter for an update; `None` if the host already counts
     /// [`MAX_COUNTED_MODELS`] others.
-    pub fn count(&mut self, ask: &ModelRef) -> Option<&mut RequestCounts> {
-        if self.counts.len() >= MAX_COUNTED_MODELS && !self.counts.contains_key(ask) {
+    pub fn count(&mut self, model_ref: &ModelRef) -> Option<&mut RequestCounts> {
+        if self.counts.len() >= MAX_COUNTED_MODELS && !self.counts.contains_key(model_ref) {
             return None;
         }
-        Some(self.counts.entry(ask.clone()).or_default())
+        Some(self.counts.entry(model_ref.clone()).or_default())
     }
 
     /// Returns the counts and starts the next interval. Requests that wait or are running stay
     /// counted.
     pub fn take(&mut self) -> Vec<(ModelRef, RequestCounts)> {
-        let counts = self.counts.iter().map(|(ask, count)| (ask.clone(), *count));
+        let counts = self
+            .counts
+            .iter()
+            .map(|(model_ref, count)| (model_ref.clone(), *count));
         let counts = counts.collect();
         self.counts
             .retain(|_, count| count.waiting > 0 || count.running > 0);
--- a/src/ordering/demand_totals.rs
+++ b/src/ordering/demand_totals.rs
@@ -76,8 +76,11 @@
 impl DemandTotals {
     /// Adds one host's report. `host` is the incarnation of its process.
     pub fn record(&mut self, now: Millis, host: u64, report: HostReport) {
-        for (ask, count) in &report.demand {
-            self.demands.entry(ask.clone()).or_default().add(now, count);
+        for (model_ref, count) in &report.demand {
+            self.demands
+                .entry(model_ref.clone())
+                .or_default()
+                .add(now, count);
         }
         self.hosts.record(now, host, report);
         self.update_current(now);
@@ -94,8 +97,8 @@
     }
 
     /// Returns the demand for a model or adapter; zero if there is none.
-    pub fn demand_for(&self, ask: &ModelRef) -> TargetDemand {
-        self.demands.get(ask).copied().unwrap_or_default()
+    pub fn demand_for(&self, model_ref: &ModelRef) -> TargetDemand {
+        self.demands.get(model_ref).copied().unwrap_or_default()
     }
 
     /// Returns whether there was any request within the last `within_ms`.
@@ -115,8 +118,8 @@
     /// Returns the demand for each model, with that for its adapters included.
     pub fn model_demands(&self, now: Millis) -> IndexMap<&Name, ModelDemand> {
         let mut models: IndexMap<&Name, ModelDemand> = IndexMap::new();
-        for (ask, demand) in &self.demands {
-            let total = models.entry(&ask.model).or_default();
+        for (model_ref, demand) in &self.demands {
+            let total = models.entry(&model_ref.model).or_default();
             total.waiting += demand.waiting;
             total.running += demand.running;
             total.requests_per_s += demand.requests_per_s(now);
@@ -161,8 +164,8 @@
         for demand in self.demands.values_mut() {
             (demand.waiting, demand.running) = (0, 0);
         }
-        for (ask, count) in self.hosts.current() {
-            if let Some(demand) = self.demands.get_mut(ask) {
+        for (model_ref, count) in self.hosts.current() {
+            if let Some(demand) = self.demands.get_mut(model_ref) {
                 demand.waiting += count.waiting;
                 demand.running += count.running;
             }
--- a/src/ordering/engine.rs
+++ b/src/ordering/engine.rs
@@ -168,16 +168,18 @@
     /// that an unanswered order may load.
     pub fn used_mb(&self, now: Millis, spec: &EngineSpec) -> f64 {
         let mb = |model: &str| spec.models.get(model).map_or(0.0, |model| model.weights_mb);
-        let adapter_mb = |ask: &ModelRef| {
-            let model = spec.models.get(&ask.model);
+        let adapter_mb = |model_ref: &ModelRef| {
+            let model = spec.models.get(&model_ref.model);
             model.map_or(0.0, |model| model.adapter_mb)
         };
         let models: f64 = self.copies.keys().map(|model| mb(model)).sum();
         let adapters: f64 = self.adapters.keys().map(adapter_mb).sum();
-        let stale_order = self.stale_load(now).map_or(0.0, |ask| match ask.adapter {
-            Some(_) => adapter_mb(ask),
-            None => mb(&ask.model),
-        });
+        let stale_order = self
+            .stale_load(now)
+            .map_or(0.0, |model_ref| match model_ref.adapter {
+                Some(_) => adapter_mb(model_ref),
+                None => mb(&model_ref.model),
+            });
         models + adapters + stale_order
     }
 
@@ -192,13 +194,16 @@
     /// order to the previous start may still load.
     pub fn used_adapter_slots(&self, now: Millis) -> usize {
         let stale_order = self.stale_load(now);
-        let stale_slots = usize::from(stale_order.is_some_and(|ask| ask.adapter.is_some()));
+        let stale_slots =
+            usize::from(stale_order.is_some_and(|model_ref| model_ref.adapter.is_some()));
         self.adapters.len() + stale_slots
     }
 
     /// Returns the adapters of a model on the engine.
     pub fn adapters_of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a ModelRef> {
-        self.adapters.keys().filter(move |ask| &*ask.model == model)
+        self.adapters
+            .keys()
+            .filter(move |model_ref| &*model_ref.model == model)
     }
 
     /// Returns the loads from the weight store that, according to a report just read, are still
@@ -338,18 +343,18 @@
         self.copies.clear();
         for held in models {
             for adapter in held.adapters {
-                let ask = ModelRef {
+                let model_ref = ModelRef {
                     model: held.name.clone(),
                     adapter: Some(adapter),
                 };
-                let ready_at = former.get(&ask).copied().unwrap_or(Millis::ZERO);
-                self.adapters.insert(ask, ready_at);
+                let ready_at = former.get(&model_ref).copied().unwrap_or(Millis::ZERO);
+                self.adapters.insert(model_ref, ready_at);
             }
             self.copies.insert(held.name, ModelCopy::Held);
         }
-        for ask in coming {
-            let ready_at = former.get(&ask).copied().unwrap_or(Millis::ZERO);
-            self.adapters.entry(ask).or_insert(ready_at);
+        for model_ref in coming {
+            let ready_at = former.get(&model_ref).copied().unwrap_or(Millis::ZERO);
+            self.adapters.entry(model_ref).or_insert(ready_at);
         }
     }
 
@@ -364,8 +369,8 @@
             });
         let adapters = self.adapters.iter();
         let adapters = adapters
-            .filter(|(ask, ready_at)| **ready_at <= now && self.holds_model(&ask.model))
-            .map(|(ask, _)| ask.clone());
+            .filter(|(model_ref, ready_at)| **ready_at <= now && self.holds_model(&model_ref.model))
+            .map(|(model_ref, _)| model_ref.clone());
         EngineView {
             engine: self.lifetime(),
             held: models.chain(adapters).collect(),
--- a/src/ordering/engine_index.rs
+++ b/src/ordering/engine_index.rs
@@ -72,8 +72,8 @@
     }
 
     /// Returns how many engines have an adapter or are loading it.
-    pub fn adapter(&self, ask: &ModelRef) -> usize {
-        self.adapters.get(ask).copied().unwrap_or_default()
+    pub fn adapter(&self, model_ref: &ModelRef) -> usize {
+        self.adapters.get(model_ref).copied().unwrap_or_default()
     }
 
     fn add(&mut self, engine: &Engine) {
@@ -88,8 +88,8 @@
             let holders = self.models.entry(model.clone()).or_default();
             holders.cached.insert(engine.id.clone());
         }
-        for ask in engine.adapters.keys() {
-            *self.adapters.entry(ask.clone()).or_default() += 1;
+        for model_ref in engine.adapters.keys() {
+            *self.adapters.entry(model_ref.clone()).or_default() += 1;
         }
     }
 
@@ -109,11 +109,11 @@
                 holders.cached.swap_remove(&engine.id);
             });
         }
-        for ask in engine.adapters.keys() {
-            if let Some(count) = self.adapters.get_mut(ask) {
+        for model_ref in engine.adapters.keys() {
+            if let Some(count) = self.adapters.get_mut(model_ref) {
                 *count -= 1;
                 if *count == 0 {
-                    self.adapters.swap_remove(ask);
+                    self.adapters.swap_remove(model_ref);
                 }
             }
         }
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -216,11 +216,11 @@
         now: Millis,
         id: &str,
         action: Action,
-        ask: ModelRef,
+        model_ref: ModelRef,
         freed_for: Option<Name>,
     ) -> Option<Order> {
         self.update(id, |engine| {
-            let order = engine.order(action, ask);
+            let order = engine.order(action, model_ref);
             engine.reserved_for = freed_for.map(|model| (model, now + RESERVATION_MS));
             engine.begin(&order);
             order
--- a/src/ordering/engine_orders.rs
+++ b/src/ordering/engine_orders.rs
@@ -18,10 +18,10 @@
 
 impl Engine {
     /// Creates the order for an action.
-    pub(super) fn order(&self, action: Action, ask: ModelRef) -> Order {
+    pub(super) fn order(&self, action: Action, model_ref: ModelRef) -> Order {
         Order {
             action,
-            ask,
+            ask: model_ref,
             after_orders: self.order_count,
             born_at: self.born_at,
         }
@@ -131,7 +131,8 @@
                 self.next_report_at = now + load.takes_ms;
             }
             (Action::Unload, None) => {
-                self.adapters.retain(|ask, _| ask.model != order.ask.model);
+                self.adapters
+                    .retain(|model_ref, _| model_ref.model != order.ask.model);
                 match is_done {
                     true => drop(self.copies.shift_remove(&order.ask.model)),
                     false => {
--- a/src/ordering/estimates.rs
+++ b/src/ordering/estimates.rs
@@ -45,15 +45,20 @@
         };
         let requested = || {
             let waiting = self.demand.iter().filter(|(_, demand)| demand.waiting > 0);
-            waiting.filter(|(ask, _)| self.spec.models.contains_key(&ask.model))
+            waiting.filter(|(model_ref, _)| self.spec.models.contains_key(&model_ref.model))
         };
         let mut queue = LoadQueue::new();
-        for (ask, demand) in requested() {
-            *queue.entry(&ask.model).or_default() += demand.waiting;
+        for (model_ref, demand) in requested() {
+            *queue.entry(&model_ref.model).or_default() += demand.waiting;
         }
         queue.retain(|model, _| !self.will_be_held(index, model));
         requested()
-            .filter_map(|(ask, _)| Some((ask.clone(), self.ready_in(index, ask, timing, &queue)?)))
+            .filter_map(|(model_ref, _)| {
+                Some((
+                    model_ref.clone(),
+                    self.ready_in(index, model_ref, timing, &queue)?,
+                ))
+            })
             .collect()
     }
 
@@ -69,29 +74,33 @@
     fn ready_in(
         &self,
         index: &ServiceIndex,
-        ask: &ModelRef,
+        model_ref: &ModelRef,
         timing: OrderTiming,
         queue: &LoadQueue<'_>,
     ) -> Option<Millis> {
         let max_store_loads = timing.store_loads_at_once;
-        let adapter_ms = match &ask.adapter {
+        let adapter_ms = match &model_ref.adapter {
             Some(_) => ADAPTER_READY_MS.max(timing.orders_in_ms),
             None => Millis::ZERO,
         };
-        let model_in = |engine: &Engine| match engine.copies.get(&ask.model)? {
-            ModelCopy::Held if engine.is_busy() && ask.adapter.is_some() => {
+        let model_in = |engine: &Engine| match engine.copies.get(&model_ref.model)? {
+            ModelCopy::Held if engine.is_busy() && model_ref.adapter.is_some() => {
                 Some(self.free_in_ms(engine, max_store_loads))
             }
             ModelCopy::Held => Some(Millis::ZERO),
-            copy => self.remaining_load_ms(&ask.model, copy, max_store_loads),
+            copy => self.remaining_load_ms(&model_ref.model, copy, max_store_loads),
         };
-        let soonest = self.holders(index, &ask.model).filter_map(model_in).min();
+        let soonest = self
+            .holders(index, &model_ref.model)
+            .filter_map(model_in)
+            .min();
         let model_ms = match soonest {
             Some(in_ms) => in_ms,
             // An engine that has not reported yet may hold the model.
             None if self.has_unreported(index) => return None,
             None => {
-                timing.orders_in_ms + self.new_load_ms(index, &ask.model, max_store_loads, queue)
+                timing.orders_in_ms
+                    + self.new_load_ms(index, &model_ref.model, max_store_loads, queue)
             }
         };
         Some(model_ms + adapter_ms)
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -51,7 +51,7 @@
             return Some(PlannedOrder {
                 engine: engine.id.clone(),
                 action: Action::Load,
-                ask: ModelRef {
+                model_ref: ModelRef {
                     model: model.clone(),
                     adapter: None,
                 },
@@ -108,7 +108,7 @@
         Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Load,
-            ask: ModelRef {
+            model_ref: ModelRef {
                 model: need.model.clone(),
                 adapter: None,
             },
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -64,7 +64,7 @@
     /// The operation.
     pub action: Action,
     /// The model or adapter to load or unload.
-    pub ask: ModelRef,
+    pub model_ref: ModelRef,
     /// For an unload: the model to load next into the freed memory.
     pub freed_for: Option<Name>,
     /// The reason, written to the log.
@@ -335,14 +335,14 @@
             Some(victim) => PlannedOrder {
                 engine,
                 action: Action::Unload,
-                ask: model(victim),
+                model_ref: model(victim),
                 freed_for: Some(need.model.clone()),
                 why: "a model that callers ask for needs its memory",
             },
             None => PlannedOrder {
                 engine,
                 action: Action::Load,
-                ask: model(need.model),
+                model_ref: model(need.model),
                 freed_for: None,
                 why: "callers ask for the model",
             },
@@ -414,7 +414,7 @@
         let in_demand = engine.copies.keys().filter(|model| {
             let demands = self.demand.iter();
             demands
-                .filter(|(ask, _)| ask.adapter.is_some() && ask.model == **model)
+                .filter(|(model_ref, _)| model_ref.adapter.is_some() && model_ref.model == **model)
                 .any(|(_, demand)| demand.requests_per_s(self.now) > 0.05)
         });
         in_demand.count() as f64 * BLOCKED_ADAPTERS_COST
@@ -430,7 +430,12 @@
 
     /// Returns how long the load of a planned order takes, and where the weights come from.
     pub fn load_time(&self, planned: &PlannedOrder) -> LoadTime {
-        load_time(self.spec, self.inventory, &planned.engine, &planned.ask)
+        load_time(
+            self.spec,
+            self.inventory,
+            &planned.engine,
+            &planned.model_ref,
+        )
     }
 }
 
@@ -445,14 +450,14 @@
     spec: &EngineSpec,
     inventory: &EngineInventory,
     engine: &str,
-    ask: &ModelRef,
+    model_ref: &ModelRef,
 ) -> LoadTime {
-    let (Some(model), None) = (spec.models.get(&ask.model), &ask.adapter) else {
+    let (Some(model), None) = (spec.models.get(&model_ref.model), &model_ref.adapter) else {
         return LoadTime::default();
     };
     let is_cached = inventory
         .get(engine)
-        .is_some_and(|engine| engine.cached_models.contains(&ask.model));
+        .is_some_and(|engine| engine.cached_models.contains(&model_ref.model));
     LoadTime {
         takes_ms: if is_cached {
             model.from_disk_ms
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -49,7 +49,7 @@
 
 impl PublishedEngine {
     fn holds_exactly(&self, held: &[ModelRef]) -> bool {
-        held.len() == self.held.len() && held.iter().all(|ask| self.held.contains(ask))
+        held.len() == self.held.len() && held.iter().all(|model_ref| self.held.contains(model_ref))
     }
 }
 
@@ -77,9 +77,9 @@
     }
 
     /// Returns the engines that hold a model or adapter, among those whose state is published.
-    pub fn holders<'a>(&'a self, ask: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
+    pub fn holders<'a>(&'a self, model_ref: &'a ModelRef) -> impl Iterator<Item = &'a Lifetime> {
         let holding = self.engines.iter();
-        let holding = holding.filter(|(_, published)| published.held.contains(ask));
+        let holding = holding.filter(|(_, published)| published.held.contains(model_ref));
         holding.map(|(engine, _)| engine)
     }
 
--- a/src/ordering/relay_aggregate.rs
+++ b/src/ordering/relay_aggregate.rs
@@ -16,10 +16,10 @@
 
 impl RelayAggregate {
     /// Adds one host's report. `host` is the incarnation of its process.
-    pub fn take(&mut self, now: Millis, host: u64, report: HostReport) {
-        for (ask, count) in &report.demand {
-            if self.counts.len() < MAX_COUNTED_MODELS || self.counts.contains_key(ask) {
-                let sum = self.counts.entry(ask.clone()).or_default();
+    pub fn record(&mut self, now: Millis, host: u64, report: HostReport) {
+        for (model_ref, count) in &report.demand {
+            if self.counts.len() < MAX_COUNTED_MODELS || self.counts.contains_key(model_ref) {
+                let sum = self.counts.entry(model_ref.clone()).or_default();
                 sum.add_arrivals(count);
             }
         }
@@ -34,13 +34,13 @@
     ) -> Vec<(ModelRef, RequestCounts)> {
         self.hosts.expire(now);
         let mut sum = std::mem::take(&mut self.counts);
-        for (ask, count) in own {
-            let entry = sum.entry(ask).or_default();
+        for (model_ref, count) in own {
+            let entry = sum.entry(model_ref).or_default();
             entry.add_arrivals(&count);
             entry.add_current(&count);
         }
-        for (ask, count) in self.hosts.current() {
-            sum.entry(ask.clone()).or_default().add_current(count);
+        for (model_ref, count) in self.hosts.current() {
+            sum.entry(model_ref.clone()).or_default().add_current(count);
         }
         sum.into_iter().collect()
     }
--- a/src/ordering/tests/engine_inventory.rs
+++ b/src/ordering/tests/engine_inventory.rs
@@ -117,8 +117,13 @@
                 break;
             };
             let (now, engine) = (self.now, planned.engine);
-            self.inventory
-                .begin(now, &engine, planned.action, planned.ask, planned.freed_for);
+            self.inventory.begin(
+                now,
+                &engine,
+                planned.action,
+                planned.model_ref,
+                planned.freed_for,
+            );
         }
         for (id, order) in self.inventory.take_due_orders(self.now) {
             self.in_flight.push((id, order, true));
--- a/src/ordering/tests/planner/adapters.rs
+++ b/src/ordering/tests/planner/adapters.rs
@@ -9,10 +9,14 @@
         let at = NOW - Millis(9_000) + Millis(n as u64 * 1_000);
         site.request(1, at, &[(adapter("m0", name), waiting(1))]);
         let planned = site.next(NOW).expect("a plan");
-        assert_eq!(planned.ask, adapter("m0", name));
-        let order = site
-            .inventory
-            .begin(NOW, &planned.engine, planned.action, planned.ask, None);
+        assert_eq!(planned.model_ref, adapter("m0", name));
+        let order = site.inventory.begin(
+            NOW,
+            &planned.engine,
+            planned.action,
+            planned.model_ref,
+            None,
+        );
         let order = order.expect("a known engine");
         site.inventory.record_answer(
             NOW,
@@ -25,7 +29,7 @@
     site.request(1, NOW, &[(adapter("m0", "a3"), waiting(1))]);
     let planned = site.next(NOW).expect("a plan");
     assert_eq!(
-        (planned.action, planned.ask),
+        (planned.action, planned.model_ref),
         (Action::Unload, adapter("m0", "a0"))
     );
 }
@@ -45,7 +49,7 @@
     };
     site.request(1, NOW, &[(adapter("m0", "a4"), count)]);
     let first = site.next(NOW).expect("an order");
-    assert_eq!(first.ask, adapter("m0", "a4"));
+    assert_eq!(first.model_ref, adapter("m0", "a4"));
     let mut loaded = IndexSet::new();
     for step in 0..40 {
         let now = NOW + Millis(20 * step);
@@ -55,17 +59,19 @@
                 Action::Load,
                 "nothing is unloaded for a prefetch"
             );
-            let PlannedOrder { engine, ask, .. } = planned;
+            let PlannedOrder {
+                engine, model_ref, ..
+            } = planned;
             let order = site
                 .inventory
-                .begin(now, &engine, Action::Load, ask.clone(), None);
+                .begin(now, &engine, Action::Load, model_ref.clone(), None);
             let order = order.expect("a known engine");
             site.inventory.take_due_orders(now);
             let load = LoadTime::default();
             let answer = OrderAnswer::Accepted;
             site.inventory
                 .record_answer(now, &engine, &order, answer, load);
-            assert!(loaded.insert(ask), "each adapter is loaded once");
+            assert!(loaded.insert(model_ref), "each adapter is loaded once");
         }
     }
     // Each engine has three slots, of which one stays free: four of the five adapters of m0 and
@@ -93,5 +99,5 @@
     let leaving = IndexSet::from([Name::from("e0")]);
     let planner = planner(NOW, &site.spec, &site.inventory, &site.demand, &leaving);
     let planned = planner.next(&mut site.limiter).expect("callers wait");
-    assert_eq!((planned.ask, &*planned.engine), (requested, "e1"));
+    assert_eq!((planned.model_ref, &*planned.engine), (requested, "e1"));
 }
--- a/src/ordering/tests/planner/copies.rs
+++ b/src/ordering/tests/planner/copies.rs
@@ -98,7 +98,10 @@
     site.report(1, NOW, demand, (0..4).map(work).collect());
     site.spec.weights_mb = 60.0;
     let planned = site.next(NOW).expect("an order");
-    assert_eq!((planned.action, planned.ask), (Action::Unload, model("m1")));
+    assert_eq!(
+        (planned.action, planned.model_ref),
+        (Action::Unload, model("m1"))
+    );
     assert_eq!(planned.freed_for.as_deref(), Some("m0"));
 }
 
@@ -124,7 +127,10 @@
     let used = vec![work(0, 20), work(1, 22), work(2, 0), work(3, 22)];
     site.report(1, NOW, demand, used);
     let planned = site.next(NOW).expect("an order");
-    assert_eq!((planned.action, planned.ask), (Action::Load, model("m0")));
+    assert_eq!(
+        (planned.action, planned.model_ref),
+        (Action::Load, model("m0"))
+    );
     assert_eq!(&*planned.engine, "e2");
 }
 
@@ -147,7 +153,10 @@
     };
     site.request(1, NOW, &[(model("m0"), demand)]);
     let planned = site.next(NOW).expect("an order");
-    assert_eq!((planned.action, planned.ask), (Action::Load, model("m0")));
+    assert_eq!(
+        (planned.action, planned.model_ref),
+        (Action::Load, model("m0"))
+    );
     assert_eq!(
         &*planned.engine, "e2",
         "the weight store is not used for it"
--- a/src/ordering/tests/planner/memory.rs
+++ b/src/ordering/tests/planner/memory.rs
@@ -11,7 +11,7 @@
     let planned = site.plan_all();
     let loaded: IndexSet<Name> = planned
         .iter()
-        .map(|planned| planned.ask.model.clone())
+        .map(|planned| planned.model_ref.model.clone())
         .collect();
     assert_eq!(planned.len(), 2);
     assert_eq!(loaded.len(), 2);
@@ -26,7 +26,7 @@
     let planned = site.plan_all();
     let orders: Vec<_> = planned
         .iter()
-        .map(|planned| (planned.action, &*planned.ask.model))
+        .map(|planned| (planned.action, &*planned.model_ref.model))
         .collect();
     assert_eq!(orders, [(Action::Unload, "m0")]);
     assert_eq!(planned[0].freed_for.as_deref(), Some("m1"));
@@ -71,7 +71,7 @@
     site.request(1, NOW, &[(model("m2"), waiting(1))]);
     let planned = site.next(NOW).expect("a plan");
     assert_eq!(
-        (planned.action, &*planned.ask.model),
+        (planned.action, &*planned.model_ref.model),
         (Action::Unload, "m1")
     );
 }
@@ -90,7 +90,14 @@
         .record_report(NOW, &e1, Some(report(1, &["m1"])));
     site.request(1, NOW, &[(model("m1"), waiting(1))]);
     let planned = site.next(NOW).expect("an order");
-    let load = |site: &Site| load_time(&site.spec, &site.inventory, &planned.engine, &planned.ask);
+    let load = |site: &Site| {
+        load_time(
+            &site.spec,
+            &site.inventory,
+            &planned.engine,
+            &planned.model_ref,
+        )
+    };
     assert!(!load(&site).from_store);
     site.inventory.record_report(NOW, &e1, Some(report(2, &[])));
     assert!(load(&site).from_store);
@@ -106,7 +113,7 @@
     let unloaded: Vec<&ModelRef> = planned
         .iter()
         .filter(|planned| planned.action == Action::Unload)
-        .map(|planned| &planned.ask)
+        .map(|planned| &planned.model_ref)
         .collect();
     assert_eq!(
         unloaded,
@@ -142,7 +149,7 @@
     };
     site.request(1, NOW, &[(model("m1"), count)]);
     let planned = site.next(NOW).expect("its weights are cached");
-    assert_eq!((planned.ask, &*planned.engine), (model("m1"), "e131"));
+    assert_eq!((planned.model_ref, &*planned.engine), (model("m1"), "e131"));
 }
 
 /// Regression test: a model was loaded from the weight store because the engine that caches its
@@ -155,6 +162,6 @@
     site.request(1, NOW, &[(model("m1"), waiting(1))]);
     for later in 0..20 {
         let planned = site.next(NOW + Millis(later)).expect("callers wait");
-        assert_eq!((planned.ask, &*planned.engine), (model("m1"), "e900"));
+        assert_eq!((planned.model_ref, &*planned.engine), (model("m1"), "e900"));
     }
 }
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -125,13 +125,13 @@
             let PlannedOrder {
                 engine,
                 action,
-                ask,
+                model_ref,
                 freed_for,
                 ..
             } = planned.clone();
             let order = self
                 .inventory
-                .begin(NOW, &engine, action, ask, freed_for)
+                .begin(NOW, &engine, action, model_ref, freed_for)
                 .expect("a known engine");
             self.inventory.take_due_orders(NOW);
             let load = LoadTime {
--- a/src/ordering/tests/relay_aggregate.rs
+++ b/src/ordering/tests/relay_aggregate.rs
@@ -49,7 +49,7 @@
                     demand: demand.clone(),
                     ..HostReport::default()
                 };
-                relay.take(now, host, report);
+                relay.record(now, host, report);
                 reported.push(demand.clone());
                 newest.insert(host, demand);
             } else {
@@ -93,8 +93,8 @@
             ..HostReport::default()
         }
     };
-    relay.take(Millis(1_000), 1, work(3));
-    relay.take(Millis(1_000), 2, work(4));
+    relay.record(Millis(1_000), 1, work(3));
+    relay.record(Millis(1_000), 2, work(4));
     let running = |relay: &RelayAggregate, but| {
         let mut sum = IndexMap::new();
         relay.add_work(but, &mut sum);
@@ -102,6 +102,6 @@
     };
     assert_eq!(running(&relay, None), 7);
     assert_eq!(running(&relay, Some(1)), 4);
-    relay.take(Millis(2_600), 2, work(4));
+    relay.record(Millis(2_600), 2, work(4));
     assert_eq!(running(&relay, None), 4);
 }
