--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -2,7 +2,7 @@
 //! held the orderer's lease, refusals by cause, usage by organisation, and how long a desired state
 //! takes to reach all hosts.
 //!
-//! The input is text with one JSON object a line. [`line`] reads it; each of the other modules
+//! The input is text with one JSON object a line. [`mod@line`] reads it; each of the other modules
 //! answers one question of `mangovale logs`.
 
 pub mod leases;
