--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -346,7 +346,7 @@
             return None;
         }
         let after = self.last_event_id.clone()?;
-        self.attempts.note_perhaps_run(from.clone());
+        self.attempts.note_may_have_run(from.clone());
         let mut resumed = None;
         for _ in 0..MAX_RESUME_ATTEMPTS {
             let Some(upstream) = choose(self.host, self.request, self.attempts) else {
@@ -367,7 +367,7 @@
                     break;
                 }
                 SendOutcome::Answered(_) | SendOutcome::MayHaveRun => {
-                    self.attempts.note_perhaps_run(upstream);
+                    self.attempts.note_may_have_run(upstream);
                     break;
                 }
                 SendOutcome::NotRun { .. } | SendOutcome::NotSent => {
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records an attempt that may have run the request.
-    pub fn note_perhaps_run(&mut self, upstream: Name) {
+    pub fn note_may_have_run(&mut self, upstream: Name) {
         self.sends += 1;
         self.runs += 1;
         self.exclude(upstream);
@@ -59,7 +59,7 @@
 
     /// Keeps a failure that an upstream answered, to pass it on if no other attempt succeeds.
     pub fn keep_failure(&mut self, answer: Box<StartedAnswer>) {
-        self.note_perhaps_run(answer.upstream.id.clone());
+        self.note_may_have_run(answer.upstream.id.clone());
         self.failure = Some(answer);
     }
 
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -92,7 +92,7 @@
                 if let Some(ended) = finish(host, request, out, log, &mut attempts, answer).await {
                     return ended;
                 }
-                attempts.note_perhaps_run(upstream);
+                attempts.note_may_have_run(upstream);
             }
             SendOutcome::NotSent => attempts.exclude(upstream),
             SendOutcome::NotRun { lacks_model, .. } => {
@@ -103,7 +103,7 @@
                 attempts.note_not_run(upstream);
             }
             SendOutcome::MayHaveRun => {
-                attempts.note_perhaps_run(upstream);
+                attempts.note_may_have_run(upstream);
             }
         }
         let may_not_run_again = request.route.repeat == Repeat::Once && attempts.runs > 0;
