--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -130,7 +130,7 @@
 }
 
 /// Applies the reply to a message that carried this host's report.
-pub fn take_news<P: Platform>(host: &Host<P>, news: &CrashUpdate) {
+pub fn apply_update<P: Platform>(host: &Host<P>, news: &CrashUpdate) {
     with_quarantine(host, |quarantine, now| quarantine.apply_update(now, news));
 }
 
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -235,7 +235,7 @@
         // In a small site the collector is no relay, and returns only the requests that crash
         // upstreams.
         Some(SyncReply::NotOrderer { crashes, .. }) => {
-            crashes::take_news(host, &crashes);
+            crashes::apply_update(host, &crashes);
             request.crashes.evidence.clear();
             return;
         }
@@ -339,7 +339,7 @@
             crashes,
             ..
         } => {
-            crashes::take_news(host, &crashes);
+            crashes::apply_update(host, &crashes);
             let mut orders = host.orders.borrow_mut();
             match resignation {
                 Some(resignation) => orders.lease.note_resigned(host.now(), resignation),
@@ -353,8 +353,8 @@
 
 fn apply_totals<P: Platform>(host: &Host<P>, asked_at: Millis, totals: Totals) {
     limits::take_reply(host, asked_at, totals.limits);
-    crashes::take_news(host, &totals.crashes);
-    upstream_limits::take_news(host, asked_at, totals.upstream_limits);
+    crashes::apply_update(host, &totals.crashes);
+    upstream_limits::apply_update(host, asked_at, totals.upstream_limits);
 }
 
 fn apply_orderer_update<P: Platform>(host: &Host<P>, asked_at: Millis, update: OrdererUpdate) {
