--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -352,7 +352,7 @@
 }
 
 fn apply_totals<P: Platform>(host: &Host<P>, asked_at: Millis, totals: Totals) {
-    limits::take_reply(host, asked_at, totals.limits);
+    limits::apply_reply(host, asked_at, totals.limits);
     crashes::apply_update(host, &totals.crashes);
     upstream_limits::apply_update(host, asked_at, totals.upstream_limits);
 }
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -255,7 +255,7 @@
             share: 1.0,
             levels: vec![("o".into(), level)],
         };
-        limits::take_reply(&site.host, site.host.now(), Some(orderer_limits));
+        limits::apply_reply(&site.host, site.host.now(), Some(orderer_limits));
         let request = SyncRequest {
             usage: used(100),
             ..sync_request()
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -288,7 +288,7 @@
     }
 
     /// Applies the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, update: Option<LimitsUpdate>) {
+    pub fn apply_reply(&mut self, asked_at: Millis, update: Option<LimitsUpdate>) {
         self.confirm_report();
         if let Some(update) = update {
             self.apply_update(asked_at, update);
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -194,7 +194,7 @@
     }
 
     /// Applies the levels in the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, levels: Option<LimitsUpdate>) {
-        self.limiter.take_reply(asked_at, levels);
+    pub fn apply_reply(&mut self, asked_at: Millis, levels: Option<LimitsUpdate>) {
+        self.limiter.apply_reply(asked_at, levels);
     }
 }
