--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -150,7 +150,7 @@
 /// Adds the use that another host reports.
 pub fn merge_usage<P: Platform>(host: &Host<P>, usage: &[Usage]) {
     with_limiter(host, |limiter, now, table| {
-        limiter.take_usage(now, usage, table);
+        limiter.record_usage(now, usage, table);
     });
 }
 
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -63,7 +63,7 @@
 /// Adds what another host reports.
 pub fn merge_report<P: Platform>(host: &Host<P>, report: &UpstreamLimitsReport) {
     take_stated(host, &report.stated);
-    with_limits(host, |limits, now| limits.take_usage(now, &report.usage));
+    with_limits(host, |limits, now| limits.record_usage(now, &report.usage));
 }
 
 /// Returns the stated limits and current levels, for this host's reply to hosts that report to it.
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -138,7 +138,7 @@
         self.unreported.clear();
         self.coverage = coverage;
         self.init_site_buckets(now, limits);
-        self.take_usage(now, &unreported, limits);
+        self.record_usage(now, &unreported, limits);
     }
 
     /// Creates the buckets of a new orderer from the last levels of the previous one.
@@ -252,7 +252,7 @@
     }
 
     /// Counts the use that another host reports.
-    pub fn take_usage(&mut self, now: Millis, usage: &[Usage], limits: &RateLimitTable) {
+    pub fn record_usage(&mut self, now: Millis, usage: &[Usage], limits: &RateLimitTable) {
         for Usage { name, slots } in usage {
             let limit = limits.get(name);
             for (slots_ago, amount) in slots {
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -101,7 +101,7 @@
     assert_eq!(admitted(&mut host, now, 3), 3);
     let lost = host.report(now);
     assert_eq!(host.report(now), lost);
-    orderer.take_usage(now, &host.report(now), &table());
+    orderer.record_usage(now, &host.report(now), &table());
     host.confirm_report();
     assert!(host.report(now).is_empty());
     assert_eq!(admitted(&mut orderer, now, 100), 4);
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -213,7 +213,7 @@
         let table = &self.table;
         let host = &mut self.hosts[parent];
         host.heard.insert(child, (now, through));
-        host.limiter.take_usage(now, &usage, table);
+        host.limiter.record_usage(now, &usage, table);
         let update = host.limiter.build_update(now, table);
         let host = &mut self.hosts[child];
         host.limiter.confirm_report();
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -181,8 +181,8 @@
     }
 
     /// Counts the use that a child reports.
-    pub fn take_usage(&mut self, now: Millis, usage: &[Usage]) {
-        self.limiter.take_usage(now, usage, &self.limits);
+    pub fn record_usage(&mut self, now: Millis, usage: &[Usage]) {
+        self.limiter.record_usage(now, usage, &self.limits);
     }
 
     /// Returns the answer to a child's report.
