--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -62,7 +62,7 @@
 
 /// Adds what another host reports.
 pub fn merge_report<P: Platform>(host: &Host<P>, report: &UpstreamLimitsReport) {
-    take_stated(host, &report.stated);
+    merge_stated(host, &report.stated);
     with_limits(host, |limits, now| limits.record_usage(now, &report.usage));
 }
 
@@ -73,15 +73,15 @@
 
 /// Applies the reply to a message, sent at `asked_at`, that carried this host's report.
 pub fn apply_update<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsUpdate) {
-    take_stated(host, &news.stated);
+    merge_stated(host, &news.stated);
     with_limits(host, |limits, _| limits.apply_reply(asked_at, news.levels));
 }
 
 /// Applies limits that upstreams stated to other hosts, and logs those that changed.
-fn take_stated<P: Platform>(host: &Host<P>, stated: &[StatedLimit]) {
+fn merge_stated<P: Platform>(host: &Host<P>, stated: &[StatedLimit]) {
     let now = host.now();
     let mut limits = host.limits.borrow_mut();
-    for limit in limits.upstreams.take_stated(now, stated) {
+    for limit in limits.upstreams.merge_stated(now, stated) {
         log_change(&limit.upstream, limit.per_s, true);
     }
 }
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -136,12 +136,12 @@
     let mut limits = alone();
     let now = START + Millis(10_000);
     assert_eq!(
-        limits.take_stated(now, &[stated(Some(2.0), 1_000)]).len(),
+        limits.merge_stated(now, &[stated(Some(2.0), 1_000)]).len(),
         1
     );
-    assert!(limits.take_stated(now, &[stated(None, 2_000)]).is_empty());
+    assert!(limits.merge_stated(now, &[stated(None, 2_000)]).is_empty());
     assert_eq!(limits.limit("u").map(|limit| limit.per_s), Some(2.0));
-    assert_eq!(limits.take_stated(now, &[stated(None, 500)]).len(), 1);
+    assert_eq!(limits.merge_stated(now, &[stated(None, 500)]).len(), 1);
     assert!(limits.limit("u").is_none());
 }
 
@@ -154,7 +154,7 @@
     assert!(limits.limit("u").is_none());
     assert!(
         limits
-            .take_stated(later, &[stated(Some(1.0), 60_000)])
+            .merge_stated(later, &[stated(Some(1.0), 60_000)])
             .is_empty()
     );
 }
@@ -168,7 +168,7 @@
             ..stated(Some(1.0), 0)
         })
         .collect();
-    assert!(limits.take_stated(START, &statements).len() <= 128);
+    assert!(limits.merge_stated(START, &statements).len() <= 128);
     assert!(limits.report(START).stated.len() <= 128);
 }
 
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -92,7 +92,7 @@
     }
 
     /// Merges statements from other hosts. Returns those that changed a limit.
-    pub fn take_stated(&mut self, now: Millis, received: &[StatedLimit]) -> Vec<StatedLimit> {
+    pub fn merge_stated(&mut self, now: Millis, received: &[StatedLimit]) -> Vec<StatedLimit> {
         let mut changed = Vec::new();
         for limit in received.iter().take(MAX_UPSTREAMS) {
             let stated = Statement {
