--- a/src/entry/table_rows.rs
+++ b/src/entry/table_rows.rs
@@ -108,7 +108,7 @@
     host.limits
         .borrow_mut()
         .organisations
-        .keep_known(&table.rate_limits);
+        .retain_limited(&table.rate_limits);
     *host.routes.borrow_mut() = Some(Rc::new(table));
     lines::write(LogEvent::DesiredTaken, &line);
     host.note_change();
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -365,7 +365,7 @@
     }
 
     /// Removes the buckets of names that no longer have a limit.
-    pub fn keep_known(&mut self, limits: &RateLimitTable) {
+    pub fn retain_limited(&mut self, limits: &RateLimitTable) {
         self.buckets.retain(|name, _| limits.get(name).is_some());
     }
 
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -138,7 +138,7 @@
             }
             is_kept
         });
-        self.limiter.keep_known(&self.limits);
+        self.limiter.retain_limited(&self.limits);
     }
 
     /// Returns the statements, for a message to another host.
