--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -386,7 +386,7 @@
             host.upstreams.borrow_mut().note_list_reached(now);
         }
         if let Some(members) = members {
-            host.apply_members_news(members);
+            host.apply_members_update(members);
         }
     }
     let mut state = host.orderer_state.borrow_mut();
