--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -391,7 +391,7 @@
     }
     let mut state = host.orderer_state.borrow_mut();
     state.answered_at = state.answered_at.max(Some(now - age_ms));
-    state.take_engines(engines);
+    state.apply_engines(engines);
     state.take_work(work);
     state.take_ready(now, ready_in_ms);
     state.take_separate(separate);
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -47,7 +47,7 @@
             }
         }
         let mut view = CachedOrdererState::default();
-        view.take_engines(EnginesUpdate {
+        view.apply_engines(EnginesUpdate {
             version: (1, 1),
             is_whole: true,
             engines: published,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -61,7 +61,7 @@
     };
     let mut view = host.orderer_state.borrow_mut();
     view.answered_at = Some(host.now() - age_ms);
-    view.take_engines(EnginesUpdate {
+    view.apply_engines(EnginesUpdate {
         version: (3, 1),
         is_whole: true,
         engines: vec![engine],
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -45,7 +45,7 @@
     }
 
     /// Applies an update of the engines' state.
-    pub fn take_engines(&mut self, update: EnginesUpdate) {
+    pub fn apply_engines(&mut self, update: EnginesUpdate) {
         self.engines.apply(update);
     }
 
--- a/src/ordering/tests/cached_orderer_state.rs
+++ b/src/ordering/tests/cached_orderer_state.rs
@@ -32,7 +32,7 @@
     let mut view = CachedOrdererState::default();
     let engine: Name = "e".into();
     let now = Millis(10_000);
-    view.take_engines(state((1, 7), &["m"]));
+    view.apply_engines(state((1, 7), &["m"]));
     view.answered_at = Some(now - Millis(3_000));
     view.note_lacking(now, &engine, &ask("m"));
     assert!(view.is_lacking(now + Millis(2_000), &engine, &ask("m")));
@@ -40,7 +40,7 @@
     // The engine is tried again after some seconds in any case, and as soon as the orderer sends a
     // new state.
     assert!(!view.is_lacking(now + Millis(5_000), &engine, &ask("m")));
-    view.take_engines(state((2, 1), &["m"]));
+    view.apply_engines(state((2, 1), &["m"]));
     assert!(!view.is_lacking(now + Millis(2_000), &engine, &ask("m")));
 }
 
@@ -51,7 +51,7 @@
     let mut view = CachedOrdererState::default();
     let engine: Name = "e".into();
     let now = Millis(10_000);
-    view.take_engines(state((1, 7), &["m"]));
+    view.apply_engines(state((1, 7), &["m"]));
     view.answered_at = Some(now);
     view.note_lacking(now, &engine, &ask("m"));
     assert!(view.is_lacking(now + Millis(100), &engine, &ask("m")));
