--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -392,7 +392,7 @@
     let mut state = host.orderer_state.borrow_mut();
     state.answered_at = state.answered_at.max(Some(now - age_ms));
     state.apply_engines(engines);
-    state.take_work(work);
+    state.replace_work(work);
     state.take_ready(now, ready_in_ms);
     state.take_separate(separate);
     state.answers += 1;
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -67,7 +67,7 @@
         engines: vec![engine],
         gone: Vec::new(),
     });
-    view.take_work(work(10));
+    view.replace_work(work(10));
     host.orders
         .borrow_mut()
         .note_named_orderer(member(1, "there", 500));
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -60,7 +60,7 @@
     }
 
     /// Replaces the request load of other hosts on each engine.
-    pub fn take_work(&mut self, work: Vec<(Name, UpstreamLoad)>) {
+    pub fn replace_work(&mut self, work: Vec<(Name, UpstreamLoad)>) {
         self.work = work.into_iter().collect();
     }
 
