--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -393,7 +393,7 @@
     state.answered_at = state.answered_at.max(Some(now - age_ms));
     state.apply_engines(engines);
     state.replace_work(work);
-    state.take_ready(now, ready_in_ms);
+    state.replace_ready(now, ready_in_ms);
     state.take_separate(separate);
     state.answers += 1;
     drop(state);
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -75,7 +75,7 @@
     }
 
     /// Replaces the expected times until models and adapters are ready, as of `now`.
-    pub fn take_ready(&mut self, now: Millis, ready_in_ms: Vec<(ModelRef, Millis)>) {
+    pub fn replace_ready(&mut self, now: Millis, ready_in_ms: Vec<(ModelRef, Millis)>) {
         self.ready_at = ready_in_ms
             .into_iter()
             .map(|(model_ref, in_ms)| (model_ref, now + in_ms))
