--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -394,7 +394,7 @@
     state.apply_engines(engines);
     state.replace_work(work);
     state.replace_ready(now, ready_in_ms);
-    state.take_separate(separate);
+    state.replace_separate(separate);
     state.answers += 1;
     drop(state);
     host.note_change();
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -65,7 +65,7 @@
     }
 
     /// Replaces the models that use separate copies for long and for short prompts.
-    pub fn take_separate(&mut self, models: Vec<Name>) {
+    pub fn replace_separate(&mut self, models: Vec<Name>) {
         self.separate = models.into_iter().collect();
     }
 
