--- a/src/entry/crashes.rs
+++ b/src/entry/crashes.rs
@@ -130,8 +130,8 @@
 }
 
 /// Applies the reply to a message that carried this host's report.
-pub fn apply_update<P: Platform>(host: &Host<P>, news: &CrashUpdate) {
-    with_quarantine(host, |quarantine, now| quarantine.apply_update(now, news));
+pub fn apply_update<P: Platform>(host: &Host<P>, update: &CrashUpdate) {
+    with_quarantine(host, |quarantine, now| quarantine.apply_update(now, update));
 }
 
 /// Adds the evidence that an orderer stored with its lease for all hosts.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -167,8 +167,8 @@
 }
 
 /// Applies the reply to a message, sent at `asked_at`, that reported this host's use.
-pub fn apply_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsUpdate>) {
-    with_limiter(host, |limiter, _, _| limiter.apply_reply(asked_at, news));
+pub fn apply_reply<P: Platform>(host: &Host<P>, asked_at: Millis, update: Option<LimitsUpdate>) {
+    with_limiter(host, |limiter, _, _| limiter.apply_reply(asked_at, update));
 }
 
 /// Calls `with` on the limiter after telling it this host's present place in the site. Returns none
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -175,8 +175,8 @@
 impl<P: Platform> Host<P> {
     /// Applies changes of the list of hosts that another host sent. Changes that do not lead to the
     /// newest list are ignored; the list is then read.
-    pub fn apply_members_update(&self, news: MembersUpdate) {
-        let change = self.members.borrow_mut().apply(self.now(), news);
+    pub fn apply_members_update(&self, update: MembersUpdate) {
+        let change = self.members.borrow_mut().apply(self.now(), update);
         if let Some(change) = change {
             log_change(self, &change, true);
         }
