--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -171,7 +171,7 @@
     with_limiter(host, |limiter, _, _| limiter.apply_reply(asked_at, update));
 }
 
-/// Calls `with` on the limiter after telling it this host's present place in the site. Returns none
+/// Calls `with` on the limiter after setting which hosts this host covers at present. Returns none
 /// before there is a desired state.
 fn with_limiter<P: Platform, T>(
     host: &Host<P>,
@@ -179,15 +179,15 @@
 ) -> Option<T> {
     let table = host.routes.borrow().clone()?;
     let now = host.now();
-    let place = place(host);
+    let coverage = coverage(host);
     let limiter = &mut host.limits.borrow_mut().organisations;
-    limiter.set_coverage(now, place, &table.rate_limits);
+    limiter.set_coverage(now, coverage, &table.rate_limits);
     Some(with(limiter, now, &table.rate_limits))
 }
 
 /// Returns the part of the site that this host decides for and how many hosts report to it: the
 /// whole site as the orderer, its own group as a relay, only itself otherwise.
-pub fn place<P: Platform>(host: &Host<P>) -> Coverage {
+pub fn coverage<P: Platform>(host: &Host<P>) -> Coverage {
     let members = host.members.borrow();
     let known = members.count_serving(host.now());
     let tree = host.tree.borrow();
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -91,8 +91,8 @@
     with: impl FnOnce(&mut UpstreamLimits, Millis) -> T,
 ) -> T {
     let now = host.now();
-    let place = limits::place(host);
+    let coverage = limits::coverage(host);
     let limits = &mut host.limits.borrow_mut().upstreams;
-    limits.set_coverage(now, place);
+    limits.set_coverage(now, coverage);
     with(limits, now)
 }
