--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -194,13 +194,13 @@
     match (host.is_orderer(), tree.is_relay(host.incarnation)) {
         (true, _) => Coverage {
             scope: Scope::Site,
-            heard: host.orders.borrow().demand.live_hosts(),
+            reporting_hosts: host.orders.borrow().demand.live_hosts(),
             expected: members.count(),
             members: known,
         },
         (false, is_relay) => Coverage {
             scope: Scope::Group,
-            heard: 1 + host.relay_aggregate.borrow().relayed_hosts(),
+            reporting_hosts: 1 + host.relay_aggregate.borrow().relayed_hosts(),
             expected: if is_relay { tree.hosts_per_relay() } else { 1 },
             members: known,
         },
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -20,8 +20,8 @@
 /// Where little is left, a decision waits for newer levels if those known are at least this old.
 const MIN_REFRESH_AGE_MS: Millis = Millis(60);
 /// How long after its start, or after it became the orderer, a host assumes that the hosts that it
-/// expects are present although it has not heard from them yet.
-const GATHER_GRACE_MS: Millis = Millis(600);
+/// expects are present although they have not reported yet.
+const COVERAGE_GRACE_MS: Millis = Millis(600);
 /// How long after a restart of all hosts it takes until they exchange levels again.
 const RESTART_SETTLE_MS: Millis = Millis(1_200);
 /// The shortest time after which a refused caller may retry.
@@ -45,7 +45,7 @@
     /// `Site` on the orderer, which counts the use of the whole site; `Group` on all other hosts.
     pub scope: Scope,
     /// Number of hosts that reported recently, including this one.
-    pub heard: usize,
+    pub reporting_hosts: usize,
     /// Number of hosts that should report to this one, directly or through another, including this
     /// one.
     pub expected: usize,
@@ -108,7 +108,7 @@
             tolerance,
             coverage: Coverage {
                 scope: Scope::Group,
-                heard: 1,
+                reporting_hosts: 1,
                 expected: 1,
                 members: None,
             },
@@ -422,16 +422,16 @@
     }
 
     /// Returns the fraction of each limit that the hosts covered by this one have. Hosts that are
-    /// not heard have the rest.
+    /// not reporting have the rest.
     fn share(&self, now: Millis) -> f64 {
         let Some(members) = self.coverage.members else {
             return 0.0;
         };
-        let heard = match now < self.covered_since + GATHER_GRACE_MS {
-            true => self.coverage.heard.max(self.coverage.expected),
-            false => self.coverage.heard,
+        let reporting_hosts = match now < self.covered_since + COVERAGE_GRACE_MS {
+            true => self.coverage.reporting_hosts.max(self.coverage.expected),
+            false => self.coverage.reporting_hosts,
         };
-        (heard as f64 / members.max(1) as f64).min(1.0)
+        (reporting_hosts as f64 / members.max(1) as f64).min(1.0)
     }
 
     fn refill(&self, limit: &RateLimit, share: f64) -> Refill {
--- a/src/rate_limit/tests/limiter.rs
+++ b/src/rate_limit/tests/limiter.rs
@@ -15,12 +15,12 @@
     [("o".into(), LIMIT)].into_iter().collect()
 }
 
-fn limiter_with(scope: Scope, heard: usize, members: Option<usize>) -> Limiter {
+fn limiter_with(scope: Scope, reporting_hosts: usize, members: Option<usize>) -> Limiter {
     let mut limiter = Limiter::new(START, 0.0);
     let coverage = Coverage {
         scope,
-        heard,
-        expected: heard,
+        reporting_hosts,
+        expected: reporting_hosts,
         members,
     };
     limiter.set_coverage(START, coverage, &table());
@@ -116,7 +116,7 @@
     next.apply_update(now, former.build_update(now, &table()));
     let coverage = Coverage {
         scope: Scope::Site,
-        heard: 68,
+        reporting_hosts: 68,
         expected: 68,
         members: Some(68),
     };
@@ -135,7 +135,7 @@
     let mut limiter = Limiter::new(START, TOLERANCE);
     let coverage = Coverage {
         scope: Scope::Site,
-        heard: 1,
+        reporting_hosts: 1,
         expected: 1,
         members: Some(1),
     };
--- a/src/rate_limit/tests/model.rs
+++ b/src/rate_limit/tests/model.rs
@@ -31,7 +31,7 @@
     limiter: Limiter,
     relay: usize,
     /// For each child, when it last sent a message and how many hosts report through it.
-    heard: IndexMap<usize, (Millis, usize)>,
+    reports: IndexMap<usize, (Millis, usize)>,
     /// Partition of the network; hosts in different partitions cannot reach each other.
     partition_id: u32,
     phase_ms: u64,
@@ -104,7 +104,7 @@
         let host = |n: usize| ModelHost {
             limiter: Limiter::new(START, tolerance),
             relay: n % relays.max(1),
-            heard: IndexMap::new(),
+            reports: IndexMap::new(),
             partition_id: 0,
             phase_ms: (n as u64 * 37) % SYNC_INTERVAL_MS,
             is_urgent: false,
@@ -171,7 +171,7 @@
         let now = self.now;
         for host in &mut self.hosts {
             host.limiter = Limiter::new(now, self.tolerance);
-            host.heard.clear();
+            host.reports.clear();
         }
         self.orderer = None;
     }
@@ -208,11 +208,11 @@
         let now = self.now;
         self.update_coverage(child);
         self.update_coverage(parent);
-        let through = self.heard_by(child) - 1;
+        let through = self.reporting_hosts(child) - 1;
         let usage = self.hosts[child].limiter.report(now);
         let table = &self.table;
         let host = &mut self.hosts[parent];
-        host.heard.insert(child, (now, through));
+        host.reports.insert(child, (now, through));
         host.limiter.record_usage(now, &usage, table);
         let update = host.limiter.build_update(now, table);
         let host = &mut self.hosts[child];
@@ -220,9 +220,9 @@
         host.limiter.apply_update(now, update);
     }
 
-    fn heard_by(&self, n: usize) -> usize {
-        let heard = self.hosts[n].heard.values();
-        let recent = heard.filter(|(at, _)| self.now.since(*at) < PRESENCE_MS);
+    fn reporting_hosts(&self, n: usize) -> usize {
+        let reports = self.hosts[n].reports.values();
+        let recent = reports.filter(|(at, _)| self.now.since(*at) < PRESENCE_MS);
         1 + recent.map(|(_, through)| 1 + through).sum::<usize>()
     }
 
@@ -233,7 +233,7 @@
         };
         let coverage = Coverage {
             scope,
-            heard: self.heard_by(n),
+            reporting_hosts: self.reporting_hosts(n),
             expected: match scope {
                 Scope::Site => self.hosts.len(),
                 Scope::Group if n < self.relays => self.hosts.len() / self.relays,
--- a/src/rate_limit/tests/upstreams.rs
+++ b/src/rate_limit/tests/upstreams.rs
@@ -88,7 +88,7 @@
         START,
         Coverage {
             scope: Scope::Site,
-            heard: 1,
+            reporting_hosts: 1,
             expected: 1,
             members: Some(1),
         },
@@ -178,7 +178,7 @@
     let mut limits = alone();
     let coverage = Coverage {
         scope: Scope::Group,
-        heard: 1,
+        reporting_hosts: 1,
         expected: 1,
         members: Some(1),
     };
