--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -21,17 +21,18 @@
 ) -> Option<Name> {
     let now = host.now();
     let upstreams = host.upstreams.borrow();
-    let view = host.orderer_state.borrow();
+    let orderer_state = host.orderer_state.borrow();
     let cap = connection_cap(host, request);
     let is_candidate = |upstream: &&Upstream| {
         upstream.in_flight < cap && !attempts.excluded.contains(&upstream.entry.id)
     };
     let chosen = match (&request.facts.model, request.at_engine) {
         (Some(model), true) => {
-            let holding =
-                holders(&upstreams, &view, now, &request.service, model).filter(is_candidate);
-            let with_work = holding.map(|upstream| (upstream, view.work(&upstream.entry.id)));
-            let copies = model_copies(&view, model, fetch_share(host, request));
+            let holding = holders(&upstreams, &orderer_state, now, &request.service, model)
+                .filter(is_candidate);
+            let with_work =
+                holding.map(|upstream| (upstream, orderer_state.work(&upstream.entry.id)));
+            let copies = model_copies(&orderer_state, model, fetch_share(host, request));
             pick::engine(
                 now,
                 &copies,
@@ -51,13 +52,13 @@
 }
 
 fn model_copies<'a>(
-    view: &CachedOrdererState,
+    orderer_state: &CachedOrdererState,
     model: &'a ModelRef,
     fetch_share: Option<f64>,
 ) -> ModelCopies<'a> {
     ModelCopies {
         name: &model.model,
-        separates_prompt_lengths: view.is_separate(&model.model),
+        separates_prompt_lengths: orderer_state.is_separate(&model.model),
         prefix_miss_cost: fetch_share.unwrap_or(1.0),
     }
 }
@@ -86,11 +87,11 @@
     let fetch_share = fetch_share(host, request)?;
     let now = host.now();
     let upstreams = host.upstreams.borrow();
-    let view = host.orderer_state.borrow();
-    let holding: Vec<&Upstream> = holders(&upstreams, &view, now, &request.service, model)
+    let orderer_state = host.orderer_state.borrow();
+    let holding: Vec<&Upstream> = holders(&upstreams, &orderer_state, now, &request.service, model)
         .filter(|other| !other.health.is_backing_off(now))
         .collect();
-    let copies = model_copies(&view, model, Some(fetch_share));
+    let copies = model_copies(&orderer_state, model, Some(fetch_share));
     let shape = prompt_shape(&request.facts);
     let source = pick::prefix_source(&copies, holding.into_iter(), shape, upstream)?;
     Some(source.address())
@@ -100,34 +101,35 @@
 /// published about an engine takes precedence over the engine's own entry in the list of upstreams.
 pub fn holders<'a>(
     upstreams: &'a Registry,
-    view: &'a CachedOrdererState,
+    orderer_state: &'a CachedOrdererState,
     now: Millis,
     service: &'a str,
     model: &'a ModelRef,
 ) -> impl Iterator<Item = &'a Upstream> {
     let listing = upstreams.listing_model(&model.model);
-    let published = view.holders(model);
+    let published = orderer_state.holders(model);
     let published = published.filter_map(|engine| upstreams.get_lifetime(engine));
     let published_only = published.filter(|upstream| !upstream.holds(&model.model, None));
     let serving = listing
         .chain(published_only)
         .filter(move |upstream| &*upstream.entry.service == service && !upstream.entry.leaving);
-    serving.filter(move |upstream| holds(view, now, upstream, model))
+    serving.filter(move |upstream| holds(orderer_state, now, upstream, model))
 }
 
 /// Tells whether an engine holds a model, as far as this host knows. An engine that recently
 /// refused a request because it lacks the model does not hold it.
 pub fn holds(
-    view: &CachedOrdererState,
+    orderer_state: &CachedOrdererState,
     now: Millis,
     upstream: &Upstream,
     model: &ModelRef,
 ) -> bool {
     let id = &upstream.entry.id;
-    if view.is_lacking(now, id, model) {
+    if orderer_state.is_lacking(now, id, model) {
         return false;
     }
-    view.holds(&upstream.lifetime(), model)
+    orderer_state
+        .holds(&upstream.lifetime(), model)
         .unwrap_or_else(|| upstream.holds(&model.model, model.adapter.as_deref()))
 }
 
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -1,7 +1,7 @@
 //! Follows the tables that the operator and the upstreams write in the platform's store.
 //!
-//! The orderer reads them often. The other hosts read only while they do not hear from the orderer
-//! how fresh their copies of the tables are.
+//! The orderer reads them often. The other hosts read only while the orderer does not report to
+//! them how fresh their copies of the tables are.
 
 use crate::entry::desired_copy::{self, DesiredCopy};
 use crate::entry::host::Host;
@@ -32,7 +32,7 @@
 /// while that is not much older than this. Two reads of one host every half second are a small part
 /// of what a hundred hosts would read themselves.
 const ORDERER_WAIT_MS: Millis = Millis(400);
-/// How much earlier than other hosts a relay reads a table on which the orderer is silent: two
+/// How much earlier than other hosts a relay reads a table while the orderer does not answer: two
 /// intervals at which hosts ask the relay. When the orderer of 195 hosts is cut off from the store,
 /// 18 of them read the tables.
 const RELAY_READS_EARLIER_MS: Millis = Millis(600);
@@ -347,8 +347,8 @@
         Table::Upstreams => bounds.drain_ms,
     };
     let longest_ms = wait_ms(bounds.contact_ms, known_within_ms, paused_ms);
-    // A relay reads before its hosts would, so that they hear the result in time and need not read
-    // themselves.
+    // A relay reads before its hosts would, so that they receive the result in time and need not
+    // read themselves.
     match host.is_relay() {
         true => (longest_ms - RELAY_READS_EARLIER_MS).max(MIN_WAIT_MS),
         false => longest_ms,
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -97,8 +97,8 @@
             SendOutcome::NotSent => attempts.exclude(upstream),
             SendOutcome::NotRun { lacks_model, .. } => {
                 if let (true, Some(model)) = (lacks_model, &request.facts.model) {
-                    let mut view = host.orderer_state.borrow_mut();
-                    view.note_lacking(host.now(), &upstream, model);
+                    let mut orderer_state = host.orderer_state.borrow_mut();
+                    orderer_state.note_lacking(host.now(), &upstream, model);
                 }
                 attempts.note_not_run(upstream);
             }
--- a/src/entry/lease_manager.rs
+++ b/src/entry/lease_manager.rs
@@ -18,10 +18,10 @@
 /// How often the holder checks whether its lease is to be renewed or given up.
 const LEASE_TICK_MS: Millis = Millis(100);
 /// How many times a host that does not hold the lease checks, in the interval between two reads of
-/// it, whether it still hears the holder. Hundreds of such hosts need no finer timing than that of
-/// their reads.
+/// it, whether the holder still answers it. Hundreds of such hosts need no finer timing than that
+/// of their reads.
 const CHECKS_PER_READ: u64 = 5;
-/// How often a host that hears of no orderer reads the lease: the first candidates soon, relays to
+/// How often a host that no orderer answers reads the lease: the first candidates soon, relays to
 /// find the next orderer for their hosts, the others only in case all of these are lost too. When a
 /// site of 195 hosts loses its orderer, the store gets some 25 reads a second, against some 100 if
 /// all hosts read every two seconds.
@@ -36,11 +36,11 @@
 const MAX_RECORD_BYTES: usize = 4 << 10;
 /// The most hosts that are asked to append one renewal.
 const MAX_RENEWAL_PEERS: usize = 2;
-/// How long a holder that hears from no other host keeps the lease. After that it counts as cut off
+/// How long a holder to which no other host reports keeps the lease. After that it counts as cut off
 /// from them, and releases the lease so that another host can claim it.
 const ISOLATED_MS: Millis = Millis(3_000);
 /// How long a host does not claim the lease after it gave it up because it could not renew it or
-/// heard from no other host.
+/// received no report of another host.
 const NO_CLAIM_MS: Millis = Millis(6_000);
 
 #[derive(Serialize)]
@@ -89,7 +89,7 @@
     lines::write(LogEvent::AppendUnknown, &ErrorLine { error });
 }
 
-/// Returns how often this host reads the lease while it hears of no orderer.
+/// Returns how often this host reads the lease while no orderer answers it.
 fn lease_read_ms<P: Platform>(host: &Host<P>, me: &Member) -> Millis {
     let members = host.members.borrow();
     let is_candidate = is_candidate(me, members.iter());
@@ -100,7 +100,7 @@
     }
 }
 
-/// Tells whether this host is to read the lease: it hears of no orderer, no relay looks for one in
+/// Tells whether this host is to read the lease: no orderer answers it, no relay looks for one in
 /// its place, and a read may show something new.
 fn should_read<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     !host.has_recent_orderer_answer(now)
@@ -109,7 +109,7 @@
 }
 
 /// Renews the lease when that is due. Gives it up when it can no longer be renewed, or when no
-/// other host is heard from.
+/// other host reports to it.
 async fn renew_or_give_up<P: Platform>(host: &Host<P>, peers: &Peers, now: Millis) {
     if host.orders.borrow().lease.is_failing(now) {
         let mut orders = host.orders.borrow_mut();
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -19,8 +19,8 @@
 /// How long a member stays listed without a renewal, so that one may be lost. A host whose process
 /// is suspended is named to callers for that long, and they send to it.
 const LAPSE_MS: Millis = Millis(2_200);
-/// For how long after its start a host that hears no orderer reads the group often; the memberships
-/// of the previous processes have lapsed by then.
+/// For how long after its start a host that no orderer answers reads the group often; the
+/// memberships of the previous processes have lapsed by then.
 const STARTUP_MS: Millis = Millis(5_000);
 /// The pauses after failed renewals in a row; the last one repeats, since refused calls are paid
 /// too.
@@ -32,6 +32,7 @@
     members: usize,
     joined: Vec<SocketAddr>,
     left: Vec<SocketAddr>,
+    /// Whether another host sent the change, rather than the group store.
     told: bool,
 }
 
@@ -156,9 +157,9 @@
     }
 }
 
-/// Tells whether this host started a moment ago and hears no orderer. When all hosts restart at
-/// once, the list shows the previous processes for a second or two, and no host finds a relay by
-/// it.
+/// Tells whether this host started a moment ago and no orderer answers it. When all hosts restart
+/// at once, the list shows the previous processes for a second or two, and no host finds a relay
+/// by it.
 fn is_starting_without_orderer<P: Platform>(host: &Host<P>, now: Millis) -> bool {
     host.age_ms(now) < STARTUP_MS && !host.has_recent_orderer_answer(now)
 }
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -44,7 +44,7 @@
     pub lease: Lease,
     /// What the engines hold by their reports, and the orders they were sent.
     pub inventory: EngineInventory,
-    /// What the hosts are told of the engines, versioned so that a host gets changes only.
+    /// The state of the engines as sent to the hosts, versioned so that a host gets changes only.
     pub published: PublishedEngines,
     /// The versions of the list of upstreams and of the desired state at the last update of the
     /// engines in the inventory.
@@ -104,8 +104,8 @@
         self.named_orderer = None;
     }
 
-    /// Adds the changes in the inventory to what the hosts are told. Does nothing without the
-    /// lease. An engine is left out as long as its entry in the list of upstreams says the same,
+    /// Adds the changes in the inventory to the state that is sent to the hosts. Does nothing
+    /// without the lease. An engine is left out as long as its entry in the list of upstreams says the same,
     /// since every host has the list.
     pub fn publish(&mut self, now: Millis, upstreams: &Registry) {
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
@@ -189,12 +189,12 @@
         };
         update_engines(&host, &table, now);
         request_due_reports(&host, &executor, now);
-        let unusable = unusable(&host, now);
+        let excluded = excluded_engines(&host, now);
         if host.orders.borrow().lease.may_order(now) {
-            plan_orders(&host, &table, &unusable, now);
+            plan_orders(&host, &table, &excluded, now);
             send_due_orders(&host, &executor, &me, now);
         }
-        let ready_at = expected_ready_at(&host, &table, &unusable, now);
+        let ready_at = expected_ready_at(&host, &table, &excluded, now);
         let mut orders = host.orders.borrow_mut();
         orders.ready_at = ready_at;
         orders.separate = orders.demand.split_models(now);
@@ -210,7 +210,7 @@
 fn expected_ready_at<P: Platform>(
     host: &Host<P>,
     table: &RouteTable,
-    unusable: &IndexSet<Name>,
+    excluded: &IndexSet<Name>,
     now: Millis,
 ) -> Vec<(ModelRef, Millis)> {
     let orders = host.orders.borrow();
@@ -229,7 +229,7 @@
             spec,
             inventory: &orders.inventory,
             demand: &orders.demand,
-            excluded: unusable,
+            excluded,
         };
         planner.ready_in_ms(timing)
     });
@@ -402,7 +402,7 @@
 fn plan_orders<P: Platform>(
     host: &Host<P>,
     table: &RouteTable,
-    unusable: &IndexSet<Name>,
+    excluded: &IndexSet<Name>,
     now: Millis,
 ) {
     let mut orders = host.orders.borrow_mut();
@@ -426,7 +426,7 @@
                 spec,
                 inventory,
                 demand,
-                excluded: unusable,
+                excluded,
             };
             let Some(planned) = planner.next(store_load_limiter) else {
                 break;
@@ -463,12 +463,12 @@
 
 /// Returns the engines that get no orders: those that are leaving, and those that are not called
 /// for a while after failures.
-fn unusable<P: Platform>(host: &Host<P>, now: Millis) -> IndexSet<Name> {
+fn excluded_engines<P: Platform>(host: &Host<P>, now: Millis) -> IndexSet<Name> {
     let upstreams = host.upstreams.borrow();
-    let unusable = upstreams
+    let excluded = upstreams
         .iter()
         .filter(|upstream| upstream.entry.leaving || upstream.health.is_backing_off(now));
-    unusable.map(|upstream| upstream.entry.id.clone()).collect()
+    excluded.map(|upstream| upstream.entry.id.clone()).collect()
 }
 
 fn send_due_orders<P: Platform + 'static>(
--- a/src/entry/tests/choice.rs
+++ b/src/entry/tests/choice.rs
@@ -46,8 +46,8 @@
                 });
             }
         }
-        let mut view = CachedOrdererState::default();
-        view.apply_engines(EnginesUpdate {
+        let mut state = CachedOrdererState::default();
+        state.apply_engines(EnginesUpdate {
             version: (1, 1),
             is_whole: true,
             engines: published,
@@ -56,12 +56,12 @@
         let now = Millis(10_000);
         let requested = model_ref(u.int_in_range(0..=2u8)?, u.arbitrary()?);
         let lacking: Name = format!("u{}", u.int_in_range(0..=5u8)?).into();
-        view.note_lacking(now, &lacking, &requested);
-        let found = holders(&upstreams, &view, now, "s", &requested);
+        state.note_lacking(now, &lacking, &requested);
+        let found = holders(&upstreams, &state, now, "s", &requested);
         let found: Vec<Name> = found.map(|engine| engine.entry.id.clone()).collect();
         let scanned = upstreams.iter().filter(|upstream| {
             let entry = &upstream.entry;
-            &*entry.service == "s" && !entry.leaving && holds(&view, now, upstream, &requested)
+            &*entry.service == "s" && !entry.leaving && holds(&state, now, upstream, &requested)
         });
         let scanned: IndexSet<Name> = scanned.map(|engine| engine.entry.id.clone()).collect();
         assert_eq!(found.len(), scanned.len(), "each engine is found once");
--- a/src/entry/tests/peers.rs
+++ b/src/entry/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Calls between hosts need a listed certificate on both sides.
 
-use super::site::{bind_peers, on_site, sync_ask};
+use super::site::{bind_peers, on_site, sync_request_from};
 use crate::entry::peers;
 use crate::ordering::message::{PeerCall, PeerReply, SyncReply, SyncRequest};
 use crate::prelude::*;
@@ -8,7 +8,7 @@
 fn sync_call() -> PeerCall {
     PeerCall::Sync(SyncRequest {
         is_for_orderer: true,
-        ..sync_ask(1)
+        ..sync_request_from(1)
     })
 }
 
--- a/src/entry/tests/site.rs
+++ b/src/entry/tests/site.rs
@@ -275,7 +275,7 @@
 }
 
 /// Returns the message of a host that has nothing to report and knows nothing.
-pub fn sync_ask(incarnation: u64) -> SyncRequest {
+pub fn sync_request_from(incarnation: u64) -> SyncRequest {
     SyncRequest {
         incarnation,
         is_for_orderer: false,
--- a/src/entry/tests/sync.rs
+++ b/src/entry/tests/sync.rs
@@ -1,7 +1,7 @@
 //! What a host replies to other hosts that ask it as a relay or as the orderer.
 
 use super::fake_platform::FakePlatform;
-use super::site::{Site, on_site, sync_ask};
+use super::site::{Site, on_site, sync_request_from};
 use crate::desired::{LimitUnit, Organisation, RateLimit};
 use crate::entry::host::Host;
 use crate::entry::limits;
@@ -24,7 +24,7 @@
 const ASKER: u64 = 7;
 
 fn sync_request() -> SyncRequest {
-    sync_ask(ASKER)
+    sync_request_from(ASKER)
 }
 
 fn work(running: u32) -> Vec<(Name, UpstreamLoad)> {
@@ -59,15 +59,15 @@
         },
         held: vec![held],
     };
-    let mut view = host.orderer_state.borrow_mut();
-    view.answered_at = Some(host.now() - age_ms);
-    view.apply_engines(EnginesUpdate {
+    let mut state = host.orderer_state.borrow_mut();
+    state.answered_at = Some(host.now() - age_ms);
+    state.apply_engines(EnginesUpdate {
         version: (3, 1),
         is_whole: true,
         engines: vec![engine],
         gone: Vec::new(),
     });
-    view.replace_work(work(10));
+    state.replace_work(work(10));
     host.orders
         .borrow_mut()
         .note_named_orderer(member(1, "there", 500));
@@ -305,7 +305,7 @@
                 ..sync_request()
             },
         );
-        let SyncReply::NotOrderer { crashes, .. } = answer(&site.host, sync_ask(8)) else {
+        let SyncReply::NotOrderer { crashes, .. } = answer(&site.host, sync_request_from(8)) else {
             panic!("the host must not be the orderer");
         };
         let forwarded = crashes.evidence.iter().map(|evidence| evidence.digest);
@@ -333,7 +333,7 @@
             ..sync_request()
         };
         answer(&site.host, report);
-        let SyncReply::NoNews { totals } = answer(&site.host, sync_ask(8)) else {
+        let SyncReply::NoNews { totals } = answer(&site.host, sync_request_from(8)) else {
             panic!("the relay must know of no orderer");
         };
         assert_eq!(totals.crashes.evidence[0].digest, digest);
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -74,7 +74,9 @@
 /// Applies the reply to a message, sent at `asked_at`, that carried this host's report.
 pub fn apply_update<P: Platform>(host: &Host<P>, asked_at: Millis, update: UpstreamLimitsUpdate) {
     merge_stated(host, &update.stated);
-    with_limits(host, |limits, _| limits.apply_reply(asked_at, update.levels));
+    with_limits(host, |limits, _| {
+        limits.apply_reply(asked_at, update.levels)
+    });
 }
 
 /// Applies limits that upstreams stated to other hosts, and logs those that changed.
--- a/src/ordering/lease.rs
+++ b/src/ordering/lease.rs
@@ -162,7 +162,7 @@
 
     /// Records the holder's statement, received at `now`, that the stream ends at `end` after its
     /// own record. The record was sent before the statement, so the holder's validity counts from
-    /// `now` at the latest. A host that hears from the holder regularly therefore knows the stream
+    /// `now` at the latest. A host that the holder answers regularly therefore knows the stream
     /// as unchanged since the holder's last statement, and not only since its own next read.
     pub fn note_reported_end(&mut self, now: Millis, end: Offset) {
         if self.holding.is_none() && self.end.is_none_or(|known| known < end) {
--- a/src/ordering/message.rs
+++ b/src/ordering/message.rs
@@ -206,7 +206,7 @@
         /// The requests that are known to crash upstreams.
         crashes: CrashUpdate,
     },
-    /// The called host is a relay that has not yet heard from an orderer.
+    /// The called host is a relay that has no answer of an orderer yet.
     NoNews {
         /// Values that the relay aggregates over its hosts.
         totals: Totals,
--- a/src/ordering/published.rs
+++ b/src/ordering/published.rs
@@ -12,7 +12,7 @@
 use crate::upstreams::Lifetime;
 use std::collections::VecDeque;
 
-/// The most removed engines that are remembered, so that hosts which still know them are told. A
+/// The most removed engines that are remembered, so that hosts which still list them drop them. A
 /// host with an older version receives the full state.
 const MAX_REMOVED: usize = 256;
 
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -102,8 +102,8 @@
         self.demand.record(at, host, report);
     }
 
-    fn request(&mut self, host: u64, at: Millis, asks: &[(ModelRef, RequestCounts)]) {
-        self.report(host, at, asks.to_vec(), Vec::new());
+    fn request(&mut self, host: u64, at: Millis, counts: &[(ModelRef, RequestCounts)]) {
+        self.report(host, at, counts.to_vec(), Vec::new());
     }
 
     fn next(&mut self, now: Millis) -> Option<PlannedOrder> {
--- a/src/ordering/tests/planner/waits.rs
+++ b/src/ordering/tests/planner/waits.rs
@@ -5,8 +5,8 @@
 #[test]
 fn the_prediction_includes_the_queue_at_the_weight_store() {
     let mut site = Site::new(spec(80_000.0, &[30_000.0, 30_000.0]), &[&[], &[]]);
-    let asks = [(model("m0"), waiting(5)), (model("m1"), waiting(1))];
-    site.request(1, NOW, &asks);
+    let counts = [(model("m0"), waiting(5)), (model("m1"), waiting(1))];
+    site.request(1, NOW, &counts);
     let ready_in = |site: &Site, now: Millis, name: &str| {
         let ready = site.ready_in_ms(now, TIMING);
         let found = ready.into_iter().find(|(ask, _)| *ask == model(name));
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -81,11 +81,11 @@
     }
 
     /// Returns whether the entry lists exactly the given models and adapters.
-    pub fn holds_exactly(&self, asks: &[ModelRef]) -> bool {
+    pub fn holds_exactly(&self, model_refs: &[ModelRef]) -> bool {
         let models = self.entry.models.iter();
         let listed: usize = models.map(|held| 1 + held.adapters.len()).sum();
         let holds = |ask: &ModelRef| self.holds(&ask.model, ask.adapter.as_deref());
-        listed == asks.len() && asks.iter().all(holds)
+        listed == model_refs.len() && model_refs.iter().all(holds)
     }
 }
 
