--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -171,8 +171,8 @@
             return Some(RetireReason::UpstreamLeaving);
         }
         let upstream = self.shared.placement.upstreams.get(&copy.load.upstream);
-        let places = self.demand.decided.data_centres_of(&copy.load.model);
-        if upstream.is_some_and(|upstream| !places.allow(&upstream.data_centre)) {
+        let data_centres = self.demand.decided.data_centres_of(&copy.load.model);
+        if upstream.is_some_and(|upstream| !data_centres.allow(&upstream.data_centre)) {
             return Some(RetireReason::DataCentre);
         }
         retired_by_table(copy, &self.demand.decided, &self.shared.table)
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -67,7 +67,7 @@
     /// How long the host paused before the next read.
     paused_ms: Millis,
     /// Whether the orderer, and not the store, last confirmed or changed this copy.
-    was_told_by_orderer: bool,
+    is_confirmed_by_orderer: bool,
     /// The pages of the whole table that were read before one failed, or before a relay is asked
     /// for the rest.
     partial: Option<PartialTable>,
@@ -105,7 +105,7 @@
         failures: 0,
         trims: 0,
         paused_ms: Millis::ZERO,
-        was_told_by_orderer: false,
+        is_confirmed_by_orderer: false,
         partial: None,
         is_cut: false,
     };
@@ -320,12 +320,12 @@
                 }
                 apply_rows(host, cursor, cursor.next, rows);
                 cursor.next = Some(end);
-                cursor.was_told_by_orderer = true;
+                cursor.is_confirmed_by_orderer = true;
                 host.replication.note_applied(cursor.table, end);
                 return Due::Nothing;
             }
             NextStep::WaitUntil(due_at) => {
-                cursor.was_told_by_orderer = true;
+                cursor.is_confirmed_by_orderer = true;
                 with_timeout(due_at.since(now), update).await;
             }
         }
@@ -359,8 +359,8 @@
 fn next_wait_ms<P: Platform>(host: &Host<P>, cursor: &mut Cursor) -> Millis {
     let paused_ms = std::mem::take(&mut cursor.paused_ms);
     let longest_ms = longest_wait_ms(host, cursor.table, paused_ms);
-    let was_told_by_orderer = std::mem::take(&mut cursor.was_told_by_orderer);
-    match (host.is_orderer(), was_told_by_orderer) {
+    let is_confirmed_by_orderer = std::mem::take(&mut cursor.is_confirmed_by_orderer);
+    match (host.is_orderer(), is_confirmed_by_orderer) {
         (true, _) => longest_ms.min(ORDERER_WAIT_MS),
         // The orderer last said something so long ago that a change could stay unknown for too
         // long.
--- a/src/entry/lease_manager.rs
+++ b/src/entry/lease_manager.rs
@@ -36,8 +36,8 @@
 const MAX_RECORD_BYTES: usize = 4 << 10;
 /// The most hosts that are asked to append one renewal.
 const MAX_RENEWAL_PEERS: usize = 2;
-/// How long a holder to which no other host reports keeps the lease. After that it counts as cut off
-/// from them, and releases the lease so that another host can claim it.
+/// How long a holder to which no other host reports keeps the lease. After that it counts as cut
+/// off from them, and releases the lease so that another host can claim it.
 const ISOLATED_MS: Millis = Millis(3_000);
 /// How long a host does not claim the lease after it gave it up because it could not renew it or
 /// received no report of another host.
@@ -251,7 +251,7 @@
     let read = host
         .count_call(StoreCall::ReadLeases, host.platform.read_leases(from))
         .await?;
-    let newest = take_newest(host, read.newest);
+    let newest = decode_newest(host, read.newest);
     let mut orders = host.orders.borrow_mut();
     match newest {
         Some(newest) => orders.lease.note_moved(asked_at, read.end, newest),
@@ -298,7 +298,7 @@
     let read = host
         .count_call(StoreCall::ReadLeases, host.platform.read_leases(from))
         .await?;
-    let newest = take_newest(host, read.newest);
+    let newest = decode_newest(host, read.newest);
     let claim_end = {
         let mut orders = host.orders.borrow_mut();
         orders.lease.note_read(asked_at, read.end, newest);
@@ -361,9 +361,9 @@
     host.set_accepted_peers(holder.as_ref());
 }
 
-/// Decodes the newest record, and takes over the evidence of crashes that its writer left for all
+/// Decodes the newest record, and adds the evidence of crashes that its writer left for all
 /// hosts.
-fn take_newest<P: Platform>(host: &Host<P>, bytes: Option<Vec<u8>>) -> Option<LeaseRecord> {
+fn decode_newest<P: Platform>(host: &Host<P>, bytes: Option<Vec<u8>>) -> Option<LeaseRecord> {
     let record = decode_record(&bytes?)?;
     crashes::restore_evidence(host, &record.learned.crashes);
     Some(record)
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -105,8 +105,8 @@
     }
 
     /// Adds the changes in the inventory to the state that is sent to the hosts. Does nothing
-    /// without the lease. An engine is left out as long as its entry in the list of upstreams says the same,
-    /// since every host has the list.
+    /// without the lease. An engine is left out as long as its entry in the list of upstreams says
+    /// the same, since every host has the list.
     pub fn publish(&mut self, now: Millis, upstreams: &Registry) {
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
             return;
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -1,5 +1,5 @@
 //! The exchange of state between hosts and the orderer, in large sites through relays. Hosts report
-//! demand and work; the orderer tells them what the engines hold.
+//! demand and work; the orderer replies with the state of the engines.
 
 use crate::entry::crashes;
 use crate::entry::host::Host;
@@ -27,7 +27,7 @@
 /// The minimum pause between two exchanges.
 const MIN_SYNC_INTERVAL_MS: Millis = Millis(4);
 
-/// Answers another host's report: as the orderer, or as a relay with what the orderer last said.
+/// Answers another host's report: as the orderer, or as a relay with the orderer's last state.
 pub fn answer<P: Platform>(host: &Host<P>, request: SyncRequest) -> SyncReply {
     match (
         host.is_orderer(),
--- a/src/ordering/cached_orderer_state.rs
+++ b/src/ordering/cached_orderer_state.rs
@@ -9,8 +9,8 @@
 /// How long an engine is avoided for a model after it refused a request because it lacks the model.
 /// This is about the age of what hosts know.
 const REFUSAL_VALIDITY_MS: Millis = Millis(150);
-/// The same while the orderer does not answer and the state that proved wrong is its newest. Otherwise
-/// the host would send each request to the same engine twice and refuse it.
+/// The same while the orderer does not answer and the state that proved wrong is its newest.
+/// Otherwise the host would send each request to the same engine twice and refuse it.
 const STALE_REFUSAL_VALIDITY_MS: Millis = Millis(5_000);
 /// The age from which the orderer's state is stale. At a site of some 80 hosts, each exchanges
 /// messages with the orderer once per second.
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -161,8 +161,8 @@
     pub fn window(&self, from: u64, max: usize) -> impl Iterator<Item = &Engine> {
         let count = self.engines.len();
         let start = (from % count.max(1) as u64) as usize;
-        let places = (start..start + max.min(count)).map(move |at| at % count);
-        self.count_visits(places.filter_map(|at| Some(self.engines.get_index(at)?.1)))
+        let indices = (start..start + max.min(count)).map(move |at| at % count);
+        self.count_visits(indices.filter_map(|at| Some(self.engines.get_index(at)?.1)))
     }
 
     /// Returns the engines with these names; unknown names are left out.
--- a/src/ordering/free_memory.rs
+++ b/src/ordering/free_memory.rs
@@ -30,13 +30,13 @@
         let missing = models.filter(|(model, _)| is_missing(model));
         let has_requests = self.demand.had_requests_within(self.now, RECENT_REQUEST_MS);
         for (model, spec) in missing.take(MAX_MISSING) {
-            let place = self
+            let candidate = self
                 .candidates(index, model)
                 .filter(|engine| self.has_room(engine, spec.weights_mb))
                 // The engine with the least free memory is used, to keep room for the largest
                 // models.
                 .max_by(|a, b| self.used_mb(a).total_cmp(&self.used_mb(b)));
-            let Some(engine) = place else { continue };
+            let Some(engine) = candidate else { continue };
             let is_cached = engine.cached_models.contains(model);
             if !is_cached
                 && !limiter.admits_unrequested(
@@ -93,7 +93,7 @@
     ) -> Option<PlannedOrder> {
         let spec = self.spec.models.get(need.model)?;
         let tokens_per_copy = need.demand.tokens_per_s / need.copies as f64;
-        let places = self
+        let candidates = self
             .engines_caching(index, need.model)
             .filter(|engine| self.is_available(engine))
             .filter(|engine| !engine.copies.contains_key(need.model))
@@ -104,7 +104,7 @@
             })
             // An engine that already reads as many prompt tokens takes no work off the others.
             .filter(|(cost, _)| *cost < tokens_per_copy);
-        let (_, engine) = places.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
+        let (_, engine) = candidates.min_by(|(a, _), (b, _)| a.total_cmp(b))?;
         Some(PlannedOrder {
             engine: engine.id.clone(),
             action: Action::Load,
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -309,7 +309,7 @@
         may_use_store: bool,
     ) -> Option<PlannedOrder> {
         let spec = self.spec.models.get(need.model)?;
-        let places = engines
+        let candidates = engines
             .filter(|engine| !engine.copies.contains_key(need.model))
             .filter(|engine| may_use_store || engine.cached_models.contains(need.model))
             .filter_map(|engine| {
@@ -325,7 +325,7 @@
                     lost_demand + store_cost + prompt_demand + self.blocked_adapters_cost(engine);
                 Some((cost, engine, victims))
             });
-        let (_, engine, victims) = places.min_by(|(a, ..), (b, ..)| a.total_cmp(b))?;
+        let (_, engine, victims) = candidates.min_by(|(a, ..), (b, ..)| a.total_cmp(b))?;
         let model = |model: &Name| ModelRef {
             model: model.clone(),
             adapter: None,
--- a/src/shared_log/driver.rs
+++ b/src/shared_log/driver.rs
@@ -147,8 +147,8 @@
         self.halted
     }
 
-    /// Stops reading and appending permanently. It is called when the next record has a newer format
-    /// than this release knows.
+    /// Stops reading and appending permanently. It is called when the next record has a newer
+    /// format than this release knows.
     pub fn halt(&mut self) {
         self.halted = true;
         self.reachable = false;
