--- a/src/daemon/upstream_flow.rs
+++ b/src/daemon/upstream_flow.rs
@@ -13,8 +13,8 @@
         self.mark_leaving_at(upstream, self.freshness.now());
     }
 
-    fn mark_leaving_at(&mut self, upstream: &Name, said_at: Millis) {
-        if self.leaving.mark(upstream, said_at) {
+    fn mark_leaving_at(&mut self, upstream: &Name, reported_at: Millis) {
+        if self.leaving.mark(upstream, reported_at) {
             LogEvent::UpstreamLeaving.write(&format!("upstream={upstream}"));
         }
         self.routing.view_mut(upstream).leaving = true;
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -382,9 +382,11 @@
 /// change is being written is not woken by it; so the wait fits into the time in which the change
 /// must be known. Shorter waits cost more calls.
 pub fn wait_ms(contact_ms: Millis, known_within_ms: Millis, paused_ms: Millis) -> Millis {
-    let for_silence = contact_ms - paused_ms - ANSWER_TIMEOUT_MS - MARGIN_MS;
-    let for_missed_wakeup = known_within_ms - ANSWER_TIMEOUT_MS;
-    for_silence.min(for_missed_wakeup).max(MIN_WAIT_MS)
+    let max_silent_connection_ms = contact_ms - paused_ms - ANSWER_TIMEOUT_MS - MARGIN_MS;
+    let max_missed_wakeup_ms = known_within_ms - ANSWER_TIMEOUT_MS;
+    max_silent_connection_ms
+        .min(max_missed_wakeup_ms)
+        .max(MIN_WAIT_MS)
 }
 
 fn note_success(cursor: &mut Cursor) {
--- a/src/entry/host.rs
+++ b/src/entry/host.rs
@@ -208,9 +208,12 @@
     /// can go on using its open connections, also after the group dropped it.
     pub fn is_unknown_to_others(&self, me: &Member) -> bool {
         let members = self.members.borrow();
-        let was_heard = self.orderer_state.borrow().answered_at.is_some();
+        let has_orderer_answer = self.orderer_state.borrow().answered_at.is_some();
         let may_be_many = may_have_many_unlisted(members.count());
-        members.confirmed_at().is_some() && may_be_many && !members.contains(me) && !was_heard
+        members.confirmed_at().is_some()
+            && may_be_many
+            && !members.contains(me)
+            && !has_orderer_answer
     }
 
     /// Tells whether callers should send requests to this host; the answer to the readiness probe.
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -177,9 +177,9 @@
     executor: Rc<LocalExecutor<'static>>,
 ) {
     loop {
-        let want = host.next_sync_request();
+        let sync_request = host.next_sync_request();
         Timer::after(min_plan_interval_ms(&host).to_duration()).await;
-        with_timeout(PLAN_INTERVAL_MS, want).await;
+        with_timeout(PLAN_INTERVAL_MS, sync_request).await;
         let now = host.now();
         if !host.is_orderer() {
             continue;
--- a/src/entry/tests/organisations.rs
+++ b/src/entry/tests/organisations.rs
@@ -119,9 +119,9 @@
         let limited = organisation(&["k1"], Some(LIMIT));
         list_host(&site);
         apply(&site, 1, limited).await;
-        let hurried = request("Key: k1\r\n").replace("5000", "100");
+        let short_deadline = request("Key: k1\r\n").replace("5000", "100");
         for _ in 0..20 {
-            let answer = site.call(&hurried).await;
+            let answer = site.call(&short_deadline).await;
             assert_eq!(answer.head.status, 503);
         }
     });
--- a/src/entry/tests/upstream_limits.rs
+++ b/src/entry/tests/upstream_limits.rs
@@ -62,7 +62,7 @@
         }
         let max = max_in_window(&limited);
         assert!(max <= MAX_IN_WINDOW, "{max}");
-        let at_limited = limited.arrivals.borrow().len();
-        assert_eq!(at_limited + other.arrivals.borrow().len(), 60);
+        let sent_to_limited = limited.arrivals.borrow().len();
+        assert_eq!(sent_to_limited + other.arrivals.borrow().len(), 60);
     });
 }
--- a/src/membership/leaving.rs
+++ b/src/membership/leaving.rs
@@ -33,25 +33,25 @@
 }
 
 impl Leaving {
-    /// Marks an upstream as leaving by a first-hand report of `said_at`. Returns whether the
+    /// Marks an upstream as leaving by a first-hand report of `reported_at`. Returns whether the
     /// upstream is newly marked. A report that is not newer than the last [`clear`](Self::clear)
     /// has no effect, nor has one beyond [`MAX_MARKS`].
-    pub fn mark(&mut self, upstream: &Name, said_at: Millis) -> bool {
+    pub fn mark(&mut self, upstream: &Name, reported_at: Millis) -> bool {
         if self
             .live_at
             .get(upstream)
-            .is_some_and(|live_at| *live_at >= said_at)
+            .is_some_and(|live_at| *live_at >= reported_at)
         {
             return false;
         }
         if let Some(known) = self.said_at.get_mut(upstream) {
-            *known = (*known).max(said_at);
+            *known = (*known).max(reported_at);
             return false;
         }
         if self.said_at.len() >= MAX_MARKS {
             return false;
         }
-        self.said_at.insert(upstream.clone(), said_at);
+        self.said_at.insert(upstream.clone(), reported_at);
         true
     }
 
--- a/src/membership/tests/leaving.rs
+++ b/src/membership/tests/leaving.rs
@@ -10,10 +10,10 @@
 fn hints_passed_between_hosts_do_not_extend_a_mark() {
     let upstream: Name = "engine-1".into();
     let mut hosts = [Leaving::default(), Leaving::default()];
-    let said_at = Millis(1_000_000);
-    assert!(hosts[0].mark(&upstream, said_at));
-    let mut now = said_at;
-    while now.since(said_at) <= LEAVING_MARK_MS {
+    let reported_at = Millis(1_000_000);
+    assert!(hosts[0].mark(&upstream, reported_at));
+    let mut now = reported_at;
+    while now.since(reported_at) <= LEAVING_MARK_MS {
         let (from, to) = if now.0.is_multiple_of(2_000) {
             (0, 1)
         } else {
@@ -32,11 +32,11 @@
 fn a_hint_from_before_a_mark_was_cleared_has_no_effect() {
     let upstream: Name = "engine-1".into();
     let mut leaving = Leaving::default();
-    let said_at = Millis(1_000_000);
-    let live_at = said_at + Millis(500);
-    assert!(leaving.mark(&upstream, said_at));
+    let reported_at = Millis(1_000_000);
+    let live_at = reported_at + Millis(500);
+    assert!(leaving.mark(&upstream, reported_at));
     leaving.clear(&upstream, live_at);
-    assert!(!leaving.mark(&upstream, said_at));
+    assert!(!leaving.mark(&upstream, reported_at));
     assert!(!leaving.is_marked(&upstream));
     assert!(leaving.mark(&upstream, live_at + Millis(1)));
 }
--- a/src/ordering/planner.rs
+++ b/src/ordering/planner.rs
@@ -404,8 +404,8 @@
         let is_surplus = copies > 2 && need.copies == 0 && self.demand.running_at(&engine.id) == 0;
         // A copy beyond what the demand needs serves few requests, which other copies can take.
         let exceeds_demand = copies > held.target.max(1) && demand.running as usize <= copies;
-        let may_go = is_idle || is_surplus || exceeds_demand;
-        may_go.then(|| demand.tokens_per_s / copies as f64)
+        let may_be_unloaded = is_idle || is_surplus || exceeds_demand;
+        may_be_unloaded.then(|| demand.tokens_per_s / copies as f64)
     }
 
     /// Returns the cost of a load on an engine because it delays adapters there. Only models with
