--- a/src/entry/answer_relay.rs
+++ b/src/entry/answer_relay.rs
@@ -89,7 +89,7 @@
         _ => BodyFraming::Length(body_start.len() as u64),
     };
     note_first_byte(host, request, log);
-    let written = out.write_whole(&head, form, &body_start).await;
+    let written = out.write_complete(&head, form, &body_start).await;
     return_to_pool(host, &upstream.id, connection, &head, reader);
     match written {
         Ok(()) => RelayOutcome::Complete,
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -361,7 +361,7 @@
     /// # Errors
     ///
     /// Returns why the connection broke.
-    pub async fn write_whole(
+    pub async fn write_complete(
         &mut self,
         head: &ResponseHead,
         form: BodyFraming,
@@ -443,7 +443,7 @@
             framing: crate::http1::Framing::Empty,
             keep_alive: true,
         };
-        self.write_whole(&head, BodyFraming::Length(body.len() as u64), &body)
+        self.write_complete(&head, BodyFraming::Length(body.len() as u64), &body)
             .await
     }
 
