--- a/src/daemon/life_flow.rs
+++ b/src/daemon/life_flow.rs
@@ -23,7 +23,7 @@
     }
 
     /// Advances the lifecycle if the condition for its next phase is met. Runs at each tick.
-    pub fn tick_life(&mut self, now: Millis, fx: &mut Effects) {
+    pub fn tick_lifecycle(&mut self, now: Millis, fx: &mut Effects) {
         match self.life {
             Life::CatchingUp => {
                 if self.driver.end_seen_at().is_some() {
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -234,7 +234,7 @@
         self.tick_checkpoint(now);
         self.tick_placement(now, fx);
         self.tick_requests(now, fx);
-        self.tick_life(now, fx);
+        self.tick_lifecycle(now, fx);
     }
 
     /// Returns whether this host's state is fresh, and no record of a newer release stopped the
