--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -1,7 +1,7 @@
 //! Follows the tables that the operator and the upstreams write in the platform's store.
 //!
-//! The orderer reads them often. The other hosts read only while they do not hear from the orderer
-//! how fresh their copies of the tables are.
+//! The orderer reads them often. The other hosts read only while the orderer does not report to
+//! them how fresh their copies of the tables are.
 
 use crate::entry::desired_copy::{self, DesiredCopy};
 use crate::entry::host::Host;
@@ -32,7 +32,7 @@
 /// while that is not much older than this. Two reads of one host every half second are a small part
 /// of what a hundred hosts would read themselves.
 const ORDERER_WAIT_MS: Millis = Millis(400);
-/// How much earlier than other hosts a relay reads a table on which the orderer is silent: two
+/// How much earlier than other hosts a relay reads a table while the orderer does not answer: two
 /// intervals at which hosts ask the relay. When the orderer of 195 hosts is cut off from the store,
 /// 18 of them read the tables.
 const RELAY_READS_EARLIER_MS: Millis = Millis(600);
@@ -67,7 +67,7 @@
     /// How long the host paused before the next read.
     paused_ms: Millis,
     /// Whether the orderer, and not the store, last confirmed or changed this copy.
-    was_told_by_orderer: bool,
+    is_confirmed_by_orderer: bool,
     /// The pages of the whole table that were read before one failed, or before a relay is asked
     /// for the rest.
     partial: Option<PartialTable>,
@@ -105,7 +105,7 @@
         failures: 0,
         trims: 0,
         paused_ms: Millis::ZERO,
-        was_told_by_orderer: false,
+        is_confirmed_by_orderer: false,
         partial: None,
         is_cut: false,
     };
@@ -320,12 +320,12 @@
                 }
                 apply_rows(host, cursor, cursor.next, rows);
                 cursor.next = Some(end);
-                cursor.was_told_by_orderer = true;
+                cursor.is_confirmed_by_orderer = true;
                 host.replication.note_applied(cursor.table, end);
                 return Due::Nothing;
             }
             NextStep::WaitUntil(due_at) => {
-                cursor.was_told_by_orderer = true;
+                cursor.is_confirmed_by_orderer = true;
                 with_timeout(due_at.since(now), update).await;
             }
         }
@@ -347,8 +347,8 @@
         Table::Upstreams => bounds.drain_ms,
     };
     let longest_ms = wait_ms(bounds.contact_ms, known_within_ms, paused_ms);
-    // A relay reads before its hosts would, so that they hear the result in time and need not read
-    // themselves.
+    // A relay reads before its hosts would, so that they receive the result in time and need not
+    // read themselves.
     match host.is_relay() {
         true => (longest_ms - RELAY_READS_EARLIER_MS).max(MIN_WAIT_MS),
         false => longest_ms,
@@ -359,8 +359,8 @@
 fn next_wait_ms<P: Platform>(host: &Host<P>, cursor: &mut Cursor) -> Millis {
     let paused_ms = std::mem::take(&mut cursor.paused_ms);
     let longest_ms = longest_wait_ms(host, cursor.table, paused_ms);
-    let was_told_by_orderer = std::mem::take(&mut cursor.was_told_by_orderer);
-    match (host.is_orderer(), was_told_by_orderer) {
+    let is_confirmed_by_orderer = std::mem::take(&mut cursor.is_confirmed_by_orderer);
+    match (host.is_orderer(), is_confirmed_by_orderer) {
         (true, _) => longest_ms.min(ORDERER_WAIT_MS),
         // The orderer last said something so long ago that a change could stay unknown for too
         // long.
@@ -382,9 +382,11 @@
 /// change is being written is not woken by it; so the wait fits into the time in which the change
 /// must be known. Shorter waits cost more calls.
 pub fn wait_ms(contact_ms: Millis, known_within_ms: Millis, paused_ms: Millis) -> Millis {
-    let for_silence = contact_ms - paused_ms - ANSWER_TIMEOUT_MS - MARGIN_MS;
-    let for_missed_wakeup = known_within_ms - ANSWER_TIMEOUT_MS;
-    for_silence.min(for_missed_wakeup).max(MIN_WAIT_MS)
+    let max_silent_connection_ms = contact_ms - paused_ms - ANSWER_TIMEOUT_MS - MARGIN_MS;
+    let max_missed_wakeup_ms = known_within_ms - ANSWER_TIMEOUT_MS;
+    max_silent_connection_ms
+        .min(max_missed_wakeup_ms)
+        .max(MIN_WAIT_MS)
 }
 
 fn note_success(cursor: &mut Cursor) {
@@ -492,13 +494,13 @@
     size: PageSize,
 ) -> Result<bool, StoreError> {
     let asked_at = host.now();
-    let ask = ChangesQuery {
+    let query = ChangesQuery {
         from,
         wait_ms: next_wait_ms(host, cursor),
         answer_ms: ANSWER_TIMEOUT_MS,
         size,
     };
-    let read = host.platform.follow_table(cursor.table, ask);
+    let read = host.platform.follow_table(cursor.table, query);
     let page = host.count_call(StoreCall::FollowTable, read).await?;
     let TablePage { rows, end, .. } = page;
     cursor.next = Some(end);
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -92,18 +92,18 @@
                 if let Some(ended) = finish(host, request, out, log, &mut attempts, answer).await {
                     return ended;
                 }
-                attempts.note_perhaps_run(upstream);
+                attempts.note_may_have_run(upstream);
             }
             SendOutcome::NotSent => attempts.exclude(upstream),
             SendOutcome::NotRun { lacks_model, .. } => {
                 if let (true, Some(model)) = (lacks_model, &request.facts.model) {
-                    let mut view = host.orderer_state.borrow_mut();
-                    view.note_lacking(host.now(), &upstream, model);
+                    let mut orderer_state = host.orderer_state.borrow_mut();
+                    orderer_state.note_lacking(host.now(), &upstream, model);
                 }
                 attempts.note_not_run(upstream);
             }
             SendOutcome::MayHaveRun => {
-                attempts.note_perhaps_run(upstream);
+                attempts.note_may_have_run(upstream);
             }
         }
         let may_not_run_again = request.route.repeat == Repeat::Once && attempts.runs > 0;
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -151,7 +151,7 @@
 /// Adds the use that another host reports.
 pub fn merge_usage<P: Platform>(host: &Host<P>, usage: &[Usage]) {
     with_limiter(host, |limiter, now, table| {
-        limiter.take_usage(now, usage, table);
+        limiter.record_usage(now, usage, table);
     });
 }
 
@@ -168,11 +168,11 @@
 }
 
 /// Applies the reply to a message, sent at `asked_at`, that reported this host's use.
-pub fn take_reply<P: Platform>(host: &Host<P>, asked_at: Millis, news: Option<LimitsUpdate>) {
-    with_limiter(host, |limiter, _, _| limiter.take_reply(asked_at, news));
+pub fn apply_reply<P: Platform>(host: &Host<P>, asked_at: Millis, update: Option<LimitsUpdate>) {
+    with_limiter(host, |limiter, _, _| limiter.apply_reply(asked_at, update));
 }
 
-/// Calls `with` on the limiter after telling it this host's present place in the site. Returns none
+/// Calls `with` on the limiter after setting which hosts this host covers at present. Returns none
 /// before there is a desired state.
 fn with_limiter<P: Platform, T>(
     host: &Host<P>,
@@ -180,28 +180,28 @@
 ) -> Option<T> {
     let table = host.routes.borrow().clone()?;
     let now = host.now();
-    let place = place(host);
+    let coverage = coverage(host);
     let limiter = &mut host.limits.borrow_mut().organisations;
-    limiter.set_coverage(now, place, &table.rate_limits);
+    limiter.set_coverage(now, coverage, &table.rate_limits);
     Some(with(limiter, now, &table.rate_limits))
 }
 
 /// Returns the part of the site that this host decides for and how many hosts report to it: the
 /// whole site as the orderer, its own group as a relay, only itself otherwise.
-pub fn place<P: Platform>(host: &Host<P>) -> Coverage {
+pub fn coverage<P: Platform>(host: &Host<P>) -> Coverage {
     let members = host.members.borrow();
     let known = members.count_serving(host.now());
     let tree = host.tree.borrow();
     match (host.is_orderer(), tree.is_relay(host.incarnation)) {
         (true, _) => Coverage {
             scope: Scope::Site,
-            heard: host.orders.borrow().demand.live_hosts(),
+            reporting_hosts: host.orders.borrow().demand.live_hosts(),
             expected: members.count(),
             members: known,
         },
         (false, is_relay) => Coverage {
             scope: Scope::Group,
-            heard: 1 + host.relay_aggregate.borrow().relayed_hosts(),
+            reporting_hosts: 1 + host.relay_aggregate.borrow().relayed_hosts(),
             expected: if is_relay { tree.hosts_per_relay() } else { 1 },
             members: known,
         },
--- a/src/entry/orderer.rs
+++ b/src/entry/orderer.rs
@@ -44,7 +44,7 @@
     pub lease: Lease,
     /// What the engines hold by their reports, and the orders they were sent.
     pub inventory: EngineInventory,
-    /// What the hosts are told of the engines, versioned so that a host gets changes only.
+    /// The state of the engines as sent to the hosts, versioned so that a host gets changes only.
     pub published: PublishedEngines,
     /// The versions of the list of upstreams and of the desired state at the last update of the
     /// engines in the inventory.
@@ -61,8 +61,8 @@
     pub separate: Vec<Name>,
     /// The learned limit of concurrent loads from the weight store; none before the first plan of
     /// this holding.
-    pub ceiling: Option<StoreLoadLimiter>,
-    /// Since when the orderer has heard from no other host; none while it hears from some.
+    pub store_load_limiter: Option<StoreLoadLimiter>,
+    /// Since when the orderer has received no report of another host; none while it receives some.
     pub isolated_since: Option<Millis>,
     /// Until when this host does not claim the lease, so that another host can.
     pub no_claim_until: Millis,
@@ -75,7 +75,7 @@
     /// else a former one has learned; nothing when none has.
     pub fn store_loads_at_once(&self) -> Option<usize> {
         let own = self
-            .ceiling
+            .store_load_limiter
             .as_ref()
             .and_then(StoreLoadLimiter::learned_max_concurrent);
         own.or(self.lease.store_loads_at_once())
@@ -104,9 +104,9 @@
         self.named_orderer = None;
     }
 
-    /// Adds the changes in the inventory to what the hosts are told. Does nothing without the
-    /// lease. An engine is left out as long as its entry in the list of upstreams says the same,
-    /// since every host has the list.
+    /// Adds the changes in the inventory to the state that is sent to the hosts. Does nothing
+    /// without the lease. An engine is left out as long as its entry in the list of upstreams says
+    /// the same, since every host has the list.
     pub fn publish(&mut self, now: Millis, upstreams: &Registry) {
         let Some(fence) = self.lease.holding().map(|holding| holding.fence) else {
             return;
@@ -177,9 +177,9 @@
     executor: Rc<LocalExecutor<'static>>,
 ) {
     loop {
-        let want = host.next_sync_request();
+        let sync_request = host.next_sync_request();
         Timer::after(min_plan_interval_ms(&host).to_duration()).await;
-        with_timeout(PLAN_INTERVAL_MS, want).await;
+        with_timeout(PLAN_INTERVAL_MS, sync_request).await;
         let now = host.now();
         if !host.is_orderer() {
             continue;
@@ -189,12 +189,12 @@
         };
         update_engines(&host, &table, now);
         request_due_reports(&host, &executor, now);
-        let unusable = unusable(&host, now);
+        let excluded = excluded_engines(&host, now);
         if host.orders.borrow().lease.may_order(now) {
-            plan_orders(&host, &table, &unusable, now);
+            plan_orders(&host, &table, &excluded, now);
             send_due_orders(&host, &executor, &me, now);
         }
-        let ready_at = expected_ready_at(&host, &table, &unusable, now);
+        let ready_at = expected_ready_at(&host, &table, &excluded, now);
         let mut orders = host.orders.borrow_mut();
         orders.ready_at = ready_at;
         orders.separate = orders.demand.split_models(now);
@@ -210,14 +210,14 @@
 fn expected_ready_at<P: Platform>(
     host: &Host<P>,
     table: &RouteTable,
-    unusable: &IndexSet<Name>,
+    excluded: &IndexSet<Name>,
     now: Millis,
 ) -> Vec<(ModelRef, Millis)> {
     let orders = host.orders.borrow();
     let holding = orders.lease.holding();
-    let pace = OrderTiming {
+    let timing = OrderTiming {
         store_loads_at_once: orders
-            .ceiling
+            .store_load_limiter
             .as_ref()
             .map_or(1, StoreLoadLimiter::max_concurrent),
         orders_in_ms: holding.map_or(Millis::ZERO, |holding| holding.orders_from.since(now)),
@@ -229,11 +229,13 @@
             spec,
             inventory: &orders.inventory,
             demand: &orders.demand,
-            excluded: unusable,
+            excluded,
         };
-        planner.ready_in_ms(pace)
+        planner.ready_in_ms(timing)
     });
-    let ready = specs.flatten().map(|(ask, in_ms)| (ask, now + in_ms));
+    let ready = specs
+        .flatten()
+        .map(|(model_ref, in_ms)| (model_ref, now + in_ms));
     ready.collect()
 }
 
@@ -331,9 +333,9 @@
         if from_store
             && let Some(took_ms) = took_ms
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
-            && let Some(ceiling) = &mut orders.ceiling
+            && let Some(store_load_limiter) = &mut orders.store_load_limiter
         {
-            ceiling.record_finish(took_ms, stated_ms, concurrent_loads);
+            store_load_limiter.record_finish(took_ms, stated_ms, concurrent_loads);
         }
         let line = LoadedLine {
             upstream: id,
@@ -341,7 +343,7 @@
             took_ms,
             from_store,
             store_loads_at_once: orders
-                .ceiling
+                .store_load_limiter
                 .as_ref()
                 .map_or(0, StoreLoadLimiter::max_concurrent),
         };
@@ -382,9 +384,9 @@
     {
         if let Some(took_ms) = took_ms
             && let Some(stated_ms) = stated_load_ms(host, id, &model)
-            && let Some(ceiling) = &mut orders.ceiling
+            && let Some(store_load_limiter) = &mut orders.store_load_limiter
         {
-            ceiling.record_overdue(took_ms, stated_ms, concurrent_loads);
+            store_load_limiter.record_overdue(took_ms, stated_ms, concurrent_loads);
         }
     }
 }
@@ -400,21 +402,21 @@
 fn plan_orders<P: Platform>(
     host: &Host<P>,
     table: &RouteTable,
-    unusable: &IndexSet<Name>,
+    excluded: &IndexSet<Name>,
     now: Millis,
 ) {
     let mut orders = host.orders.borrow_mut();
     orders.demand.expire(now);
     orders.inventory.assume_unloaded(now);
     let OrderingState {
-        inventory: ledger,
-        demand: book,
-        ceiling,
+        inventory,
+        demand,
+        store_load_limiter,
         lease,
         ..
     } = &mut *orders;
-    let ceiling =
-        ceiling.get_or_insert_with(|| StoreLoadLimiter::new(now, lease.store_loads_at_once()));
+    let store_load_limiter = store_load_limiter
+        .get_or_insert_with(|| StoreLoadLimiter::new(now, lease.store_loads_at_once()));
     let fence = lease.holding().map_or(0, |holding| holding.fence);
     for (service, spec) in engine_specs(table) {
         for _ in 0..MAX_ORDERS_PER_ROUND {
@@ -422,25 +424,25 @@
                 now,
                 service,
                 spec,
-                inventory: ledger,
-                demand: book,
-                excluded: unusable,
+                inventory,
+                demand,
+                excluded,
             };
-            let Some(planned) = planner.next(ceiling) else {
+            let Some(planned) = planner.next(store_load_limiter) else {
                 break;
             };
             let load = planner.load_time(&planned);
             let PlannedOrder {
                 engine,
                 action,
-                ask,
+                model_ref,
                 freed_for,
                 why,
             } = planned;
             if load.from_store && action == Action::Load {
-                ceiling.record_start();
+                store_load_limiter.record_start();
             }
-            if let Some(order) = ledger.begin(now, &engine, action, ask, freed_for) {
+            if let Some(order) = inventory.begin(now, &engine, action, model_ref, freed_for) {
                 let line = OrderLine {
                     upstream: &engine,
                     order: &order,
@@ -461,12 +463,12 @@
 
 /// Returns the engines that get no orders: those that are leaving, and those that are not called
 /// for a while after failures.
-fn unusable<P: Platform>(host: &Host<P>, now: Millis) -> IndexSet<Name> {
+fn excluded_engines<P: Platform>(host: &Host<P>, now: Millis) -> IndexSet<Name> {
     let upstreams = host.upstreams.borrow();
-    let unusable = upstreams
+    let excluded = upstreams
         .iter()
         .filter(|upstream| upstream.entry.leaving || upstream.health.is_backing_off(now));
-    unusable.map(|upstream| upstream.entry.id.clone()).collect()
+    excluded.map(|upstream| upstream.entry.id.clone()).collect()
 }
 
 fn send_due_orders<P: Platform + 'static>(
--- a/src/entry/upstream_limits.rs
+++ b/src/entry/upstream_limits.rs
@@ -62,8 +62,8 @@
 
 /// Adds what another host reports.
 pub fn merge_report<P: Platform>(host: &Host<P>, report: &UpstreamLimitsReport) {
-    take_stated(host, &report.stated);
-    with_limits(host, |limits, now| limits.take_usage(now, &report.usage));
+    merge_stated(host, &report.stated);
+    with_limits(host, |limits, now| limits.record_usage(now, &report.usage));
 }
 
 /// Returns the stated limits and current levels, for this host's reply to hosts that report to it.
@@ -72,16 +72,18 @@
 }
 
 /// Applies the reply to a message, sent at `asked_at`, that carried this host's report.
-pub fn take_news<P: Platform>(host: &Host<P>, asked_at: Millis, news: UpstreamLimitsUpdate) {
-    take_stated(host, &news.stated);
-    with_limits(host, |limits, _| limits.take_reply(asked_at, news.levels));
+pub fn apply_update<P: Platform>(host: &Host<P>, asked_at: Millis, update: UpstreamLimitsUpdate) {
+    merge_stated(host, &update.stated);
+    with_limits(host, |limits, _| {
+        limits.apply_reply(asked_at, update.levels)
+    });
 }
 
 /// Applies limits that upstreams stated to other hosts, and logs those that changed.
-fn take_stated<P: Platform>(host: &Host<P>, stated: &[StatedLimit]) {
+fn merge_stated<P: Platform>(host: &Host<P>, stated: &[StatedLimit]) {
     let now = host.now();
     let mut limits = host.limits.borrow_mut();
-    for limit in limits.upstreams.take_stated(now, stated) {
+    for limit in limits.upstreams.merge_stated(now, stated) {
         log_change(&limit.upstream, limit.per_s, true);
     }
 }
@@ -91,8 +93,8 @@
     with: impl FnOnce(&mut UpstreamLimits, Millis) -> T,
 ) -> T {
     let now = host.now();
-    let place = limits::place(host);
+    let coverage = limits::coverage(host);
     let limits = &mut host.limits.borrow_mut().upstreams;
-    limits.set_coverage(now, place);
+    limits.set_coverage(now, coverage);
     with(limits, now)
 }
--- a/src/ordering/tests/planner/mod.rs
+++ b/src/ordering/tests/planner/mod.rs
@@ -102,8 +102,8 @@
         self.demand.record(at, host, report);
     }
 
-    fn request(&mut self, host: u64, at: Millis, asks: &[(ModelRef, RequestCounts)]) {
-        self.report(host, at, asks.to_vec(), Vec::new());
+    fn request(&mut self, host: u64, at: Millis, counts: &[(ModelRef, RequestCounts)]) {
+        self.report(host, at, counts.to_vec(), Vec::new());
     }
 
     fn next(&mut self, now: Millis) -> Option<PlannedOrder> {
@@ -125,13 +125,13 @@
             let PlannedOrder {
                 engine,
                 action,
-                ask,
+                model_ref,
                 freed_for,
                 ..
             } = planned.clone();
             let order = self
                 .inventory
-                .begin(NOW, &engine, action, ask, freed_for)
+                .begin(NOW, &engine, action, model_ref, freed_for)
                 .expect("a known engine");
             self.inventory.take_due_orders(NOW);
             let load = LoadTime {
--- a/src/rate_limit/limiter.rs
+++ b/src/rate_limit/limiter.rs
@@ -20,8 +20,8 @@
 /// Where little is left, a decision waits for newer levels if those known are at least this old.
 const MIN_REFRESH_AGE_MS: Millis = Millis(60);
 /// How long after its start, or after it became the orderer, a host assumes that the hosts that it
-/// expects are present although it has not heard from them yet.
-const GATHER_GRACE_MS: Millis = Millis(600);
+/// expects are present although they have not reported yet.
+const COVERAGE_GRACE_MS: Millis = Millis(600);
 /// How long after a restart of all hosts it takes until they exchange levels again.
 const RESTART_SETTLE_MS: Millis = Millis(1_200);
 /// The shortest time after which a refused caller may retry.
@@ -45,7 +45,7 @@
     /// `Site` on the orderer, which counts the use of the whole site; `Group` on all other hosts.
     pub scope: Scope,
     /// Number of hosts that reported recently, including this one.
-    pub heard: usize,
+    pub reporting_hosts: usize,
     /// Number of hosts that should report to this one, directly or through another, including this
     /// one.
     pub expected: usize,
@@ -108,7 +108,7 @@
             tolerance,
             coverage: Coverage {
                 scope: Scope::Group,
-                heard: 1,
+                reporting_hosts: 1,
                 expected: 1,
                 members: None,
             },
@@ -138,7 +138,7 @@
         self.unreported.clear();
         self.coverage = coverage;
         self.init_site_buckets(now, limits);
-        self.take_usage(now, &unreported, limits);
+        self.record_usage(now, &unreported, limits);
     }
 
     /// Creates the buckets of a new orderer from the last levels of the previous one.
@@ -252,7 +252,7 @@
     }
 
     /// Counts the use that another host reports.
-    pub fn take_usage(&mut self, now: Millis, usage: &[Usage], limits: &RateLimitTable) {
+    pub fn record_usage(&mut self, now: Millis, usage: &[Usage], limits: &RateLimitTable) {
         for Usage { name, slots } in usage {
             let limit = limits.get(name);
             for (slots_ago, amount) in slots {
@@ -288,7 +288,7 @@
     }
 
     /// Applies the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, update: Option<LimitsUpdate>) {
+    pub fn apply_reply(&mut self, asked_at: Millis, update: Option<LimitsUpdate>) {
         self.confirm_report();
         if let Some(update) = update {
             self.apply_update(asked_at, update);
@@ -365,7 +365,7 @@
     }
 
     /// Removes the buckets of names that no longer have a limit.
-    pub fn keep_known(&mut self, limits: &RateLimitTable) {
+    pub fn retain_limited(&mut self, limits: &RateLimitTable) {
         self.buckets.retain(|name, _| limits.get(name).is_some());
     }
 
@@ -422,16 +422,16 @@
     }
 
     /// Returns the fraction of each limit that the hosts covered by this one have. Hosts that are
-    /// not heard have the rest.
+    /// not reporting have the rest.
     fn share(&self, now: Millis) -> f64 {
         let Some(members) = self.coverage.members else {
             return 0.0;
         };
-        let heard = match now < self.covered_since + GATHER_GRACE_MS {
-            true => self.coverage.heard.max(self.coverage.expected),
-            false => self.coverage.heard,
+        let reporting_hosts = match now < self.covered_since + COVERAGE_GRACE_MS {
+            true => self.coverage.reporting_hosts.max(self.coverage.expected),
+            false => self.coverage.reporting_hosts,
         };
-        (heard as f64 / members.max(1) as f64).min(1.0)
+        (reporting_hosts as f64 / members.max(1) as f64).min(1.0)
     }
 
     fn refill(&self, limit: &RateLimit, share: f64) -> Refill {
--- a/src/rate_limit/upstream_limits.rs
+++ b/src/rate_limit/upstream_limits.rs
@@ -92,7 +92,7 @@
     }
 
     /// Merges statements from other hosts. Returns those that changed a limit.
-    pub fn take_stated(&mut self, now: Millis, received: &[StatedLimit]) -> Vec<StatedLimit> {
+    pub fn merge_stated(&mut self, now: Millis, received: &[StatedLimit]) -> Vec<StatedLimit> {
         let mut changed = Vec::new();
         for limit in received.iter().take(MAX_UPSTREAMS) {
             let stated = Statement {
@@ -138,7 +138,7 @@
             }
             is_kept
         });
-        self.limiter.keep_known(&self.limits);
+        self.limiter.retain_limited(&self.limits);
     }
 
     /// Returns the statements, for a message to another host.
@@ -181,8 +181,8 @@
     }
 
     /// Counts the use that a child reports.
-    pub fn take_usage(&mut self, now: Millis, usage: &[Usage]) {
-        self.limiter.take_usage(now, usage, &self.limits);
+    pub fn record_usage(&mut self, now: Millis, usage: &[Usage]) {
+        self.limiter.record_usage(now, usage, &self.limits);
     }
 
     /// Returns the answer to a child's report.
@@ -194,7 +194,7 @@
     }
 
     /// Applies the levels in the answer to a report that was sent at `asked_at`.
-    pub fn take_reply(&mut self, asked_at: Millis, levels: Option<LimitsUpdate>) {
-        self.limiter.take_reply(asked_at, levels);
+    pub fn apply_reply(&mut self, asked_at: Millis, levels: Option<LimitsUpdate>) {
+        self.limiter.apply_reply(asked_at, levels);
     }
 }
