--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -31,7 +31,7 @@
     RetryLater = 8,
     /// The request may have run, but its answer is lost.
     OutcomeUnknown = 9,
-    /// A plain service answered with an error status.
+    /// A plain service, that is, an upstream that runs no models, answered with an error status.
     ErrorStatus = 10,
     /// A replay ended in another state than the recorded one.
     ReplayDiffers = 11,
@@ -89,7 +89,8 @@
         /// What the option takes, or that it is missing.
         why: String,
     },
-    /// A host does not answer, and it makes no difference whether the call arrived.
+    /// A host gave no usable answer, and it does not matter whether the call took effect there, for
+    /// example because the call only reads.
     #[snafu(display("{url}: {source}"))]
     Call {
         /// The address of the host, as `http://host:port`.
@@ -185,7 +186,7 @@
 
 fn refused_advice(fields: &ErrorFields) -> String {
     match fields.retry_after_ms {
-        Some(retry_after_ms) => format!("{} ({retry_after_ms})", fields.advice),
+        Some(retry_after_ms) => format!("{} (retry after {retry_after_ms})", fields.advice),
         None => fields.advice.clone(),
     }
 }
--- a/src/cli/view.rs
+++ b/src/cli/view.rs
@@ -74,6 +74,7 @@
             vec![
                 member.entry.name.to_string(),
                 json_name(&member.state),
+                // `counted`: whether the host is a voter, that is, counts for majorities.
                 yes_or_no(member.counted),
                 member.entry.data_centre.to_string(),
                 member.entry.caller_address.to_string(),
@@ -85,7 +86,7 @@
     let header = [
         "HOST",
         "STATE",
-        "COUNTED",
+        "VOTER",
         "DATA CENTRE",
         "CALLERS",
         "PEERS",
@@ -147,6 +148,8 @@
     columns(&header, &rows)
 }
 
+/// Returns the table of copies. A copy's id is the log offset of the record that decided its load;
+/// its executor is the host that sends the orders for it to the engine.
 fn copy_lines(placement: &Placement) -> String {
     let rows: Vec<Vec<String>> = placement
         .copies
@@ -168,9 +171,9 @@
         "STATE",
         "UPSTREAM",
         "RESERVED",
-        "LOADED BY",
+        "LOAD OFFSET",
         "FENCE",
-        "EXECUTOR",
+        "ORDER SENDER",
     ];
     columns(&header, &rows)
 }
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -275,7 +275,7 @@
     }
 
     /// Returns since when the weight store's limits allow another load, or `now` if they do not.
-    /// The time for which the home of a model goes first counts from then.
+    /// [`HOME_PRIORITY_MS`], during which only the home of a model proposes its load, begins then.
     fn note_store_availability(&mut self, now: Millis) -> Millis {
         let limits = &self.shared.table.store.value;
         let available = self
--- a/src/daemon/effect.rs
+++ b/src/daemon/effect.rs
@@ -99,7 +99,7 @@
     },
     /// Answers a caller that asked which hosts it may connect to.
     AnswerEntry {
-        /// The id of the caller's question.
+        /// The id of the caller's call.
         call: CallId,
         /// The hosts, or a refusal.
         result: Result<EntryAnswer, Refusal>,
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -1,5 +1,6 @@
-//! The rate limits of table rows over all hosts: the home of a row grants slices of its limit to
-//! the hosts that have requests for it.
+//! The rate limits of table rows over all hosts: the home of a row, which is one of the hosts,
+//! grants slices of the row's limit to the hosts that have requests for it. A slice is a number of
+//! requests that the receiving host may admit.
 
 use crate::admission::quota::QuotaGrant;
 use crate::attempt::message::RequestId;
@@ -71,7 +72,7 @@
         rank_hosts(&key, members).first().copied()
     }
 
-    /// Grants a slice of a row's rate limit. Grants nothing if this host is not the home of the
+    /// Grants a slice of a row's rate limit to a host with `wanted` waiting requests. Grants nothing if this host is not the home of the
     /// row, is not fresh, or grants of a former home may still be valid.
     pub fn grant_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
         self.note_members(now);
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Handles the answer of a row's home to a request for `wanted` requests that was made at
-    /// `asked_at`.
+    /// Handles the slice that a row's home granted. This host asked for it at `asked_at`, when
+    /// `wanted` of its requests were waiting.
     pub fn on_slice(
         &mut self,
         now: Millis,
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -11,7 +11,7 @@
 /// Most applied records that are kept for requests of peers.
 pub const MAX_RECENT_RECORDS: usize = 4096;
 
-/// The key whose home writes checkpoints.
+/// The key that selects the host that writes checkpoints: its home, see [`Node::is_home`].
 const CHECKPOINT_KEY: &str = "checkpoint";
 
 /// Whether the record after the current one may be applied too.
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Passes the records of a page to the search for a checkpoint.
+    /// Passes the records of a page to the search for a checkpoint. They are not applied one by one.
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
         self.driver.on_page_discarded();
         for logged in &page.records {
@@ -115,6 +115,7 @@
         self.recent.clear();
         let last_seq = self.shared.members.last_seq(self.config.me);
         self.driver.on_state_replaced(last_seq);
+        // `acceptance` holds the edits of the table that operators wait for.
         self.acceptance.on_state_replaced(&self.shared.table, fx);
     }
 
@@ -127,8 +128,8 @@
         self.driver.halt();
     }
 
-    /// Writes a checkpoint if one is due and this host is the home of the checkpoints. Runs at each
-    /// tick.
+    /// Writes a checkpoint if one is due and this host is the home of [`CHECKPOINT_KEY`]. The newest
+    /// append time of the applied records, `log_ms`, is the current time for this. Runs at each tick.
     pub fn tick_checkpoint(&mut self, now: Millis) {
         let shared = &self.shared;
         let due = shared
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -1,5 +1,8 @@
 //! Membership of hosts: heartbeat probes, the platform's list, evictions, changes of the voters,
 //! and the requests of peers.
+//!
+//! The platform is the system in which the hosts run. It keeps a list of the hosts and upstreams,
+//! in which each host renews its entry. The voters are the hosts that count for majorities.
 
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::{entry_answer, home};
@@ -130,6 +133,7 @@
         Probe {
             from: self.config.me,
             next_offset: self.shared.next_offset,
+            // The time since this host is last known to have applied the whole log.
             log_age_ms: self.freshness.log_age(now),
             stopping: matches!(
                 self.life,
@@ -152,16 +156,20 @@
         self.platform.list = Some(list);
     }
 
-    /// Returns whether this host is the home of a key, that is, proposes the changes for it.
+    /// Returns whether this host is the home of a key: the host that proposes the changes for the
+    /// key, chosen by the key among the present hosts that answer probes.
     pub fn is_home(&self, key: &str) -> bool {
         let me = self.config.me;
         home(key, me, &self.shared.members, &self.probes) == Some(me)
     }
 
-    /// Proposes the changes of the set of voters that a majority of the voters has applied,
-    /// departures first. A host that joined becomes a voter only once it has answered this host: a
-    /// host that reaches the log but no peer joins again and again, and each of its incarnations
-    /// that became a voter would be one more that never confirms anything.
+    /// Proposes changes of the set of voters, departures first. A host's join or departure does not
+    /// change the set by itself: a [`RecordBody::Counted`] record does, which is proposed once a
+    /// majority of the voters has applied the record of the join or departure.
+    ///
+    /// A host that joined becomes a voter only once it has answered this host. A host that can reach
+    /// the log but none of its peers joins repeatedly, each time under a new incarnation. If those
+    /// incarnations became voters, each would add a voter that never confirms anything.
     fn propose_voter_changes(&mut self, now: Millis) {
         let members = &self.shared.members;
         let may_change = |host: Incarnation, member: &Member| {
@@ -189,7 +197,8 @@
         }
     }
 
-    /// Probes the voters whose applied offsets a change of the set of voters waits for.
+    /// Probes the voters that are not known to have applied the records that a pending change of the
+    /// set of voters requires.
     fn probe_voters(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let newest = members
@@ -208,8 +217,8 @@
             .probe_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
     }
 
-    /// Returns whether a majority of the voters is known to have reached a next offset. True
-    /// without voters.
+    /// Returns whether a majority of the voters is known to have applied all records before the
+    /// offset `needed`. True without voters.
     fn majority_applied(&self, needed: Offset) -> bool {
         let voters = self.shared.members.voters().count();
         let confirming = self
@@ -221,8 +230,8 @@
         voters == 0 || confirming * 2 > voters
     }
 
-    /// Returns the highest next offset to apply that a host is known to have reached; zero if
-    /// unknown.
+    /// Returns the highest offset before which a host is known to have applied all records, that
+    /// is, the offset of the next record that it applies; zero if unknown.
     pub fn applied_by(&self, host: Incarnation) -> Offset {
         if host == self.config.me {
             return self.shared.next_offset;
@@ -248,9 +257,10 @@
         }
     }
 
-    /// Returns whether a host is dead. A suspicion of this host alone does not suffice, since only
-    /// the link between the two may be broken: other hosts must agree, the platform's list must
-    /// lack the host, or another incarnation must answer at its address.
+    /// Returns whether another host is dead. It is not enough that this host suspects it, since only
+    /// the link between the two hosts may be broken. The other host is dead if enough hosts suspect
+    /// it, if this host suspects it and the platform's list lacks it, or if another incarnation
+    /// answers at its address.
     fn is_dead(&self, now: Millis, host: Incarnation, name: &str) -> bool {
         let agreed = self.probes.is_agreed_dead(now, host, &self.shared.members);
         let missing =
@@ -330,6 +340,7 @@
                 self.freshness.relay_answered();
                 self.apply_relayed(now, &records, fx);
             }
+            // A slice is the part of a row's rate limit that the home of the row grants to a host.
             PeerReply::Slice { row, slice, wanted } => {
                 self.on_slice(now, &row, asked_at, slice, wanted, fx);
             }
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -91,7 +91,7 @@
     pub probes: Probes,
     /// The marks of upstreams that are leaving.
     pub leaving: Leaving,
-    /// The edits of the table that operators wait for.
+    /// The edits of the table whose operators wait until they are in force.
     pub acceptance: PendingEdits,
     /// The orders to engines that this host executes.
     pub executor: Executor,
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -132,6 +132,7 @@
         incarnation: format!("{incarnation:x}"),
     };
     lines::write(LogEvent::Started, &line);
+    // The servers that answer questions about this host, one listening address for each.
     let questions = [
         (
             "directory_listen",
@@ -227,9 +228,10 @@
     }
 }
 
-/// Reads the settings file again. Changed bounds and a changed address of the store take effect;
-/// the addresses that this host listens on change only when it is started again. A file that
-/// cannot be read or fails its checks changes nothing and is logged.
+/// Reads the settings file again. Changed limits and times of the platform (`bounds`) and a changed
+/// address of the store take effect. The addresses that this host listens on change only when the
+/// process is started again. A file that cannot be read or fails its checks changes nothing and is
+/// logged.
 pub fn reload<P: Platform>(host: &Host<P>, path: &Path, reconnect: &impl Fn(&P, &EntrySettings)) {
     let settings = match EntrySettings::read(path) {
         Ok(settings) => settings,
--- a/src/entry/tests/fake_platform.rs
+++ b/src/entry/tests/fake_platform.rs
@@ -38,8 +38,8 @@
 }
 
 impl FakeStore {
-    /// Returns the store as another host reaches it: they share the stream of leases, and an outage
-    /// of one is not an outage of the other.
+    /// Returns a second store for another host. It shares only the stream of leases with this
+    /// store, and each of the two can be made unavailable without the other.
     pub fn as_reached_by_another_host(&self) -> Self {
         Self {
             leases: self.leases.clone(),
@@ -150,6 +150,7 @@
         let lifetime = head.headers.text("Lifetime").filter(|own| *own != expected);
         AnswerFacts {
             request_id: head.headers.text("Id").map(Name::from),
+            // An upstream sets this header on the answers that it writes itself.
             is_sealed: head.headers.bytes("Seal").is_some(),
             not_run: head.headers.bytes("Not-Run").is_some(),
             other_lifetime: lifetime.filter(|_| head.status == 421).map(Name::from),
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -1,9 +1,10 @@
 //! The list of hosts in the group, and incremental updates for hosts with an older list.
 //!
-//! With hundreds of hosts, some of which restart every second, reads by every host at each change
-//! would cost the store one call a second per host and the bytes of the whole list each time.
-//! Instead one host reads the list, and the others get the changes with the sync messages that they
-//! receive anyway. In a site of 195 hosts a restart costs two reads of the list instead of 195.
+//! In a group of hundreds of hosts, one host or another restarts every second and so changes the
+//! list. If every host read the list after each change, the store would have to answer one call a
+//! second per host, each with the whole list. Instead one host reads the list, and the others get
+//! the changes with the sync messages that they receive anyway. In a site of 195 hosts a restart
+//! costs two reads of the list instead of 195.
 
 use crate::group::Member;
 use crate::group::departed::{Departed, ISOLATED_ADMIT_MS};
@@ -93,7 +94,8 @@
         is_counted.then(|| self.addresses.len() + self.departed.count(now, &self.addresses))
     }
 
-    /// Records that the store or the orderer answered, so that the others count this host.
+    /// Records that the store or the orderer answered this host. For [`ISOLATED_ADMIT_MS`] after
+    /// that, the other hosts certainly still count this host among those that admit requests.
     pub fn note_contact(&mut self, now: Millis) {
         self.contact_at = Some(now);
     }
@@ -183,8 +185,8 @@
             }
             list.extend(change.joined);
         }
-        // If this host read its list between two reads of the sender, the list may contain hosts
-        // that joined and left between those reads; the sender's changes do not mention them.
+        // The list of this host may contain a host that the sender never saw, because it joined and
+        // left between two reads of the sender. The sender's changes do not remove such a host.
         if digest(&list) != update.digest {
             self.needs_full_list = true;
             return None;
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -3,8 +3,8 @@
 //!
 //! An engine accepts an order only if it has accepted exactly as many orders before as the order
 //! states. So at most one of two orders with the same number takes effect, and an order without an
-//! answer can be sent again unchanged. Until the engine's report shows a higher number, the model
-//! of that order counts as held, and the engine gets no other order.
+//! answer can be sent again unchanged. Until the engine reports that it has accepted more orders than
+//! the order states, the model of the order counts as held, and the engine gets no other order.
 
 use crate::entry::platform::ModelRef;
 use crate::ordering::copy::{LoadProgress, LoadTime, ModelCopy};
@@ -22,8 +22,9 @@
 /// The interval at which the report of an engine without a running order is read. A report costs
 /// about a sixth of an order.
 const IDLE_REPORT_INTERVAL_MS: Millis = Millis(5_000);
-/// The least average time between two such reports over all engines. With thousands of engines,
-/// each is read less often.
+/// The shortest average time between one such report and the next, whichever engines they are of.
+/// With thousands of engines, each engine's report is therefore read less often than every
+/// [`IDLE_REPORT_INTERVAL_MS`].
 const MIN_REPORT_SPACING_MS: Millis = Millis(5);
 
 /// The changes of engines since the last call of [`EngineInventory::take_changes`].
@@ -31,7 +32,7 @@
 pub struct EngineChanges {
     /// The new state of engines that may have changed.
     pub views: Vec<EngineView>,
-    /// Starts of engines that are over, because the engine was removed or started again.
+    /// Lifetimes that have ended because the engine was removed or was started again.
     pub gone: Vec<Lifetime>,
 }
 
@@ -145,8 +146,8 @@
         engines.inspect(|_| self.engines_visited.set(self.engines_visited.get() + 1))
     }
 
-    /// Returns how many engines the iterators of this type have returned: the cost of plans beyond
-    /// what the index answers.
+    /// Returns how many engines the iterators of this type have returned in total. It measures the
+    /// work of planning that the index does not save.
     pub fn engines_visited(&self) -> u64 {
         self.engines_visited.get()
     }
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -144,9 +144,10 @@
 
 impl Registry {
     /// Records that the list was read, or confirmed as unchanged by another host, as of `now`. A
-    /// time before the last recorded one changes nothing. A long gap counts as an outage only if a
-    /// poll of the list failed in it, since a host that relies on another host's copy may get it
-    /// late.
+    /// time before the last recorded one changes nothing. A gap of at least [`OUTAGE_MS`] between
+    /// two such times counts as an outage only if a poll of the list failed within the gap. Without
+    /// a failed poll, the copy of the list that this host gets from another host may merely have
+    /// been late.
     pub fn note_list_reached(&mut self, now: Millis) {
         let gap = self
             .last_reached_at
@@ -235,8 +236,9 @@
         }
     }
 
-    /// Returns whether an entry of a removed upstream is a late copy: of a lifetime before the last
-    /// known one, or of the last known one if that is over.
+    /// Returns whether an entry arrived late, after its upstream was removed. That is so if it is of
+    /// an earlier lifetime than the last one known of the upstream, or if it is of that last
+    /// lifetime and the lifetime has ended.
     fn is_past(&self, entry: &UpstreamEntry) -> bool {
         self.past.get(&entry.id).is_some_and(|past| {
             entry.born_at < past.born_at || (entry.born_at == past.born_at && past.is_over)
