--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -69,7 +69,7 @@
     pub fn on_log_read_failed(&mut self, now: Millis, error: &LogCallError) {
         if let LogCallError::Trimmed(oldest) = error {
             self.start_scan(*oldest);
-            self.driver.on_page_discarded();
+            self.driver.on_read_not_applied();
             return;
         }
         self.driver.on_read_failed(now);
@@ -91,7 +91,7 @@
 
     /// Passes the records of a page to the search for a checkpoint. They are not applied one by one.
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
-        self.driver.on_page_discarded();
+        self.driver.on_read_not_applied();
         for logged in &page.records {
             let Some(scan) = &mut self.scan else {
                 return;
--- a/src/shared_log/driver.rs
+++ b/src/shared_log/driver.rs
@@ -275,7 +275,7 @@
     }
 
     /// Records that the answer to a read was not applied, so that the next read may start.
-    pub fn on_page_discarded(&mut self) {
+    pub fn on_read_not_applied(&mut self) {
         self.read = ReadState::Idle;
     }
 
