--- a/src/daemon/edit_flow.rs
+++ b/src/daemon/edit_flow.rs
@@ -84,7 +84,7 @@
         let members = &self.shared.members;
         members
             .known()
-            .map(|host| (host, self.applied_by(host)))
+            .map(|host| (host, self.known_next_offset(host)))
             .collect()
     }
 }
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -210,7 +210,7 @@
         };
         let missing: Vec<Incarnation> = members
             .voters()
-            .filter(|host| self.applied_by(*host) < needed)
+            .filter(|host| self.known_next_offset(*host) < needed)
             .collect();
         let probe = self.own_probe(now);
         self.probes
@@ -225,14 +225,14 @@
             .shared
             .members
             .voters()
-            .filter(|host| self.applied_by(*host) >= needed)
+            .filter(|host| self.known_next_offset(*host) >= needed)
             .count();
         voters == 0 || confirming * 2 > voters
     }
 
     /// Returns the highest offset before which a host is known to have applied all records, that
     /// is, the offset of the next record that it applies; zero if unknown.
-    pub fn applied_by(&self, host: Incarnation) -> Offset {
+    pub fn known_next_offset(&self, host: Incarnation) -> Offset {
         if host == self.config.me {
             return self.shared.next_offset;
         }
