--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -428,7 +428,7 @@
     }
 
     /// Answers a caller that asked which hosts it may connect to.
-    pub fn on_entry_asked(
+    pub fn on_caller_hosts_asked(
         &mut self,
         now: Millis,
         call: CallId,
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -206,7 +206,7 @@
                 key_sha256,
                 name,
             } => {
-                self.on_entry_asked(now, call, &key_sha256, &name, fx);
+                self.on_caller_hosts_asked(now, call, &key_sha256, &name, fx);
             }
             Event::CallerGone { request } => self.on_caller_gone(now, request),
             Event::AttemptStarted {
