--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -436,11 +436,11 @@
         name: &Name,
         fx: &mut Effects,
     ) {
-        let result = self.entry_for(now, key_sha256, name);
+        let result = self.hosts_for_caller(now, key_sha256, name);
         fx.push(Effect::AnswerEntry { call, result });
     }
 
-    fn entry_for(
+    fn hosts_for_caller(
         &self,
         now: Millis,
         key_sha256: &str,
