--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -48,7 +48,7 @@
                 continue;
             };
             if home == self.config.me {
-                let slice = self.grant_slice(now, &row, wanted);
+                let slice = self.grant_rate_limit_slice(now, &row, wanted);
                 self.on_slice(now, &row, now, slice, wanted, fx);
                 continue;
             }
@@ -74,7 +74,7 @@
 
     /// Grants a slice of a row's rate limit to a host with `wanted` waiting requests. Grants nothing if this host is not the home of the
     /// row, is not fresh, or grants of a former home may still be valid.
-    pub fn grant_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
+    pub fn grant_rate_limit_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
         self.note_members(now);
         let is_home = self.home_of_row(row) == Some(self.config.me);
         let settled = self.granting.is_settled(now, self.config.fresh_bound_ms);
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -415,7 +415,7 @@
                 next_offset: self.shared.next_offset,
             },
             PeerRequest::Slice { row, wanted } => PeerReply::Slice {
-                slice: self.grant_slice(now, &row, wanted),
+                slice: self.grant_rate_limit_slice(now, &row, wanted),
                 row,
                 wanted,
             },
