--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -49,7 +49,7 @@
             };
             if home == self.config.me {
                 let slice = self.grant_rate_limit_slice(now, &row, wanted);
-                self.on_slice(now, &row, now, slice, wanted, fx);
+                self.on_rate_limit_slice(now, &row, now, slice, wanted, fx);
                 continue;
             }
             let Some(member) = self.shared.members.get(home) else {
@@ -96,7 +96,7 @@
 
     /// Handles the slice that a row's home granted. This host asked for it at `asked_at`, when
     /// `wanted` of its requests were waiting.
-    pub fn on_slice(
+    pub fn on_rate_limit_slice(
         &mut self,
         now: Millis,
         row: &RowKey,
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -277,14 +277,14 @@
             .departed()
             .map(|(host, member)| (*host, member.entry.name.clone(), member.counted))
             .collect();
-        for (host, name, counted) in departed {
+        for (host, name, is_voter) in departed {
             if self.platform.may_list_host(&name, host) {
                 self.platform.missing_since.shift_remove(&host);
                 continue;
             }
             let since = *self.platform.missing_since.entry(host).or_insert(now);
             let key = format!("gone {host}");
-            let wait_ms = if counted {
+            let wait_ms = if is_voter {
                 VOTER_GONE_MS
             } else {
                 MAX_IN_FLIGHT_MS
@@ -342,7 +342,7 @@
             }
             // A slice is the part of a row's rate limit that the home of the row grants to a host.
             PeerReply::Slice { row, slice, wanted } => {
-                self.on_slice(now, &row, asked_at, slice, wanted, fx);
+                self.on_rate_limit_slice(now, &row, asked_at, slice, wanted, fx);
             }
             PeerReply::Operation { operation, state } => {
                 self.on_operation_state(now, peer, &operation, &state, fx);
@@ -365,9 +365,9 @@
         self.probes.on_answer(now, peer, asked_at, probe);
         self.merge_leaving_hints(now, probe);
         let own_offset = self.shared.next_offset;
-        let log_known_at = probe.log_age_ms.map(|age_ms| asked_at - age_ms);
+        let peer_applied_log_at = probe.log_age_ms.map(|age_ms| asked_at - age_ms);
         self.freshness
-            .on_peer_offset(peer, probe.next_offset, asked_at, log_known_at);
+            .on_peer_offset(peer, probe.next_offset, asked_at, peer_applied_log_at);
         self.freshness.on_applied(own_offset);
         if own_offset >= probe.next_offset {
             return;
