--- a/src/daemon/cold_start.rs
+++ b/src/daemon/cold_start.rs
@@ -63,10 +63,10 @@
             .model(model)
             .map(|spec| spec.reserved_bytes);
         let known = &self.shared.placement.upstreams;
-        let places = self.demand.decided.data_centres_of(model);
+        let data_centres = self.demand.decided.data_centres_of(model);
         let may_be_listed = self.platform.may_list_upstream(|entry| {
             !known.contains_key(&entry.name)
-                && places.allow(&entry.data_centre)
+                && data_centres.allow(&entry.data_centre)
                 && Some(entry.memory_bytes) >= bytes
         });
         wanted && may_be_listed
--- a/src/daemon/demand_flow.rs
+++ b/src/daemon/demand_flow.rs
@@ -102,8 +102,8 @@
         self.store = report;
     }
 
-    /// Records that the record of a load was applied, accepted or not, so that another one may be
-    /// proposed.
+    /// Handles the applied record of a load, whether it was accepted or rejected: another load of
+    /// the model may be proposed.
     pub(super) fn on_load_applied(&mut self, model: &Name) {
         self.proposed_at.swap_remove(model);
     }
@@ -120,7 +120,8 @@
         self.loads_since.insert(id, decided_at);
     }
 
-    /// Records the duration of a load if the order that ended was one and made the copy ready.
+    /// Records how long a load took, if the order that ended was a load order and the copy is
+    /// ready.
     pub(super) fn on_outcome(&mut self, ended_at: Millis, id: Offset, placement: &Placement) {
         let Some(decided_at) = self.loads_since.swap_remove(&id) else {
             return;
@@ -135,8 +136,8 @@
             .retain(|id, _| placement.copies.contains_key(id));
     }
 
-    /// Returns whether the homes have been unchanged for long enough to know the use of models at
-    /// all hosts.
+    /// Returns whether the homes have been unchanged for so long that this host has the hints of
+    /// all hosts on their use of models.
     pub(super) fn are_homes_settled(&self, now: Millis) -> bool {
         now.since(self.homes_since) >= HOMES_SETTLE_MS
     }
@@ -340,9 +341,9 @@
 
     fn send_hints(&mut self, now: Millis, fx: &mut Effects) {
         let mut hints: IndexMap<Incarnation, DemandHints> = IndexMap::new();
-        for room in std::mem::take(&mut self.demand.room_wanted) {
-            if let Some(host) = self.home_of(&room.upstream) {
-                hints.entry(host).or_default().room.push(room);
+        for request in std::mem::take(&mut self.demand.room_wanted) {
+            if let Some(host) = self.home_of(&request.upstream) {
+                hints.entry(host).or_default().room.push(request);
             }
         }
         if now >= self.demand.next_hints_at {
@@ -403,7 +404,7 @@
         }
     }
 
-    /// Records that models whose requests wait or run here are in use now.
+    /// Records that the models of all waiting and running requests of this host are in use now.
     fn note_models_in_use(&mut self, now: Millis) {
         let in_use: Vec<Name> = self.requests_by_model().into_keys().cloned().collect();
         for model in in_use {
@@ -443,8 +444,8 @@
                     .note_demand(now, &hint.model, hint.urgency, waiting, until);
             }
         }
-        for room in hints.room.iter().take(MAX_HINTS) {
-            self.free_memory(now, room);
+        for request in hints.room.iter().take(MAX_HINTS) {
+            self.free_memory(now, request);
         }
     }
 
--- a/src/daemon/dispatch_flow.rs
+++ b/src/daemon/dispatch_flow.rs
@@ -74,7 +74,7 @@
 
     fn candidates(&self, target: &str) -> Vec<Candidate> {
         let upstreams = &self.shared.placement.upstreams;
-        let places = self.demand.decided.data_centres_of(target);
+        let data_centres = self.demand.decided.data_centres_of(target);
         let names: Vec<&Name> = match self.shared.table.service(target) {
             Some(service) => service.upstreams.iter().collect(),
             None => self
@@ -88,7 +88,7 @@
         names
             .into_iter()
             .filter_map(|name| upstreams.get(name))
-            .filter(|upstream| places.allow(&upstream.data_centre))
+            .filter(|upstream| data_centres.allow(&upstream.data_centre))
             .map(|upstream| Candidate {
                 name: upstream.name.clone(),
                 address: upstream.address,
--- a/src/daemon/life_flow.rs
+++ b/src/daemon/life_flow.rs
@@ -60,7 +60,8 @@
     }
 
     /// Leaves once the answers that told callers to connect to this host have expired, its requests
-    /// and orders are finished, and its records are on the log. It does not wait for an unreachable log.
+    /// and orders are finished, and its records are on the log. It does not wait for an unreachable
+    /// log.
     fn try_leave(&mut self, now: Millis, since: Millis, fx: &mut Effects) {
         let entries_expired = now.since(since) > ENTRY_TTL_MS;
         let executing = self
--- a/src/daemon/limit_flow.rs
+++ b/src/daemon/limit_flow.rs
@@ -72,8 +72,9 @@
         rank_hosts(&key, members).first().copied()
     }
 
-    /// Grants a slice of a row's rate limit to a host with `wanted` waiting requests. Grants nothing if this host is not the home of the
-    /// row, is not fresh, or grants of a former home may still be valid.
+    /// Grants a slice of a row's rate limit to a host with `wanted` waiting requests. Grants
+    /// nothing if this host is not the home of the row, is not fresh, or grants of a former home
+    /// may still be valid.
     pub fn grant_rate_limit_slice(&mut self, now: Millis, row: &RowKey, wanted: u32) -> QuotaGrant {
         self.note_members(now);
         let is_home = self.home_of_row(row) == Some(self.config.me);
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Passes the records of a page to the search for a checkpoint. They are not applied one by one.
+    /// Passes the records of a page to the search for a checkpoint. They are not applied one by
+    /// one.
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
         self.driver.on_read_not_applied();
         for logged in &page.records {
@@ -128,8 +129,9 @@
         self.driver.halt();
     }
 
-    /// Writes a checkpoint if one is due and this host is the home of [`CHECKPOINT_KEY`]. The newest
-    /// append time of the applied records, `log_ms`, is the current time for this. Runs at each tick.
+    /// Writes a checkpoint if one is due and this host is the home of [`CHECKPOINT_KEY`]. The
+    /// newest append time of the applied records, `log_ms`, is the current time for this. Runs at
+    /// each tick.
     pub fn tick_checkpoint(&mut self, now: Millis) {
         let shared = &self.shared;
         let due = shared
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -39,6 +39,7 @@
     list_under_way: bool,
     next_list_at: Millis,
     next_register_at: Millis,
+    /// When the list was last read.
     listed_at: Option<Millis>,
     /// When a change was last proposed, by a key of the change.
     proposed_at: IndexMap<Name, Millis>,
@@ -133,7 +134,7 @@
         Probe {
             from: self.config.me,
             next_offset: self.shared.next_offset,
-            // The time since this host is last known to have applied the whole log.
+            // The time since this host was last known to have applied the whole log.
             log_age_ms: self.freshness.log_age(now),
             stopping: matches!(
                 self.life,
@@ -165,11 +166,12 @@
 
     /// Proposes changes of the set of voters, departures first. A host's join or departure does not
     /// change the set by itself: a [`RecordBody::Counted`] record does, which is proposed once a
-    /// majority of the voters has applied the record of the join or departure.
+    /// majority of the voters has applied the record of the join or departure and the last change
+    /// of the set.
     ///
-    /// A host that joined becomes a voter only once it has answered this host. A host that can reach
-    /// the log but none of its peers joins repeatedly, each time under a new incarnation. If those
-    /// incarnations became voters, each would add a voter that never confirms anything.
+    /// A host that joined becomes a voter only once it has answered this host. A host that can
+    /// reach the log but none of its peers joins repeatedly, each time under a new incarnation. If
+    /// those incarnations became voters, each would add a voter that never confirms anything.
     fn propose_voter_changes(&mut self, now: Millis) {
         let members = &self.shared.members;
         let may_change = |host: Incarnation, member: &Member| {
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Probes the voters that are not known to have applied the records that a pending change of the
-    /// set of voters requires.
+    /// Probes the voters that are not known to have applied the records that a pending change of
+    /// the set of voters requires.
     fn probe_voters(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let newest = members
@@ -257,10 +259,10 @@
         }
     }
 
-    /// Returns whether another host is dead. It is not enough that this host suspects it, since only
-    /// the link between the two hosts may be broken. The other host is dead if enough hosts suspect
-    /// it, if this host suspects it and the platform's list lacks it, or if another incarnation
-    /// answers at its address.
+    /// Returns whether another host is dead. It is not enough that this host suspects it, since
+    /// only the link between the two hosts may be broken. The other host is dead if enough hosts
+    /// suspect it, if this host suspects it and the platform's list lacks it, or if another
+    /// incarnation answers at its address.
     fn is_dead(&self, now: Millis, host: Incarnation, name: &str) -> bool {
         let agreed = self.probes.is_agreed_dead(now, host, &self.shared.members);
         let missing =
@@ -268,8 +270,9 @@
         agreed || missing || self.probes.is_replaced(host)
     }
 
-    /// Proposes to forget the departed hosts that have been missing from the platform's list for so
-    /// long that nothing sent by them can still be in flight, voters only after `VOTER_GONE_MS`.
+    /// Proposes to forget departed hosts. A host that is not a voter must have been missing from
+    /// the platform's list for longer than `MAX_IN_FLIGHT_MS`, so that nothing that it sent can
+    /// still be in flight; a voter for longer than `VOTER_GONE_MS`.
     fn propose_gone(&mut self, now: Millis) {
         let departed: Vec<(Incarnation, Name, bool)> = self
             .shared
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,8 +1,9 @@
 //! The daemon: one event loop that makes all decisions of a host, and the tasks that carry them
 //! out.
 //!
-//! [`node::Node::handle`] is a pure function of the state and the event. Each `*_flow` module
-//! implements one part of it and connects the modules of the crate that this part needs.
+//! [`node::Node::handle`] changes the state of a host and returns effects, both depending only on
+//! the state, the event and its time. Each `*_flow` module implements one part of it and connects
+//! the modules of the crate that this part needs.
 
 pub mod claim_flow;
 pub mod cold_start;
--- a/src/daemon/placement_flow.rs
+++ b/src/daemon/placement_flow.rs
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Records that this host sends no more orders for copies that another host took over. Unlike
-    /// the sending of orders, this needs no fresh state: the record must not be delayed, and a
-    /// departed host writes it too.
+    /// Proposes a record for each copy that another host took over, by which this host declares
+    /// that it sends no more orders for the copy. Unlike the sending of orders, this does not
+    /// require a fresh state: the record must not be delayed, and a departed host writes it too.
     fn relinquish_lost_orders(&mut self, now: Millis) {
         let me = self.config.me;
         for copy in self
@@ -171,14 +171,15 @@
             return Some(RetireReason::UpstreamLeaving);
         }
         let upstream = self.shared.placement.upstreams.get(&copy.load.upstream);
-        let places = self.demand.decided.data_centres_of(&copy.load.model);
-        if upstream.is_some_and(|upstream| !places.allow(&upstream.data_centre)) {
+        let data_centres = self.demand.decided.data_centres_of(&copy.load.model);
+        if upstream.is_some_and(|upstream| !data_centres.allow(&upstream.data_centre)) {
             return Some(RetireReason::DataCentre);
         }
         retired_by_table(copy, &self.demand.decided, &self.shared.table)
     }
 
-    /// Returns whether an upstream is leaving, by its record on the log or by a mark at this host.
+    /// Returns whether an upstream is leaving: its record on the log says so, or this host has
+    /// marked it as leaving.
     pub fn is_leaving(&self, upstream: &str) -> bool {
         let entry = self.shared.placement.upstreams.get(upstream);
         let view = self.routing.get(upstream);
--- a/src/daemon/request_flow.rs
+++ b/src/daemon/request_flow.rs
@@ -125,8 +125,8 @@
             Life::CatchingUp | Life::Joining => {
                 refusal(ErrorKind::Starting, "this host is still starting")
             }
-            // A stopping host serves as well, since answers given before the stop still tell callers
-            // to connect to it.
+            // A stopping host serves as well, since answers given before the stop still tell
+            // callers to connect to it.
             Life::Serving | Life::Stopping { .. } if !self.is_fresh(now) => refusal(
                 ErrorKind::CutOff,
                 "this host cannot tell whether its state is current",
--- a/src/daemon/upstream_flow.rs
+++ b/src/daemon/upstream_flow.rs
@@ -13,15 +13,15 @@
         self.mark_leaving_at(upstream, self.freshness.now());
     }
 
-    fn mark_leaving_at(&mut self, upstream: &Name, said_at: Millis) {
-        if self.leaving.mark(upstream, said_at) {
+    fn mark_leaving_at(&mut self, upstream: &Name, reported_at: Millis) {
+        if self.leaving.mark(upstream, reported_at) {
             LogEvent::UpstreamLeaving.write(&format!("upstream={upstream}"));
         }
         self.routing.view_mut(upstream).leaving = true;
     }
 
-    /// Marks the upstreams that a peer's probe names as leaving, with the time of the report behind
-    /// each hint.
+    /// Marks the upstreams that a peer's probe names as leaving, as of the time at which each was
+    /// reported to be leaving.
     pub fn merge_leaving_hints(&mut self, now: Millis, probe: &Probe) {
         for hint in probe.leaving_upstreams.iter().take(MAX_HINTS) {
             let known = self.shared.placement.upstreams.contains_key(&hint.upstream);
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Proposes the records of upstreams that are new or whose entry changed, if this host is their
-    /// home.
+    /// Proposes records of the upstreams that are new or whose entry changed and of which this host
+    /// is the home.
     pub fn propose_upstreams(&mut self, now: Millis) {
         let known = &self.shared.placement.upstreams;
         let wanted: Vec<UpstreamEntry> = self
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns the upstreams of the platform's list or, before it was read, those of the replicated
-    /// state.
+    /// Returns the upstreams in the platform's list or, if the list was not read yet, those in the
+    /// replicated state.
     fn listed_upstreams(&self) -> impl Iterator<Item = &UpstreamEntry> {
         let listed = self.platform.list().map(|list| &list.upstreams);
         let known = &self.shared.placement.upstreams;
--- a/src/ordering/engine_inventory.rs
+++ b/src/ordering/engine_inventory.rs
@@ -3,8 +3,9 @@
 //!
 //! An engine accepts an order only if it has accepted exactly as many orders before as the order
 //! states. So at most one of two orders with the same number takes effect, and an order without an
-//! answer can be sent again unchanged. Until the engine reports that it has accepted more orders than
-//! the order states, the model of the order counts as held, and the engine gets no other order.
+//! answer can be sent again unchanged. Until the engine reports that it has accepted more orders
+//! than the order states, the model of the order counts as held, and the engine gets no other
+//! order.
 
 use crate::entry::platform::ModelRef;
 use crate::ordering::copy::{LoadProgress, LoadTime, ModelCopy};
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Returns whether an entry arrived late, after its upstream was removed. That is so if it is of
-    /// an earlier lifetime than the last one known of the upstream, or if it is of that last
+    /// Returns whether an entry arrived late, after its upstream was removed. That is so if it is
+    /// of an earlier lifetime than the last one known of the upstream, or if it is of that last
     /// lifetime and the lifetime has ended.
     fn is_past(&self, entry: &UpstreamEntry) -> bool {
         self.past.get(&entry.id).is_some_and(|past| {
