--- a/src/daemon/claim_flow.rs
+++ b/src/daemon/claim_flow.rs
@@ -26,7 +26,7 @@
 pub const MIN_RELEASE_WAIT_MS: Millis = Millis(1_000);
 /// The interval at which the claimant is asked for the outcome of an operation.
 pub const FOLLOW_INTERVAL_MS: Millis = Millis(100);
-/// How long a claim is kept, in addition to [`RETENTION_LIFETIMES`] times the time between the
+/// How long a claim is kept, in addition to `RETENTION_LIFETIMES` times the time between the
 /// request's arrival and its deadline.
 pub const CLAIM_RETENTION_MS: Millis = Millis(60 * 60_000);
 
--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -129,7 +129,7 @@
         self.driver.halt();
     }
 
-    /// Writes a checkpoint if one is due and this host is the home of [`CHECKPOINT_KEY`]. The
+    /// Writes a checkpoint if one is due and this host is the home of `CHECKPOINT_KEY`. The
     /// newest append time of the applied records, `log_ms`, is the current time for this. Runs at
     /// each tick.
     pub fn tick_checkpoint(&mut self, now: Millis) {
--- a/src/group/members.rs
+++ b/src/group/members.rs
@@ -95,7 +95,7 @@
     }
 
     /// Records that the store or the orderer answered this host. For [`ISOLATED_ADMIT_MS`] after
-    /// that, the other hosts certainly still count this host among those that admit requests.
+    /// that, the other hosts still count this host among those that admit requests.
     pub fn note_contact(&mut self, now: Millis) {
         self.contact_at = Some(now);
     }
--- a/src/upstreams/registry.rs
+++ b/src/upstreams/registry.rs
@@ -144,7 +144,7 @@
 
 impl Registry {
     /// Records that the list was read, or confirmed as unchanged by another host, as of `now`. A
-    /// time before the last recorded one changes nothing. A gap of at least [`OUTAGE_MS`] between
+    /// time before the last recorded one changes nothing. A gap of at least `OUTAGE_MS` between
     /// two such times counts as an outage only if a poll of the list failed within the gap. Without
     /// a failed poll, the copy of the list that this host gets from another host may merely have
     /// been late.
