--- a/src/daemon/log_flow.rs
+++ b/src/daemon/log_flow.rs
@@ -11,7 +11,7 @@
 /// Most applied records that are kept for requests of peers.
 pub const MAX_RECENT_RECORDS: usize = 4096;
 
-/// The key whose home writes checkpoints.
+/// The key that selects the host that writes checkpoints: its home, see [`Node::is_home`].
 const CHECKPOINT_KEY: &str = "checkpoint";
 
 /// Whether the record after the current one may be applied too.
@@ -69,7 +69,7 @@
     pub fn on_log_read_failed(&mut self, now: Millis, error: &LogCallError) {
         if let LogCallError::Trimmed(oldest) = error {
             self.start_scan(*oldest);
-            self.driver.on_page_discarded();
+            self.driver.on_read_not_applied();
             return;
         }
         self.driver.on_read_failed(now);
@@ -89,9 +89,10 @@
         }
     }
 
-    /// Passes the records of a page to the search for a checkpoint.
+    /// Passes the records of a page to the search for a checkpoint. They are not applied one by
+    /// one.
     fn scan_page(&mut self, page: &LogPage, fx: &mut Effects) {
-        self.driver.on_page_discarded();
+        self.driver.on_read_not_applied();
         for logged in &page.records {
             let Some(scan) = &mut self.scan else {
                 return;
@@ -115,6 +116,7 @@
         self.recent.clear();
         let last_seq = self.shared.members.last_seq(self.config.me);
         self.driver.on_state_replaced(last_seq);
+        // `acceptance` holds the edits of the table that operators wait for.
         self.acceptance.on_state_replaced(&self.shared.table, fx);
     }
 
@@ -127,8 +129,9 @@
         self.driver.halt();
     }
 
-    /// Writes a checkpoint if one is due and this host is the home of the checkpoints. Runs at each
-    /// tick.
+    /// Writes a checkpoint if one is due and this host is the home of `CHECKPOINT_KEY`. The
+    /// newest append time of the applied records, `log_ms`, is the current time for this. Runs at
+    /// each tick.
     pub fn tick_checkpoint(&mut self, now: Millis) {
         let shared = &self.shared;
         let due = shared
--- a/src/daemon/membership_flow.rs
+++ b/src/daemon/membership_flow.rs
@@ -1,5 +1,8 @@
 //! Membership of hosts: heartbeat probes, the platform's list, evictions, changes of the voters,
 //! and the requests of peers.
+//!
+//! The platform is the system in which the hosts run. It keeps a list of the hosts and upstreams,
+//! in which each host renews its entry. The voters are the hosts that count for majorities.
 
 use crate::daemon::node::{Life, Node};
 use crate::membership::entry::{entry_answer, home};
@@ -36,6 +39,7 @@
     list_under_way: bool,
     next_list_at: Millis,
     next_register_at: Millis,
+    /// When the list was last read.
     listed_at: Option<Millis>,
     /// When a change was last proposed, by a key of the change.
     proposed_at: IndexMap<Name, Millis>,
@@ -130,6 +134,7 @@
         Probe {
             from: self.config.me,
             next_offset: self.shared.next_offset,
+            // The time since this host was last known to have applied the whole log.
             log_age_ms: self.freshness.log_age(now),
             stopping: matches!(
                 self.life,
@@ -152,16 +157,21 @@
         self.platform.list = Some(list);
     }
 
-    /// Returns whether this host is the home of a key, that is, proposes the changes for it.
+    /// Returns whether this host is the home of a key: the host that proposes the changes for the
+    /// key, chosen by the key among the present hosts that answer probes.
     pub fn is_home(&self, key: &str) -> bool {
         let me = self.config.me;
         home(key, me, &self.shared.members, &self.probes) == Some(me)
     }
 
-    /// Proposes the changes of the set of voters that a majority of the voters has applied,
-    /// departures first. A host that joined becomes a voter only once it has answered this host: a
-    /// host that reaches the log but no peer joins again and again, and each of its incarnations
-    /// that became a voter would be one more that never confirms anything.
+    /// Proposes changes of the set of voters, departures first. A host's join or departure does not
+    /// change the set by itself: a [`RecordBody::Counted`] record does, which is proposed once a
+    /// majority of the voters has applied the record of the join or departure and the last change
+    /// of the set.
+    ///
+    /// A host that joined becomes a voter only once it has answered this host. A host that can
+    /// reach the log but none of its peers joins repeatedly, each time under a new incarnation. If
+    /// those incarnations became voters, each would add a voter that never confirms anything.
     fn propose_voter_changes(&mut self, now: Millis) {
         let members = &self.shared.members;
         let may_change = |host: Incarnation, member: &Member| {
@@ -189,7 +199,8 @@
         }
     }
 
-    /// Probes the voters whose applied offsets a change of the set of voters waits for.
+    /// Probes the voters that are not known to have applied the records that a pending change of
+    /// the set of voters requires.
     fn probe_voters(&mut self, now: Millis, fx: &mut Effects) {
         let members = &self.shared.members;
         let newest = members
@@ -201,29 +212,29 @@
         };
         let missing: Vec<Incarnation> = members
             .voters()
-            .filter(|host| self.applied_by(*host) < needed)
+            .filter(|host| self.known_next_offset(*host) < needed)
             .collect();
         let probe = self.own_probe(now);
         self.probes
             .probe_now(now, missing.into_iter(), &self.shared.members, &probe, fx);
     }
 
-    /// Returns whether a majority of the voters is known to have reached a next offset. True
-    /// without voters.
+    /// Returns whether a majority of the voters is known to have applied all records before the
+    /// offset `needed`. True without voters.
     fn majority_applied(&self, needed: Offset) -> bool {
         let voters = self.shared.members.voters().count();
         let confirming = self
             .shared
             .members
             .voters()
-            .filter(|host| self.applied_by(*host) >= needed)
+            .filter(|host| self.known_next_offset(*host) >= needed)
             .count();
         voters == 0 || confirming * 2 > voters
     }
 
-    /// Returns the highest next offset to apply that a host is known to have reached; zero if
-    /// unknown.
-    pub fn applied_by(&self, host: Incarnation) -> Offset {
+    /// Returns the highest offset before which a host is known to have applied all records, that
+    /// is, the offset of the next record that it applies; zero if unknown.
+    pub fn known_next_offset(&self, host: Incarnation) -> Offset {
         if host == self.config.me {
             return self.shared.next_offset;
         }
@@ -248,9 +259,10 @@
         }
     }
 
-    /// Returns whether a host is dead. A suspicion of this host alone does not suffice, since only
-    /// the link between the two may be broken: other hosts must agree, the platform's list must
-    /// lack the host, or another incarnation must answer at its address.
+    /// Returns whether another host is dead. It is not enough that this host suspects it, since
+    /// only the link between the two hosts may be broken. The other host is dead if enough hosts
+    /// suspect it, if this host suspects it and the platform's list lacks it, or if another
+    /// incarnation answers at its address.
     fn is_dead(&self, now: Millis, host: Incarnation, name: &str) -> bool {
         let agreed = self.probes.is_agreed_dead(now, host, &self.shared.members);
         let missing =
@@ -258,8 +270,9 @@
         agreed || missing || self.probes.is_replaced(host)
     }
 
-    /// Proposes to forget the departed hosts that have been missing from the platform's list for so
-    /// long that nothing sent by them can still be in flight, voters only after `VOTER_GONE_MS`.
+    /// Proposes to forget departed hosts. A host that is not a voter must have been missing from
+    /// the platform's list for longer than `MAX_IN_FLIGHT_MS`, so that nothing that it sent can
+    /// still be in flight; a voter for longer than `VOTER_GONE_MS`.
     fn propose_gone(&mut self, now: Millis) {
         let departed: Vec<(Incarnation, Name, bool)> = self
             .shared
@@ -267,14 +280,14 @@
             .departed()
             .map(|(host, member)| (*host, member.entry.name.clone(), member.counted))
             .collect();
-        for (host, name, counted) in departed {
+        for (host, name, is_voter) in departed {
             if self.platform.may_list_host(&name, host) {
                 self.platform.missing_since.shift_remove(&host);
                 continue;
             }
             let since = *self.platform.missing_since.entry(host).or_insert(now);
             let key = format!("gone {host}");
-            let wait_ms = if counted {
+            let wait_ms = if is_voter {
                 VOTER_GONE_MS
             } else {
                 MAX_IN_FLIGHT_MS
@@ -330,6 +343,7 @@
                 self.freshness.relay_answered();
                 self.apply_relayed(now, &records, fx);
             }
+            // A slice is the part of a row's rate limit that the home of the row grants to a host.
             PeerReply::Slice { row, slice, wanted } => {
                 self.on_quota_grant(now, &row, asked_at, slice, wanted, fx);
             }
@@ -354,9 +368,9 @@
         self.probes.on_answer(now, peer, asked_at, probe);
         self.merge_leaving_hints(now, probe);
         let own_offset = self.shared.next_offset;
-        let log_known_at = probe.log_age_ms.map(|age_ms| asked_at - age_ms);
+        let peer_applied_log_at = probe.log_age_ms.map(|age_ms| asked_at - age_ms);
         self.freshness
-            .on_peer_offset(peer, probe.next_offset, asked_at, log_known_at);
+            .on_peer_offset(peer, probe.next_offset, asked_at, peer_applied_log_at);
         self.freshness.on_applied(own_offset);
         if own_offset >= probe.next_offset {
             return;
@@ -417,7 +431,7 @@
     }
 
     /// Answers a caller that asked which hosts it may connect to.
-    pub fn on_entry_asked(
+    pub fn on_caller_hosts_asked(
         &mut self,
         now: Millis,
         call: CallId,
@@ -425,11 +439,11 @@
         name: &Name,
         fx: &mut Effects,
     ) {
-        let result = self.entry_for(now, key_sha256, name);
+        let result = self.hosts_for_caller(now, key_sha256, name);
         fx.push(Effect::AnswerEntry { call, result });
     }
 
-    fn entry_for(
+    fn hosts_for_caller(
         &self,
         now: Millis,
         key_sha256: &str,
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -91,7 +91,7 @@
     pub probes: Probes,
     /// The marks of upstreams that are leaving.
     pub leaving: Leaving,
-    /// The edits of the table that operators wait for.
+    /// The edits of the table whose operators wait until they are in force.
     pub acceptance: PendingEdits,
     /// The orders to engines that this host executes.
     pub executor: Executor,
@@ -206,7 +206,7 @@
                 key_sha256,
                 name,
             } => {
-                self.on_entry_asked(now, call, &key_sha256, &name, fx);
+                self.on_caller_hosts_asked(now, call, &key_sha256, &name, fx);
             }
             Event::CallerGone { request } => self.on_caller_gone(now, request),
             Event::AttemptStarted {
