--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -61,7 +61,7 @@
         match self.lock().contains(&*fingerprint(certificate)) {
             true => Ok(()),
             false => Err(rustls::Error::General(
-                "the certificate is not of a listed host".to_string(),
+                "the certificate is no member's".to_string(),
             )),
         }
     }
